--- a/banyantiller/explain/story.py
+++ b/banyantiller/explain/story.py
@@ -10,17 +10,17 @@
 # silent server is forgotten within this time.
 BEFORE_S = 5.0
 ENDED = log_events.text_of(call_events.CallEnded)
-FAILED = log_events.text_of(call_events.TryFailed)
+FAILED = log_events.text_of(call_events.AttemptFailed)
 BELIEFS = frozenset(
     log_events.text_of(kind)
     for kind in (
-        events.ServerSilent,
-        events.ServerAnswers,
+        events.ServerUnresponsive,
+        events.ServerResponsive,
         call_events.ServerSuspected,
         events.ServerLeaves,
-        events.ServerGone,
+        events.ServerRemoved,
         events.RegistrationLapsed,
-        events.ServerDoubted,
+        events.ServerReportedFailing,
         events.ZoneEvacuated,
         events.ZoneGivenBack,
         events.ServerLimited,
@@ -32,7 +32,7 @@
         events.StoreBack,
         events.PeerLost,
         call_events.BudgetSpent,
-        events.Ending,
+        events.ShuttingDown,
         events.CallsCut,
         call_events.CallsNotLogged,
     )
--- a/banyantiller/gateway/attempts.py
+++ b/banyantiller/gateway/attempts.py
@@ -5,12 +5,12 @@
 
 from banyantiller.errors import ErrorKind
 from banyantiller.gateway import (
-    asking,
     call_events,
     events,
     exchange,
     pool,
-    ports,
+    probing,
+    protocols,
 )
 from banyantiller.http import messages
 from banyantiller.quarantine import watch
@@ -26,21 +26,21 @@
     Attributes:
         entry: The server.
         candidate: What it told of its load.
-        began: Loop time at which the try began.
+        started_at: Loop time at which the try began.
         sent: Whether the server may be executing the call.
         sent_at: Loop time at which it was sent.
         task: Runs the try; its result is the outcome.
     """
 
     def __init__(
-        self, call: ports.RunningCall, candidate: asking.Candidate
+        self, call: protocols.RunningCall, candidate: probing.Candidate
     ) -> None:
         self.call = call
         self.gateway = call.gateway
         self.loop = call.loop
         self.candidate = candidate
         self.entry = candidate.entry
-        self.began = self.loop.time()
+        self.started_at = self.loop.time()
         self.sent = False
         self.sent_at = 0.0
         self.task = self.loop.create_task(self._run())
@@ -58,26 +58,32 @@
         if isinstance(outcome, exchange.NotRun):
             self.call.progress.reason = outcome.kind.value
             if outcome.moved:
-                self.gateway.known.moved(entry.server)
+                self.gateway.store_view.remove_moved(entry.server)
             if outcome.kind is not ErrorKind.NO_SERVER:
                 # One with a free slot that turns work away is at fault.
-                entry.belief.result(not self.candidate.ready(math.inf), now)
+                entry.health.record_result(
+                    not self.candidate.ready(math.inf), now
+                )
             self._log(outcome.kind.value, "")
-        elif isinstance(outcome, exchange.Broken):
+        elif isinstance(outcome, exchange.BrokenResponse):
             self.call.progress.reason = outcome.reason
-            entry.belief.result(False, now)
+            entry.health.record_result(False, now)
             self._log(outcome.kind.value, outcome.reason)
         else:
-            entry.belief.result(outcome.status < 500, now)
-            self.gateway.asker.note_answer_load(entry, outcome.headers)
+            entry.health.record_result(outcome.status < 500, now)
+            self.gateway.prober.record_response_load(entry, outcome.headers)
             if outcome.status < 500:
                 fingerprint = self.call.request.fingerprint
-                self.gateway.endings.watch.answered(fingerprint, now)
-                took_s = now - self.began
-                self.gateway.durations.learn(self.call.route.name, took_s)
+                self.gateway.crash_detector.watch.answered(fingerprint, now)
+                took_s = now - self.started_at
+                self.gateway.durations.record_duration(
+                    self.call.route.name, took_s
+                )
             if outcome.status in FAULT_STATUSES:
                 instance = entry.server.instance
-                self.gateway.known.own_failures.failed(instance, now)
+                self.gateway.store_view.local_failures.record_failure(
+                    instance, now
+                )
             if outcome.status >= 500:
                 self._log("server_error", f"status {outcome.status}")
         return outcome
@@ -94,7 +100,9 @@
                 candidate.link = await home.acquire(fresh)
             except (OSError, pool.PoolFullError) as error:
                 if isinstance(error, ConnectionRefusedError):
-                    self.gateway.endings.refused(server)
+                    self.gateway.crash_detector.record_refused_connection(
+                        server
+                    )
                 events.emit(
                     call_events.NoConnection(
                         self.call.request.request_id,
@@ -106,7 +114,7 @@
         link = candidate.link
         if not self.entry.usable(self.loop.time()):
             # It left, or its zone was evacuated, while the connection opened.
-            home.keep(link)
+            home.put_idle(link)
             return exchange.NotRun(ErrorKind.NO_SERVER)
         self._note_sending()
         self.entry.in_flight += 1
@@ -118,12 +126,12 @@
                 server.instance,
                 self.call.deadline - self.loop.time(),
                 self.gateway.adapter.wire,
-                self.gateway.answer_bytes,
+                self.gateway.max_response_bytes,
                 self._note_head,
             )
         finally:
             self.entry.in_flight -= 1
-            if isinstance(outcome, exchange.Answered | exchange.NotRun):
+            if isinstance(outcome, exchange.CompleteResponse | exchange.NotRun):
                 home.release(link)
             else:
                 home.discard(link)
@@ -131,11 +139,11 @@
         return outcome
 
     def _note_head(self, response: messages.Response) -> None:
-        self.gateway.limits.note_answer(
+        self.gateway.server_limits.record_response(
             self.entry.server, response.headers, self.sent_at
         )
 
-    def _note_no_answer(self, outcome: exchange.Broken | None) -> None:
+    def _note_no_answer(self, outcome: exchange.BrokenResponse | None) -> None:
         """Notes that the server gave no answer; None if it was given up."""
         request = self.call.request
         one = watch.Broken(
@@ -145,7 +153,9 @@
             self.loop.time(),
         )
         lost = outcome is not None and outcome.kind is ErrorKind.CONNECTION_LOST
-        self.gateway.endings.no_answer(self.entry.server, one, lost)
+        self.gateway.crash_detector.record_no_response(
+            self.entry.server, one, lost
+        )
 
     def _note_sending(self) -> None:
         now = self.loop.time()
@@ -154,24 +164,24 @@
         progress.instances.append(self.entry.server.instance)
         self.entry.sends += 1
         progress.load = self.candidate.load
-        progress.among = self.candidate.among
-        progress.load_age_s = now - self.candidate.asked_at
+        progress.answered_count = self.candidate.answered_count
+        progress.load_age_s = now - self.candidate.probed_at
         progress.sent_after_s = now - self.call.request.received
         self.sent = True
         self.sent_at = now
 
     def _log(self, kind: str, reason: str) -> None:
         load = self.candidate.load
-        self.gateway.tallies.tries[self.call.service, kind] += 1
-        self.entry.failed += 1
+        self.gateway.tallies.failed_attempts[self.call.service, kind] += 1
+        self.entry.failed_sends += 1
         events.emit(
-            call_events.TryFailed(
+            call_events.AttemptFailed(
                 id=self.call.request.request_id,
                 instance=self.entry.server.instance,
                 kind=kind,
                 reason=reason,
                 load=load and list(load),
-                failures=round(self.entry.belief.failure_rate, 2),
+                failures=round(self.entry.health.failure_rate, 2),
                 fingerprint=self.call.request.fingerprint,
             )
         )
--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -5,27 +5,27 @@
 
 from banyantiller.errors import ErrorKind, Failure, Ran
 from banyantiller.gateway import (
-    asking,
     attempts,
     call_events,
-    choosing,
-    endings,
+    crash_detection,
     events,
     exchange,
-    ports,
+    probing,
     progress,
+    protocols,
     replies,
     routes,
+    server_choice,
     types,
 )
 from banyantiller.gateway import requests as reading
-from banyantiller.gateway.decisions import refusing, seconds, waiting
+from banyantiller.gateway.decisions import hedging, retry_after, waiting
 
 # Less time than this is too little to run anything.
-LEAST_TIME_S = 0.01
+MIN_TIME_S = 0.01
 # Servers that ended with a request on them, in this call or before, after which
 # a call is not sent to another one.
-MOST_ENDS_BEFORE_A_TRY = 2
+MAX_CRASHES_BEFORE_ATTEMPT = 2
 
 
 class Call:
@@ -39,7 +39,7 @@
         urgent: Whether its route is among the most urgent of the service.
         deadline: Loop time at which it ends unanswered.
         progress: How far it has come.
-        tried: Servers that it was sent to or that turned it away.
+        attempted: Servers that it was sent to or that turned it away.
         attempts: Tries that are running.
         sole: Whether no further server may be tried beside the running one.
         next_second: Loop time from which a second server is looked for.
@@ -48,7 +48,7 @@
     """
 
     def __init__(
-        self, gateway: ports.CallSurroundings, request: reading.Request
+        self, gateway: protocols.CallContext, request: reading.Request
     ) -> None:
         self.gateway = gateway
         self.loop = gateway.loop
@@ -56,12 +56,12 @@
         self.progress = progress.Progress()
         self.service = ""
         self.deadline = request.received + gateway.default_timeout_s
-        self.tried: set[str] = set()
+        self.attempted: set[str] = set()
         self.attempts: list[attempts.Attempt] = []
         self.sole = False
         self.next_second = 0.0
         self.suspected = False
-        self.failed_answer: exchange.Answered | None = None
+        self.failed_answer: exchange.CompleteResponse | None = None
         self.outgoing = request.outgoing(gateway.adapter.wire)
         self.table: routes.RouteTable | None = None
         self.version = 0
@@ -77,7 +77,7 @@
         start get 404 for routes in force.
         """
         request = self.request
-        self.table = self.gateway.known.routes
+        self.table = self.gateway.store_view.routes
         if self.table is None:
             return
         self.version = self.table.document.version
@@ -109,15 +109,17 @@
         return reply
 
     async def _answer(self) -> replies.Reply:
-        if not self.gateway.known.complete.is_set():
-            await self.gateway.known.first_read()
+        if not self.gateway.store_view.complete.is_set():
+            await self.gateway.store_view.wait_for_first_read()
         if self.route is None:
             self.look_up_route()
         if self.route is None:
-            failure = self.gateway.known.refusal_of(ErrorKind.UNKNOWN_SERVICE)
+            failure = self.gateway.store_view.refusal_of(
+                ErrorKind.UNKNOWN_SERVICE
+            )
             return self._fail(failure.kind, failure.retry_after)
         self.service = self.table.choose_service(self.route)
-        self.gateway.budget_of(self.service).request(self.loop.time())
+        self.gateway.budget_of(self.service).record_request(self.loop.time())
         try:
             async with asyncio.timeout_at(self.deadline):
                 return await self._try_servers(self.table)
@@ -153,32 +155,32 @@
             return None if beside else self._give_up()
         candidate = await self._choose(service, beside)
         if candidate is None:
-            self.next_second = self.loop.time() + seconds.AGAIN_S
+            self.next_second = self.loop.time() + hedging.RETRY_PAUSE_S
             return None if beside else self._give_up()
         if self._is_quarantined() or not self._may_send(beside):
-            self.gateway.asker.give_back([candidate])
+            self.gateway.prober.release([candidate])
             self.sole = True
             return None if beside else self._give_up()
-        self.tried.add(candidate.entry.server.instance)
+        self.attempted.add(candidate.entry.server.instance)
         self.attempts.append(attempts.Attempt(self, candidate))
         return None
 
     async def _choose(
         self, service: types.Service, beside: bool
-    ) -> asking.Candidate | None:
+    ) -> probing.Candidate | None:
         """Finds a server; one that is tried beside another must be good."""
         now = self.loop.time()
         objective_s = self.route.objective_s
         in_time = now < self.request.received + objective_s
         usual_s = self.gateway.durations.usual_s(self.route.name, objective_s)
-        limits = waiting.limits(objective_s, usual_s, self.urgent, now)
+        limits = waiting.wait_limits(objective_s, usual_s, self.urgent, now)
         self.progress.usual_s = usual_s
-        wanted = choosing.Wanted(
+        wanted = server_choice.SelectionRequest(
             self.route,
             service,
-            waiting.at_once(now) if beside else limits,
-            frozenset(self.tried),
-            seconds.MOST_SCORE if beside and in_time else math.inf,
+            waiting.no_wait(now) if beside else limits,
+            frozenset(self.attempted),
+            hedging.MAX_SCORE if beside and in_time else math.inf,
         )
         return await self.gateway.chooser.choose(wanted)
 
@@ -188,16 +190,16 @@
         if self.progress.sends >= self.route.max_attempts:
             return False
         budget = self.gateway.budget_of(self.service)
-        share = seconds.BUDGET_SHARE if beside else 1.0
-        if budget.take(self.loop.time(), share):
+        share = hedging.BUDGET_SHARE if beside else 1.0
+        if budget.try_spend(self.loop.time(), share):
             return True
-        if not beside and budget.tell(self.loop.time()):
+        if not beside and budget.should_report_spent(self.loop.time()):
             events.emit(
                 call_events.BudgetSpent(
                     id=self.request.request_id,
                     service=self.service,
-                    used=len(budget.repeats),
-                    most=round(budget.most, 1),
+                    used=len(budget.retries),
+                    most=round(budget.max_retries, 1),
                     share=round(self.gateway.share(), 4),
                 )
             )
@@ -211,16 +213,20 @@
         """
         if self.sole or not self.idempotent or len(self.attempts) > 1:
             return False
-        if self.gateway.endings.watch.is_suspect(self.request.fingerprint):
+        if self.gateway.crash_detector.watch.is_suspect(
+            self.request.fingerprint
+        ):
             return False
         if self.progress.sends >= self.route.max_attempts:
             return False
-        late = seconds.is_late(self._first())
+        late = hedging.should_hedge(self._first())
         return late and self.loop.time() >= self.next_second
 
-    def _first(self) -> seconds.First:
-        waited_s = self.loop.time() - self.attempts[0].began
-        return seconds.First(waited_s, self.route.objective_s, self.suspected)
+    def _first(self) -> hedging.FirstAttempt:
+        waited_s = self.loop.time() - self.attempts[0].started_at
+        return hedging.FirstAttempt(
+            waited_s, self.route.objective_s, self.suspected
+        )
 
     async def _next_ended(
         self, service: types.Service
@@ -229,7 +235,7 @@
         tasks = {attempt.task for attempt in self.attempts}
         if not tasks:
             return []
-        look_s = seconds.look_again_s(self._first())
+        look_s = hedging.recheck_after_s(self._first())
         await asyncio.wait(
             tasks, timeout=look_s, return_when=asyncio.FIRST_COMPLETED
         )
@@ -249,8 +255,8 @@
         entry = self.attempts[0].entry
         if not entry.usable(self.loop.time()):
             return
-        found = await self.gateway.asker.ask([entry], service.health_path)
-        self.gateway.asker.give_back(found)
+        found = await self.gateway.prober.probe([entry], service.health_path)
+        self.gateway.prober.release(found)
         if not found:
             self.suspected = True
             events.emit(
@@ -264,12 +270,12 @@
         for attempt in ended:
             self.attempts.remove(attempt)
             outcome = attempt.finish()
-            if isinstance(outcome, exchange.Answered):
+            if isinstance(outcome, exchange.CompleteResponse):
                 if not self._worth_another(outcome):
                     return self._relay(outcome)
                 self.failed_answer = outcome
                 self.progress.maybe_ran = True
-            elif isinstance(outcome, exchange.Broken):
+            elif isinstance(outcome, exchange.BrokenResponse):
                 self.progress.maybe_ran = True
                 if not self.idempotent or self._ends_servers(attempt, outcome):
                     return self._fail(outcome.kind)
@@ -284,12 +290,12 @@
 
     def _quarantine_s(self) -> float | None:
         """Returns how long it is still refused, in seconds, or None."""
-        return self.gateway.endings.watch.wait_s(
+        return self.gateway.crash_detector.watch.wait_s(
             self.request.fingerprint, self.loop.time()
         )
 
     def _ends_servers(
-        self, attempt: attempts.Attempt, broken: exchange.Broken
+        self, attempt: attempts.Attempt, broken: exchange.BrokenResponse
     ) -> bool:
         """Tells whether too many servers ended under it for another try.
 
@@ -298,22 +304,22 @@
         """
         if broken.kind is not ErrorKind.CONNECTION_LOST:
             return False
-        lost = endings.start_name(attempt.entry.server)
-        found = self.gateway.endings.watch.ended_under(
+        lost = crash_detection.incarnation_id(attempt.entry.server)
+        found = self.gateway.crash_detector.watch.ended_under(
             self.request.fingerprint, lost
         )
-        return found >= MOST_ENDS_BEFORE_A_TRY
+        return found >= MAX_CRASHES_BEFORE_ATTEMPT
 
-    def _worth_another(self, answer: exchange.Answered) -> bool:
+    def _worth_another(self, answer: exchange.CompleteResponse) -> bool:
         """Tells whether another server may do better than this failure."""
         return (
             answer.status >= 500
             and self.idempotent
             and self.progress.sends < self.route.max_attempts
-            and self.deadline - self.loop.time() > LEAST_TIME_S
+            and self.deadline - self.loop.time() > MIN_TIME_S
         )
 
-    def _relay(self, answer: exchange.Answered) -> replies.Reply:
+    def _relay(self, answer: exchange.CompleteResponse) -> replies.Reply:
         return replies.Reply(
             answer.status, answer.headers, answer.body, answer.length
         )
@@ -328,22 +334,26 @@
         if wait_s is not None:
             return self._fail(ErrorKind.QUARANTINED, wait_s)
         now = self.loop.time()
-        if self.gateway.known.table.only_evacuated(self.service, now):
+        if self.gateway.store_view.table.all_evacuated(self.service, now):
             self.progress.reason = "zone_evacuated"
             return self._fail(
-                ErrorKind.NO_SERVER, refusing.EVACUATED_RETRY_AFTER_S
+                ErrorKind.NO_SERVER, retry_after.EVACUATED_RETRY_AFTER_S
             )
         shed = self.progress.sends > 0
         kind = ErrorKind.BACKEND_SHED if shed else ErrorKind.NO_SERVER
-        turn_in_s = self.gateway.chooser.turn_in_s(self.service, self.tried)
+        turn_in_s = self.gateway.chooser.seconds_until_turn(
+            self.service, self.attempted
+        )
         if 0 < turn_in_s < math.inf:
             self.progress.reason = "servers_limited"
-            return self._fail(kind, refusing.turn_retry_after_s(turn_in_s))
+            return self._fail(kind, retry_after.turn_retry_after_s(turn_in_s))
         return self._refuse(kind)
 
     def _refuse(self, kind: ErrorKind) -> replies.Reply:
         by_servers = kind is ErrorKind.BACKEND_SHED
-        retry_after_s = refusing.retry_after_s(self.gateway.random, by_servers)
+        retry_after_s = retry_after.retry_after_s(
+            self.gateway.random, by_servers
+        )
         return self._fail(kind, retry_after_s)
 
     def _fail(
@@ -355,4 +365,4 @@
         return replies.from_failure(failure, ran, self.gateway.settings.daemon)
 
     def _finish(self, status: int, error: ErrorKind | None) -> None:
-        self.gateway.finished(self, status, error)
+        self.gateway.record_call(self, status, error)
--- a/banyantiller/gateway/call_events.py
+++ b/banyantiller/gateway/call_events.py
@@ -16,7 +16,7 @@
 
 
 @event("gateway: a try failed.")
-class TryFailed(NamedTuple):
+class AttemptFailed(NamedTuple):
     """A request was sent to a server and got no answer that can be used."""
 
     id: events.Id
@@ -37,7 +37,7 @@
 
 
 @event("gateway: server ended with a request on it.")
-class ServerEnded(NamedTuple):
+class ServerCrashed(NamedTuple):
     """A request got no answer, and its server's machine refuses connections.
 
     It may have ended the server, or only have been there.
--- a/banyantiller/gateway/caller.py
+++ b/banyantiller/gateway/caller.py
@@ -9,18 +9,18 @@
 
 from banyantiller.errors import ErrorKind, Failure
 from banyantiller.gateway import call as calls
-from banyantiller.gateway import call_events, events, ports, replies
+from banyantiller.gateway import call_events, events, protocols, replies
 from banyantiller.gateway import requests as reading
 from banyantiller.quarantine import fingerprint
 
 # Requests that are read ahead of their answers on one connection.
-MOST_AHEAD = 16
+MAX_AHEAD = 16
 # Longest time for a request body after its head, as for any answer.
 BODY_TIMEOUT_S = 30.0
 # Request bodies in memory over all connections: a body of the largest size
 # allowed, 64 MB, and its copy in the socket's buffer fit into the 200 MB of the
 # smallest VM.
-MOST_BODY_BYTES = 80 << 20
+MAX_BODY_BYTES = 80 << 20
 # When a caller may come back with a body for which there was no room.
 FULL_S = 0.5
 # How long a caller may go on sending after its request was rejected: closing
@@ -72,7 +72,7 @@
         rejected: Whether a request was answered before it was read whole.
     """
 
-    def __init__(self, gateway: ports.ConnectionSurroundings) -> None:
+    def __init__(self, gateway: protocols.ConnectionContext) -> None:
         self.gateway = gateway
         self.loop = gateway.loop
         self.transport: Any = None
@@ -105,7 +105,7 @@
             self._set_timer()
         self.codec.receive_data(data)
         self._read()
-        if len(self.slots) >= MOST_AHEAD and not self.gone:
+        if len(self.slots) >= MAX_AHEAD and not self.gone:
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
@@ -118,11 +118,11 @@
         self.ended = True
         self._stop_timer()
         for slot in self.slots:
-            self.gateway.body_bytes -= slot.size
+            self.gateway.buffered_body_bytes -= slot.size
             if slot.task is not None:
                 slot.task.cancel()
         self.slots.clear()
-        self.gateway.left(self)
+        self.gateway.remove_connection(self)
 
     def pause_writing(self) -> None:
         """The caller reads slowly: no further requests are read."""
@@ -157,7 +157,7 @@
             return
         self.parsing = True
         try:
-            while not self.ended and len(self.slots) < MOST_AHEAD:
+            while not self.ended and len(self.slots) < MAX_AHEAD:
                 event = self.codec.next_event()
                 if not self._take(event):
                     break
@@ -193,9 +193,9 @@
         Also covers the incomplete head of a chunk, which h11 keeps in the same
         place.
         """
-        known = self.gateway.known
+        known = self.gateway.store_view
         incomplete = self.codec.trailing_data[0]
-        if len(incomplete) > known.limits.head_bytes:
+        if len(incomplete) > known.caller_limits.head_bytes:
             self._reject(known.refusal_of(ErrorKind.HEAD_TOO_LARGE))
 
     def _head(self, event: h11.Request) -> None:
@@ -216,11 +216,11 @@
     def _data(self, data: bytes) -> None:
         slot = self.reading
         slot.size += len(data)
-        self.gateway.body_bytes += len(data)
-        known = self.gateway.known
-        if slot.size > known.limits.body_bytes:
+        self.gateway.buffered_body_bytes += len(data)
+        known = self.gateway.store_view
+        if slot.size > known.caller_limits.body_bytes:
             self._reject(known.refusal_of(ErrorKind.BODY_TOO_LARGE))
-        elif self.gateway.body_bytes > MOST_BODY_BYTES:
+        elif self.gateway.buffered_body_bytes > MAX_BODY_BYTES:
             self._reject(Failure(ErrorKind.QUEUE_FULL, retry_after=FULL_S))
         else:
             slot.body.append(bytes(data))
@@ -290,7 +290,7 @@
             if self.gone:
                 return
             slot = self.slots.popleft()
-            self.gateway.body_bytes -= slot.size
+            self.gateway.buffered_body_bytes -= slot.size
             if not self._write(slot):
                 return
         if self.slots:
@@ -308,7 +308,7 @@
             return
         if self.codec.trailing_data[0]:
             self._read()
-        if len(self.slots) < MOST_AHEAD:
+        if len(self.slots) < MAX_AHEAD:
             self.transport.resume_reading()
 
     def _write(self, slot: Slot) -> bool:
@@ -363,8 +363,8 @@
         if self.reading is not None:
             return BODY_TIMEOUT_S
         if self.begun:
-            return self.gateway.known.limits.head_timeout_s
-        return self.gateway.known.limits.idle_timeout_s
+            return self.gateway.store_view.caller_limits.head_timeout_s
+        return self.gateway.store_view.caller_limits.idle_timeout_s
 
     def _expired(self) -> None:
         self.timer = None
--- a/banyantiller/gateway/histories.py
+++ b/banyantiller/gateway/change_history.py
@@ -4,13 +4,13 @@
 import collections
 from typing import NamedTuple
 
-from banyantiller.gateway import telling
+from banyantiller.gateway import peer_messages
 from banyantiller.http import messages
 from banyantiller.store import interface
 
 # Batches of changes that are kept for daemons that ask late; the store itself
 # has some 20 s, in which no more than 40 come.
-MOST_BATCHES = 100
+MAX_BATCHES = 100
 
 
 class Batch(NamedTuple):
@@ -28,12 +28,12 @@
     bridges: int | None = None
 
 
-class History:
+class ChangeHistory:
     """Changes of one kind since some version.
 
     Attributes:
         items: All objects by name.
-        oldest: Version from which changes are known.
+        oldest_version: Version from which changes are known.
         version: Version up to which they are known.
         batches: The changes.
         changed: Set at each change; replaced after it.
@@ -43,16 +43,16 @@
     def __init__(self, listed: interface.Listed) -> None:
         self.items = {item.name: item for item in listed.items}
         self.packed: messages.Response | None = None
-        self.oldest = int(listed.version)
-        self.version = self.oldest
+        self.oldest_version = int(listed.version)
+        self.version = self.oldest_version
         self.batches: collections.deque[Batch] = collections.deque()
         self.changed = asyncio.Event()
 
-    def add(self, found: interface.Changes) -> None:
+    def add_changes(self, found: interface.Changes) -> None:
         """Adds what was read."""
         self._add(Batch(int(found.version), found.events))
 
-    def relist(self, found: interface.Listed) -> None:
+    def apply_list(self, found: interface.Listed) -> None:
         """Takes a newer list as the changes that lead to it.
 
         Those who ask go on from what they know: after a lost history one list
@@ -72,9 +72,9 @@
         version = int(found.version)
         self._add(Batch(version, (*gone, *changed), self.version))
 
-    def knows_since(self, version: int) -> bool:
+    def is_complete_since(self, version: int) -> bool:
         """Tells whether all changes after a version are known."""
-        if version < self.oldest:
+        if version < self.oldest_version:
             return False
         return not any(
             batch.bridges is not None
@@ -93,21 +93,24 @@
             else:
                 self.items[event.item.name] = event.item
         self.batches.append(batch._replace(version=self.version))
-        if len(self.batches) > MOST_BATCHES:
-            self.oldest = self.batches.popleft().version
+        if len(self.batches) > MAX_BATCHES:
+            self.oldest_version = self.batches.popleft().version
         self.wake()
 
-    def pack(self) -> messages.Response:
+    def pack_list(self) -> messages.Response:
         """Returns an answer with all objects."""
         if self.packed is None:
             items = [
-                telling.fields_of(item, False) for item in self.items.values()
+                peer_messages.fields_of(item, False)
+                for item in self.items.values()
             ]
-            fields = telling.ListFields(items=items, version=str(self.version))
-            self.packed = telling.pack(fields)
+            fields = peer_messages.ListFields(
+                items=items, version=str(self.version)
+            )
+            self.packed = peer_messages.pack(fields)
         return self.packed
 
-    def after(
+    def changes_after(
         self, version: int
     ) -> list[interface.Changed | interface.Deleted]:
         """Returns the changes after a version."""
--- a/banyantiller/gateway/endings.py
+++ b/banyantiller/gateway/crash_detection.py
@@ -11,15 +11,16 @@
 LOOK_AFTER_S = 0.01
 
 
-class Endings:
+class CrashDetector:
     """Feeds the watch over servers that end, and logs what it concludes.
 
     Attributes:
         watch: Which requests were on servers that ended.
         pools: Returns the pool of a server.
-        stays: Tells whether a server is registered and has not said that it
-            leaves.
-        on_news: Called with the requests of which something new was seen here.
+        is_staying: Tells whether a server is registered and has not said that
+            it leaves.
+        on_change: Called with the requests of which something new was seen
+            here.
         checks: Servers that are being looked at, by start.
     """
 
@@ -27,17 +28,17 @@
         self,
         known: table.Table,
         pools: Callable[[types.Server], pool.Pool],
-        stays: Callable[[types.Server], bool],
+        is_staying: Callable[[types.Server], bool],
     ) -> None:
         outlets = watch.Outlets(self._tell, self._log_end, self._log_verdict)
         self.watch = watch.Watch(known, outlets)
         self.pools = pools
-        self.stays = stays
-        self.on_news: Callable[[Iterable[str]], None] = lambda _: None
+        self.is_staying = is_staying
+        self.on_change: Callable[[Iterable[str]], None] = lambda _: None
         self.checks: dict[str, asyncio.Task[None]] = {}
         self.loop = asyncio.get_running_loop()
 
-    def no_answer(
+    def record_no_response(
         self, server: types.Server, one: watch.Broken, connection_lost: bool
     ) -> None:
         """Notes that a request got no answer from a server.
@@ -49,9 +50,9 @@
                 that it is worth a look whether the server is still there. It
                 is as well if a suspect was given up there.
         """
-        if not self.stays(server):
+        if not self.is_staying(server):
             return
-        start = start_name(server)
+        start = incarnation_id(server)
         self.watch.no_answer(start, one)
         worth_a_look = connection_lost or self.watch.is_suspect(one.fingerprint)
         if worth_a_look and start not in self.checks:
@@ -60,10 +61,10 @@
             self.checks[start] = check
             check.add_done_callback(lambda _: self.checks.pop(start, None))
 
-    def refused(self, server: types.Server) -> None:
+    def record_refused_connection(self, server: types.Server) -> None:
         """Notes that a server's machine refuses connections to it."""
-        if self.stays(server):
-            self.watch.refused(start_name(server), self.loop.time())
+        if self.is_staying(server):
+            self.watch.refused(incarnation_id(server), self.loop.time())
 
     async def _check(self, server: types.Server, pause_s: float) -> None:
         await asyncio.sleep(pause_s)
@@ -71,19 +72,19 @@
         try:
             link = await home.acquire(fresh=True)
         except ConnectionRefusedError:
-            self.refused(server)
+            self.record_refused_connection(server)
         except (OSError, pool.PoolFullError):
             # A cut link, or no room to look: nothing is known of the server.
             return
         else:
-            home.keep(link)
+            home.put_idle(link)
 
     def _tell(self, fingerprints: Iterable[str]) -> None:
-        self.on_news(fingerprints)
+        self.on_change(fingerprints)
 
     def _log_end(self, server: str, one: watch.Broken) -> None:
         events.emit(
-            call_events.ServerEnded(one.request_id, server, one.fingerprint)
+            call_events.ServerCrashed(one.request_id, server, one.fingerprint)
         )
 
     def _log_verdict(self, verdict: table.Verdict) -> None:
@@ -100,6 +101,6 @@
         events.emit(occurred)
 
 
-def start_name(server: types.Server) -> str:
+def incarnation_id(server: types.Server) -> str:
     """Returns the name of a server's start, the same at every daemon."""
     return f"{server.instance}/{server.started_ms}/{server.host}:{server.port}"
--- a/banyantiller/gateway/decisions/budget.py
+++ b/banyantiller/gateway/decisions/budget.py
@@ -22,7 +22,7 @@
     return random.Random(f"{daemon} {service}").random()
 
 
-class LeastPart:
+class MinShare:
     """The least part of a shared budget that was held in the last window.
 
     Who counts on the greatest part at once uses again what another daemon used
@@ -42,16 +42,16 @@
             [(now, 0.0)]
         )
 
-    def note(self, part: float, now: float) -> None:
+    def record(self, share: float, now: float) -> None:
         """Notes the part that is held from a loop time on."""
-        if part == self.held[-1][1]:
+        if share == self.held[-1][1]:
             return
-        while self.held and self.held[-1][1] > part:
+        while self.held and self.held[-1][1] > share:
             self.held.pop()
-        if not self.held or self.held[-1][1] != part:
-            self.held.append((now, part))
+        if not self.held or self.held[-1][1] != share:
+            self.held.append((now, share))
 
-    def least(self, now: float) -> float:
+    def minimum(self, now: float) -> float:
         """Returns the least part held in the window before a loop time."""
         oldest = now - self.window_s
         while len(self.held) > 1 and self.held[1][0] <= oldest:
@@ -74,8 +74,8 @@
             sends are lost where each daemon rounds down; rounded by chance, the
             parts of all daemons add up to the whole.
         requests: Times of requests in the window.
-        repeats: Times of repeated sends in the window.
-        told_at: Loop time at which it was last said that it is spent.
+        retries: Times of repeated sends in the window.
+        reported_spent_at: Loop time at which it was last said that it is spent.
     """
 
     def __init__(
@@ -90,42 +90,45 @@
         self.extra = extra
         self.rounding = rounding
         self.requests: collections.deque[float] = collections.deque()
-        self.repeats: collections.deque[float] = collections.deque()
-        self.told_at = -math.inf
+        self.retries: collections.deque[float] = collections.deque()
+        self.reported_spent_at = -math.inf
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Counts a request that a caller sent, at a loop time."""
         self._forget(now)
         self.requests.append(now)
 
-    def take(self, now: float, share: float = 1.0) -> bool:
+    def try_spend(self, now: float, budget_share: float = 1.0) -> bool:
         """Takes one repeated send; False if the budget is used up.
 
         Args:
             now: Loop time.
-            share: Part of the budget that may be used up by this; the rest is
-                kept for sends that matter more.
+            budget_share: Part of the budget that may be used up by this; the
+                rest is kept for sends that matter more.
         """
         self._forget(now)
-        if len(self.repeats) + 1 > self.most * share + self.rounding:
+        if (
+            len(self.retries) + 1
+            > self.max_retries * budget_share + self.rounding
+        ):
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
     @property
-    def most(self) -> float:
+    def max_retries(self) -> float:
         """How many repeated sends the window allows."""
         return self.ratio * len(self.requests) + self.extra
 
-    def tell(self, now: float) -> bool:
+    def should_report_spent(self, now: float) -> bool:
         """Tells whether it is time to say that the budget is spent."""
-        if now < self.told_at + self.window_s:
+        if now < self.reported_spent_at + self.window_s:
             return False
-        self.told_at = now
+        self.reported_spent_at = now
         return True
 
     def _forget(self, now: float) -> None:
         oldest = now - self.window_s
-        for times in (self.requests, self.repeats):
+        for times in (self.requests, self.retries):
             while times and times[0] <= oldest:
                 times.popleft()
--- a/banyantiller/gateway/decisions/cold.py
+++ b/banyantiller/gateway/decisions/cold_start.py
@@ -21,7 +21,7 @@
 SPACING_S = 1.0
 
 
-class Part(NamedTuple):
+class ColdAllowance(NamedTuple):
     """What a daemon may send to one cold server.
 
     Attributes:
@@ -33,18 +33,20 @@
     spacing_s: float
 
 
-def part(daemon: str, start: str, per_s: float, share: float) -> Part:
+def cold_allowance(
+    daemon: str, incarnation: str, per_s: float, share: float
+) -> ColdAllowance:
     """Returns the part of a daemon.
 
     Args:
         daemon: Name of the daemon.
-        start: Identity of the server's start.
+        incarnation: Identity of the server's start.
         per_s: Requests a second that it bears while it is cold, of all daemons.
         share: This daemon's share of that rate.
     """
     rate = per_s * share
     if rate * SPACING_S >= 1:
-        return Part(True, 1 / rate)
+        return ColdAllowance(True, 1 / rate)
     # The same for as long as the server is cold, whatever asks for it.
-    drawn = random.Random(f"{daemon} {start}").random()
-    return Part(drawn < rate * SPACING_S, SPACING_S)
+    drawn = random.Random(f"{daemon} {incarnation}").random()
+    return ColdAllowance(drawn < rate * SPACING_S, SPACING_S)
--- a/banyantiller/gateway/decisions/durations.py
+++ b/banyantiller/gateway/decisions/durations.py
@@ -12,7 +12,7 @@
 # duration.
 START_SHARE = 0.4
 # Least weight of one answer: some 20 are remembered.
-LEAST_WEIGHT = 0.05
+MIN_WEIGHT = 0.05
 
 
 class Durations:
@@ -27,11 +27,11 @@
         self.usual: dict[str, float] = {}
         self.counts: dict[str, int] = {}
 
-    def learn(self, route: str, took_s: float) -> None:
+    def record_duration(self, route: str, took_s: float) -> None:
         """Takes the duration of an answered request, in seconds."""
         count = self.counts.get(route, 0) + 1
         self.counts[route] = count
-        weight = max(LEAST_WEIGHT, 1 / count)
+        weight = max(MIN_WEIGHT, 1 / count)
         found = math.log(max(took_s, 1e-6))
         before = self.usual.get(route, found)
         self.usual[route] = before + weight * (found - before)
@@ -47,7 +47,7 @@
         found = self.usual.get(route)
         return START_SHARE * objective_s if found is None else math.exp(found)
 
-    def keep(self, routes: frozenset[str]) -> None:
+    def retain_routes(self, routes: frozenset[str]) -> None:
         """Forgets routes that are not in force any more."""
         for route in set(self.usual) - routes:
             del self.usual[route]
--- a/banyantiller/gateway/decisions/failing.py
+++ b/banyantiller/gateway/decisions/failure_reports.py
@@ -16,14 +16,14 @@
 # How long a failure counts, in seconds.
 RECENT_S = 8.0
 # How long a doubt holds, in seconds; answers that name the server renew it.
-HELD_S = 2.0
+REPORT_VALID_S = 2.0
 # Daemons that a server has to have failed.
-LEAST_DAEMONS = 2
+MIN_DAEMONS = 2
 # Most servers that are named in one message.
-MOST_NAMED = 32
+MAX_NAMED = 32
 
 
-class OwnFailures:
+class LocalFailures:
     """Servers that failed this daemon.
 
     Attributes:
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.times: dict[str, float] = {}
 
-    def failed(self, instance: str, now: float) -> None:
+    def record_failure(self, instance: str, now: float) -> None:
         """Notes that a server answered a request with an error."""
         self.times[instance] = now
 
@@ -41,10 +41,10 @@
         """Returns the servers that failed lately."""
         oldest = now - RECENT_S
         self.times = {n: at for n, at in self.times.items() if at > oldest}
-        return sorted(self.times)[:MOST_NAMED]
+        return sorted(self.times)[:MAX_NAMED]
 
 
-class Reports:
+class FailureReports:
     """What other daemons said of servers that failed them.
 
     Attributes:
@@ -54,12 +54,14 @@
     def __init__(self) -> None:
         self.times: dict[str, dict[str, float]] = collections.defaultdict(dict)
 
-    def take(self, daemon: str, instances: Iterable[str], now: float) -> None:
+    def receive(
+        self, daemon: str, instances: Iterable[str], now: float
+    ) -> None:
         """Takes what a daemon said."""
         for instance in instances:
             self.times[instance][daemon] = now
 
-    def doubted(self, now: float) -> list[str]:
+    def failing_servers(self, now: float) -> list[str]:
         """Returns the servers that several daemons reported lately."""
         oldest = now - RECENT_S
         for instance, times in list(self.times.items()):
@@ -70,6 +72,6 @@
         found = [
             instance
             for instance, times in self.times.items()
-            if len(times) >= LEAST_DAEMONS
+            if len(times) >= MIN_DAEMONS
         ]
-        return sorted(found)[:MOST_NAMED]
+        return sorted(found)[:MAX_NAMED]
--- a/banyantiller/gateway/decisions/seconds.py
+++ b/banyantiller/gateway/decisions/hedging.py
@@ -9,20 +9,20 @@
 
 # A server that has not answered after this share of the objective is asked
 # whether it lives.
-DOUBT_SHARE = 0.6
+PROBE_SHARE = 0.6
 # In any case a second server is tried after this share of the objective: by
 # then the first has become some four times slower, or will never answer.
 LATE_SHARE = 0.9
 # A second server must be free and at usual speed, or both are late.
-MOST_SCORE = 1.8
+MAX_SCORE = 1.8
 # Pause before a second server is looked for again.
-AGAIN_S = 0.03
+RETRY_PAUSE_S = 0.03
 # Part of the retry budget that second servers may use up; the rest is for
 # requests whose only server failed.
 BUDGET_SHARE = 0.6
 
 
-class First(NamedTuple):
+class FirstAttempt(NamedTuple):
     """The only try of a call that is running.
 
     Attributes:
@@ -36,13 +36,13 @@
     suspected: bool
 
 
-def is_late(first: First) -> bool:
+def should_hedge(first: FirstAttempt) -> bool:
     """Tells whether the only try seems dead or takes too long."""
     late_s = first.objective_s * LATE_SHARE
     return first.suspected or first.waited_s >= late_s
 
 
-def look_again_s(first: First) -> float:
+def recheck_after_s(first: FirstAttempt) -> float:
     """Returns after which time the only try is looked at again, in seconds."""
-    doubt_s = first.objective_s * DOUBT_SHARE
-    return min(doubt_s, AGAIN_S) if is_late(first) else doubt_s
+    doubt_s = first.objective_s * PROBE_SHARE
+    return min(doubt_s, RETRY_PAUSE_S) if should_hedge(first) else doubt_s
--- a/banyantiller/gateway/decisions/refusing.py
+++ b/banyantiller/gateway/decisions/retry_after.py
@@ -16,7 +16,7 @@
 RETRY_AFTER_S = 0.15
 # The same for one that servers with free slots turned away: time for a new
 # connection.
-TURNED_AWAY_RETRY_AFTER_S = 0.03
+REJECTED_RETRY_AFTER_S = 0.03
 # Each is told another time, by up to this share earlier or later.
 RETRY_SPREAD = 0.3
 # When a daemon that knows no document yet, or perhaps not the newest, may be
@@ -26,18 +26,18 @@
 EVACUATED_RETRY_AFTER_S = 1.0
 # Bounds of the time told to a caller where all servers of a service name
 # limits: it may come back when it is this daemon's turn at one of them.
-LEAST_TURN_RETRY_AFTER_S = 0.03
-MOST_TURN_RETRY_AFTER_S = 1.0
+MIN_TURN_RETRY_AFTER_S = 0.03
+MAX_TURN_RETRY_AFTER_S = 1.0
 
 
-def turn_retry_after_s(turn_in_s: float) -> float:
+def turn_retry_after_s(seconds_until_turn: float) -> float:
     """Returns when a caller may come back where servers name limits.
 
     Args:
-        turn_in_s: Time until this daemon may send to one, in seconds.
+        seconds_until_turn: Time until this daemon may send to one, in seconds.
     """
-    least_s = max(LEAST_TURN_RETRY_AFTER_S, turn_in_s)
-    return min(least_s, MOST_TURN_RETRY_AFTER_S)
+    least_s = max(MIN_TURN_RETRY_AFTER_S, seconds_until_turn)
+    return min(least_s, MAX_TURN_RETRY_AFTER_S)
 
 
 def retry_after_s(rng: random.Random, by_servers: bool = False) -> float:
@@ -47,5 +47,5 @@
         rng: Source of the spread.
         by_servers: Whether servers that had free slots turned it away.
     """
-    usual_s = TURNED_AWAY_RETRY_AFTER_S if by_servers else RETRY_AFTER_S
+    usual_s = REJECTED_RETRY_AFTER_S if by_servers else RETRY_AFTER_S
     return usual_s * (1 + rng.uniform(-RETRY_SPREAD, RETRY_SPREAD))
--- a/banyantiller/gateway/decisions/selection.py
+++ b/banyantiller/gateway/decisions/selection.py
@@ -1,39 +1,39 @@
 """Which servers are asked for a request, and which of them gets it.
 
-Pure decisions: who asks and waits is `choosing`. They are recorded and played
-again by `replay.selector_player`.
+Pure decisions: who asks and waits is `server_choice`. They are recorded and
+played again by `replay.selector_player`.
 """
 
 import random
 import zlib
 from typing import NamedTuple
 
-from banyantiller.gateway import asking, servers
+from banyantiller.gateway import probing, servers
 
 # Servers asked for each request.
-ASKED = 5
+MAX_PROBED = 5
 # Servers of the own zone that are asked first. Mostly one of them will do, and
 # no question crosses zones.
-ASKED_NEAR = 3
+MAX_PROBED_LOCAL = 3
 # Servers of the own zone, and as many of all others, that a daemon prefers, the
 # same ones each time, so that connections are kept. Of these it asks rather
 # those with an idle connection: a daemon with few requests can keep few, since
 # servers close idle ones. Once in EXPLORED requests any other is asked, so that
 # a server that few daemons prefer gets work too.
-KEPT = 8
-EXPLORED = 10
+PREFERRED_SERVERS = 8
+EXPLORE_EVERY = 10
 # A server of the own zone with this score or less is taken without asking
 # others: it has free slots and works at most a fifth slower than usual.
 GOOD_SCORE = 1.25
 # The own zone is asked alone while it was enough this often lately; else its
 # answer would only be waited for.
-NEAR_ENOUGH = 0.5
+MIN_LOCAL_ZONE_SUCCESS = 0.5
 # Weight of one request in that rate: it follows a burst within a second.
-NEAR_WEIGHT = 0.1
+LOCAL_ZONE_WEIGHT = 0.1
 # A server that works more than this much slower than usual is left alone: its
 # neighbours let go of it within tenths of a second, and what it gets meanwhile
 # is late.
-SLOWEST = 2.0
+MAX_SLOWNESS = 2.0
 
 
 class Connected(NamedTuple):
@@ -59,7 +59,7 @@
         explores: Whether there are others among them than the preferred ones.
     """
 
-    entries: list[servers.Entry]
+    entries: list[servers.ServerEntry]
     explores: bool
 
     def plus(self, other: "Eligible") -> "Eligible":
@@ -69,43 +69,44 @@
         )
 
 
-class Round(NamedTuple):
+class ProbePlan(NamedTuple):
     """Servers that are asked at once.
 
     Attributes:
-        asked: The servers.
-        near: Whether other zones are asked only if these are not enough.
+        probed: The servers.
+        local_only: Whether other zones are asked only if these are not enough.
         mixed: Whether there are servers in the own zone and in others.
         connected: Instances to which there were connections.
     """
 
-    asked: list[servers.Entry]
-    near: bool
+    probed: list[servers.ServerEntry]
+    local_only: bool
     mixed: bool
     connected: Connected = UNCONNECTED
 
 
-class Selector:
+class ServerSelector:
     """Selects servers for the requests of one daemon.
 
     Attributes:
         daemon: Its name.
         zone: Its availability zone.
-        near_enough: By service, how often the own zone was enough lately.
+        local_zone_success: By service, how often the own zone was enough
+            lately.
     """
 
     def __init__(self, daemon: str, zone: str, rng: random.Random) -> None:
         self.daemon = daemon
         self.zone = zone
         self.random = rng
-        self.near_enough: dict[str, float] = {}
+        self.local_zone_success: dict[str, float] = {}
 
-    def first(
+    def first_probes(
         self,
         service: str,
-        usable: list[servers.Entry],
+        usable: list[servers.ServerEntry],
         connected: Connected = UNCONNECTED,
-    ) -> Round:
+    ) -> ProbePlan:
         """Returns the servers to ask first.
 
         Args:
@@ -115,23 +116,23 @@
         """
         near = [entry for entry in usable if self._is_near(entry)]
         if not near or len(near) == len(usable):
-            some = self._some(self._preferred(usable), ASKED, connected)
-            return Round(some, False, False, connected)
+            some = self._some(self._preferred(usable), MAX_PROBED, connected)
+            return ProbePlan(some, False, False, connected)
         preferred = self._preferred(near)
-        if self.near_enough.get(service, 1.0) < NEAR_ENOUGH:
+        if self.local_zone_success.get(service, 1.0) < MIN_LOCAL_ZONE_SUCCESS:
             preferred = preferred.plus(self._preferred(self._far(usable)))
-            some = self._some(preferred, ASKED, connected)
-            return Round(some, False, True, connected)
-        some = self._some(preferred, ASKED_NEAR, connected)
-        return Round(some, True, True, connected)
+            some = self._some(preferred, MAX_PROBED, connected)
+            return ProbePlan(some, False, True, connected)
+        some = self._some(preferred, MAX_PROBED_LOCAL, connected)
+        return ProbePlan(some, True, True, connected)
 
-    def more(
+    def more_probes(
         self,
         service: str,
-        usable: list[servers.Entry],
-        before: Round,
-        found: list[asking.Candidate],
-    ) -> list[servers.Entry]:
+        usable: list[servers.ServerEntry],
+        before: ProbePlan,
+        found: list[probing.Candidate],
+    ) -> list[servers.ServerEntry]:
         """Returns the servers to ask besides; none if these are enough.
 
         Args:
@@ -143,24 +144,24 @@
         enough = any(map(self._is_near_and_good, found))
         if before.mixed:
             self._note_near(service, enough)
-        if enough or not before.near:
+        if enough or not before.local_only:
             return []
         near = [entry for entry in usable if self._is_near(entry)]
         near_some = self._preferred(near)
         preferred = near_some.plus(self._preferred(self._far(usable)))
         others = [
-            entry for entry in preferred.entries if entry not in before.asked
+            entry for entry in preferred.entries if entry not in before.probed
         ]
         eligible = preferred._replace(entries=others)
-        return self._some(eligible, ASKED - 1, before.connected)
+        return self._some(eligible, MAX_PROBED - 1, before.connected)
 
-    def pick(
+    def pick_candidate(
         self,
-        found: list[asking.Candidate],
-        most_score: float,
+        found: list[probing.Candidate],
+        max_score: float,
         now: float,
-        spare: bool = False,
-    ) -> asking.Candidate | None:
+        keep_last_slot: bool = False,
+    ) -> probing.Candidate | None:
         """Returns the best candidate that is ready, or None.
 
         A server that calls itself unfit is taken only if all that answered do:
@@ -168,52 +169,56 @@
 
         Args:
             found: Servers that answered, best first.
-            most_score: Greatest score that is taken.
+            max_score: Greatest score that is taken.
             now: Loop time.
-            spare: Whether the last slots of servers are left alone.
+            keep_last_slot: Whether the last slots of servers are left alone.
         """
-        any_fit = any(one.fit for one in found)
+        any_fit = any(one.healthy for one in found)
         return next(
             (
                 one
                 for one in found
-                if one.fit == any_fit
-                and one.ready(SLOWEST)
-                and not (spare and one.takes_last_slot())
-                and one.score <= most_score
+                if one.healthy == any_fit
+                and one.ready(MAX_SLOWNESS)
+                and not (keep_last_slot and one.takes_last_slot())
+                and one.score <= max_score
                 and one.entry.usable(now)
             ),
             None,
         )
 
-    def _far(self, usable: list[servers.Entry]) -> list[servers.Entry]:
+    def _far(
+        self, usable: list[servers.ServerEntry]
+    ) -> list[servers.ServerEntry]:
         return [entry for entry in usable if not self._is_near(entry)]
 
-    def _is_near(self, entry: servers.Entry) -> bool:
+    def _is_near(self, entry: servers.ServerEntry) -> bool:
         return entry.server.zone == self.zone
 
-    def _is_near_and_good(self, candidate: asking.Candidate) -> bool:
+    def _is_near_and_good(self, candidate: probing.Candidate) -> bool:
         near = self._is_near(candidate.entry)
-        return near and candidate.fit and candidate.score <= GOOD_SCORE
+        return near and candidate.healthy and candidate.score <= GOOD_SCORE
 
     def _note_near(self, service: str, enough: bool) -> None:
-        rate = self.near_enough.get(service, 1.0)
-        self.near_enough[service] = rate + NEAR_WEIGHT * (enough - rate)
+        rate = self.local_zone_success.get(service, 1.0)
+        self.local_zone_success[service] = rate + LOCAL_ZONE_WEIGHT * (
+            enough - rate
+        )
 
-    def _preferred(self, some: list[servers.Entry]) -> Eligible:
+    def _preferred(self, some: list[servers.ServerEntry]) -> Eligible:
         """Returns those of some servers that connections are kept to."""
-        if len(some) <= KEPT:
+        if len(some) <= PREFERRED_SERVERS:
             return Eligible(some, False)
-        if self.random.randrange(EXPLORED) == 0:
+        if self.random.randrange(EXPLORE_EVERY) == 0:
             return Eligible(some, True)
-        return Eligible(sorted(some, key=self._rank)[:KEPT], False)
+        return Eligible(sorted(some, key=self._rank)[:PREFERRED_SERVERS], False)
 
-    def _rank(self, entry: servers.Entry) -> int:
+    def _rank(self, entry: servers.ServerEntry) -> int:
         return zlib.crc32(f"{self.daemon} {entry.server.instance}".encode())
 
     def _some(
         self, eligible: Eligible, most: int, connected: Connected
-    ) -> list[servers.Entry]:
+    ) -> list[servers.ServerEntry]:
         """Returns some servers at random, rather those with a connection.
 
         As many of them are in the own zone as would be by chance. Where others
@@ -240,9 +245,9 @@
 
     def _replace(
         self,
-        chosen: list[servers.Entry],
-        new: servers.Entry,
-        spare: list[servers.Entry],
+        chosen: list[servers.ServerEntry],
+        new: servers.ServerEntry,
+        spare: list[servers.ServerEntry],
     ) -> None:
         """Puts a spare server in the place of one as near, if there is one."""
         near = self._is_near(new)
--- a/banyantiller/gateway/decisions/reading.py
+++ b/banyantiller/gateway/decisions/store_reads.py
@@ -26,10 +26,10 @@
 # First pause between own tries of a lost store. A store that is back is seen by
 # the daemons that are asked within a second, so own tries matter only where all
 # of those are cut off.
-FIRST_AGAIN_S = 1.5
+FIRST_RETRY_PAUSE_S = 1.5
 # Longest pause between them: after an outage a change is to be known within the
 # time that it may take and 3 s more, in which nobody is in touch again.
-MOST_AGAIN_S = 4.0
+MAX_RETRY_PAUSE_S = 4.0
 # How long after its start a daemon waits for others to listen or to list: where
 # a fleet starts at once, those that are asked need up to 1 s on a busy machine.
 SETTLE_S = 1.2
@@ -38,70 +38,73 @@
 LISTED_SETTLE_S = 3.0
 
 
-class Reliance:
+class StoreReadPolicy:
     """How long a daemon relies on others.
 
     Attributes:
         bound_s: Time in which a change has to be known, in seconds.
         fresh_at: Loop time at which the store said what is known here.
-        settled_at: Loop time until which others may be about to listen.
-        listed_settled_at: The same where everything is listed already.
-        next_try: Loop time from which a lost store is tried again.
-        again_s: Pause before the next own try of a lost store, in seconds.
+        settling_until: Loop time until which others may be about to listen.
+        listed_settling_until: The same where everything is listed already.
+        next_retry_at: Loop time from which a lost store is tried again.
+        retry_pause_s: Pause before the next own try of a lost store, in
+            seconds.
     """
 
     def __init__(self, bound_s: float, now: float) -> None:
         self.bound_s = bound_s
         self.fresh_at = now
-        self.settled_at = now + SETTLE_S
-        self.listed_settled_at = now + LISTED_SETTLE_S
-        self.next_try = 0.0
-        self.again_s = FIRST_AGAIN_S
+        self.settling_until = now + SETTLE_S
+        self.listed_settling_until = now + LISTED_SETTLE_S
+        self.next_retry_at = 0.0
+        self.retry_pause_s = FIRST_RETRY_PAUSE_S
 
     @property
-    def patience_s(self) -> float:
+    def max_peer_age_s(self) -> float:
         """Age up to which what others tell is relied on, in seconds."""
         return self.bound_s - OWN_READ_S
 
     @property
-    def most_age_s(self) -> float:
+    def max_age_s(self) -> float:
         """Age of what is known at which the store is read, in seconds."""
         return self.bound_s - LAST_READ_S
 
     @property
-    def next_own_try(self) -> float:
+    def next_store_retry(self) -> float:
         """Loop time from which a lost store may be tried again."""
-        return max(self.fresh_at + self.patience_s, self.next_try)
+        return max(self.fresh_at + self.max_peer_age_s, self.next_retry_at)
 
-    def heard(self, fresh_at: float) -> None:
+    def record_confirmation(self, fresh_at: float) -> None:
         """Notes that the store said at `fresh_at` what is known now."""
         if fresh_at > self.fresh_at:
             self.fresh_at = fresh_at
-            self.next_try = 0.0
-            self.again_s = FIRST_AGAIN_S
+            self.next_retry_at = 0.0
+            self.retry_pause_s = FIRST_RETRY_PAUSE_S
 
-    def settled(self) -> None:
+    def end_settling(self) -> None:
         """Notes that others are not about to listen any more."""
-        self.settled_at = 0.0
-        self.listed_settled_at = 0.0
+        self.settling_until = 0.0
+        self.listed_settling_until = 0.0
 
-    def may_settle(self, now: float, listed: bool = False) -> bool:
+    def is_settling(self, now: float, listed: bool = False) -> bool:
         """Tells whether others may still be about to listen.
 
         Args:
             now: Loop time.
             listed: Whether everything is listed, and only changes are missing.
         """
-        return now < (self.listed_settled_at if listed else self.settled_at)
+        return now < (
+            self.listed_settling_until if listed else self.settling_until
+        )
 
-    def may_wait(self, now: float) -> bool:
+    def may_rely_on_peers(self, now: float) -> bool:
         """Tells whether others that hear nothing of the store will do."""
-        return now < self.fresh_at + self.patience_s
+        return now < self.fresh_at + self.max_peer_age_s
 
-    def may_try(self, now: float) -> bool:
+    def should_retry_store(self, now: float) -> bool:
         """Tells whether to try a lost store now; each try moves the next."""
-        if now < self.next_own_try:
+        if now < self.next_store_retry:
             return False
-        self.next_try = now + self.again_s
-        self.again_s = min(2 * self.again_s, MOST_AGAIN_S)
+        self.next_retry_at = now + self.retry_pause_s
+        self.retry_pause_s = min(2 * self.retry_pause_s, MAX_RETRY_PAUSE_S)
         return True
--- a/banyantiller/gateway/decisions/turns.py
+++ b/banyantiller/gateway/decisions/turns.py
@@ -23,25 +23,25 @@
 VALID_S = 0.7
 # What a server is sent that names less, in requests a second of all daemons:
 # nothing but an answer shows that it takes more again.
-LEAST_PER_S = 0.1
+MIN_PER_S = 0.1
 # Two turns of a daemon are this share of their distance apart, also while it
 # is told another place.
-LEAST_DISTANCE = 0.5
+MIN_DISTANCE = 0.5
 
 
-class Place(NamedTuple):
+class FleetPosition(NamedTuple):
     """A daemon's place among those that take turns.
 
     Attributes:
         rank: Its number among the daemons that share with it, from 0.
         count: Number of these daemons.
-        groups: Number of groups of daemons; each uses the same part.
+        relay_count: Number of groups of daemons; each uses the same part.
         ahead_s: How far the group's clock is ahead of the loop's, in seconds.
     """
 
     rank: int
     count: int
-    groups: int = 1
+    relay_count: int = 1
     ahead_s: float = 0.0
 
 
@@ -49,12 +49,14 @@
 UNCOUNTED_FLEET = 24
 
 
-def uncounted(daemon: str) -> Place:
+def uncounted_position(daemon: str) -> FleetPosition:
     """Returns the place of a daemon that has no others to count."""
-    return Place(zlib.crc32(daemon.encode()) % UNCOUNTED_FLEET, UNCOUNTED_FLEET)
+    return FleetPosition(
+        zlib.crc32(daemon.encode()) % UNCOUNTED_FLEET, UNCOUNTED_FLEET
+    )
 
 
-class Used(NamedTuple):
+class TurnUsage(NamedTuple):
     """What a daemon has used of its turns at a server.
 
     Attributes:
@@ -67,27 +69,33 @@
 
 
 def next_turn(
-    place: Place, server: str, per_s: float, used: Used, now: float
+    position: FleetPosition,
+    server: str,
+    per_s: float,
+    usage: TurnUsage,
+    now: float,
 ) -> float:
     """Returns the loop time at which the next turn of a daemon begins.
 
     It may send if that is not later than `now`.
 
     Args:
-        place: Its place.
+        position: Its place.
         server: Identity of the server's start; each has turns of its own.
         per_s: Requests a second that the server takes from all daemons.
-        used: What the daemon has used of its turns.
+        usage: What the daemon has used of its turns.
         now: Loop time.
     """
-    rate = max(per_s, LEAST_PER_S) / (place.groups * max(1, place.count))
+    rate = max(per_s, MIN_PER_S) / (
+        position.relay_count * max(1, position.count)
+    )
     period_s = 1 / rate
-    phase = place.rank / max(1, place.count) + _offset(server)
+    phase = position.rank / max(1, position.count) + _offset(server)
     earliest = max(
-        now - VALID_S, used.since, used.last + LEAST_DISTANCE * period_s
+        now - VALID_S, usage.since, usage.last + MIN_DISTANCE * period_s
     )
-    number = math.ceil((earliest + place.ahead_s) / period_s - phase)
-    return (number + phase) * period_s - place.ahead_s
+    number = math.ceil((earliest + position.ahead_s) / period_s - phase)
+    return (number + phase) * period_s - position.ahead_s
 
 
 def _offset(server: str) -> float:
--- a/banyantiller/gateway/decisions/waiting.py
+++ b/banyantiller/gateway/decisions/waiting.py
@@ -17,12 +17,12 @@
 from typing import NamedTuple
 
 # Pause before servers are asked again; a slot frees every 15 ms or so.
-ASK_AGAIN_S = 0.015
+REPROBE_PAUSE_S = 0.015
 # Longest wait for a server with a slot to spare, as a share of the latency
 # objective and of the usual duration: the last slot costs a part of a duration,
 # so that waiting for longer than that gains nothing.
-SPARE_SHARE = 0.07
-SPARE_WORK_SHARE = 0.25
+LAST_SLOT_SHARE = 0.07
+LAST_SLOT_WORK_SHARE = 0.25
 # A request needs up to this many usual durations once it is sent: on a full
 # server work takes so much longer.
 NEEDED = 1.7
@@ -35,24 +35,24 @@
 URGENT_SHARE = 0.3
 # In any case servers are asked twice more: one question may meet a moment in
 # which no slot is free.
-LEAST_S = 2 * ASK_AGAIN_S
+MIN_WAIT_S = 2 * REPROBE_PAUSE_S
 
 
-class Limits(NamedTuple):
+class WaitLimits(NamedTuple):
     """Until when a request waits.
 
     Attributes:
-        spare: Loop time until which last slots are left alone.
-        any: Loop time until which any free slot is waited for.
+        keep_last_slot_until: Loop time until which last slots are left alone.
+        any_server_until: Loop time until which any free slot is waited for.
     """
 
-    spare: float
-    any: float
+    keep_last_slot_until: float
+    any_server_until: float
 
 
-def limits(
+def wait_limits(
     objective_s: float, usual_s: float, urgent: bool, now: float
-) -> Limits:
+) -> WaitLimits:
     """Returns until when a request waits that begins now.
 
     Args:
@@ -61,14 +61,14 @@
         urgent: Whether the route is among the most urgent of its service.
         now: Loop time.
     """
-    spare_s = min(SPARE_SHARE * objective_s, SPARE_WORK_SHARE * usual_s)
+    spare_s = min(LAST_SLOT_SHARE * objective_s, LAST_SLOT_WORK_SHARE * usual_s)
     left_s = objective_s - NEEDED * usual_s
-    any_s = max(LEAST_S, ANY_SHARE * objective_s, LEFT_SHARE * left_s)
+    any_s = max(MIN_WAIT_S, ANY_SHARE * objective_s, LEFT_SHARE * left_s)
     if urgent:
         any_s = max(any_s, URGENT_SHARE * objective_s)
-    return Limits(now + spare_s, now + any_s)
+    return WaitLimits(now + spare_s, now + any_s)
 
 
-def at_once(now: float) -> Limits:
+def no_wait(now: float) -> WaitLimits:
     """Returns the limits of a request that takes what there is or nothing."""
-    return Limits(now, now)
+    return WaitLimits(now, now)
--- a/banyantiller/gateway/evacuations.py
+++ b/banyantiller/gateway/evacuations.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from banyantiller.gateway import events, following, servers
+from banyantiller.gateway import events, servers, store_watching
 from banyantiller.store import interface
 
 
@@ -36,9 +36,11 @@
         """Zones that are evacuated."""
         return frozenset(self.entries)
 
-    def handlers(self) -> following.Handlers:
+    def handlers(self) -> store_watching.Handlers:
         """Returns what is called with the entries of the store."""
-        return following.Handlers(self._listed, self._changed, self._removed)
+        return store_watching.Handlers(
+            self._listed, self._changed, self._removed
+        )
 
     def _listed(self, items: tuple[interface.StoredObject, ...]) -> None:
         for item in items:
@@ -47,18 +49,18 @@
         for zone in sorted(set(self.entries) - present):
             self._give_back(zone, self.entries[zone])
         self.listed = True
-        self.table.evacuate(self.evacuated)
+        self.table.set_evacuated_zones(self.evacuated)
         self.on_listed()
 
     def _changed(self, item: interface.StoredObject) -> None:
         self._put(item)
-        self.table.evacuate(self.evacuated)
+        self.table.set_evacuated_zones(self.evacuated)
 
     def _removed(self, item: interface.StoredObject) -> None:
         version = int(item.version)
         if self.entries.get(item.name, version + 1) <= version:
             self._give_back(item.name, version)
-            self.table.evacuate(self.evacuated)
+            self.table.set_evacuated_zones(self.evacuated)
 
     def _put(self, item: interface.StoredObject) -> None:
         version = int(item.version)
@@ -67,11 +69,11 @@
         known = item.name in self.entries
         self.entries[item.name] = max(version, self.entries.get(item.name, 0))
         if not known:
-            servers_there = self.table.in_zone(item.name)
+            servers_there = self.table.count_in_zone(item.name)
             events.emit(events.ZoneEvacuated(item.name, version, servers_there))
 
     def _give_back(self, zone: str, version: int) -> None:
         del self.entries[zone]
         self.removed[zone] = version
-        servers_there = self.table.in_zone(zone)
+        servers_there = self.table.count_in_zone(zone)
         events.emit(events.ZoneGivenBack(zone, version, servers_there))
--- a/banyantiller/gateway/events.py
+++ b/banyantiller/gateway/events.py
@@ -19,7 +19,7 @@
     " request that is sent again.",
 ]
 Instance = Annotated[str, "Identity of the server's start."]
-Start = Annotated[str, "The server's start: identity, time, address."]
+IncarnationId = Annotated[str, "The server's start: identity, time, address."]
 LimitSource = Annotated[
     str, "`answer` of the server, or another `daemon` that told it."
 ]
@@ -46,7 +46,7 @@
 
 
 @event("gateway: ending.")
-class Ending(NamedTuple):
+class ShuttingDown(NamedTuple):
     """The daemon was told to end and finishes what is in flight."""
 
     connections: Annotated[int, "Open connections of callers."]
@@ -60,7 +60,7 @@
 
 
 @event("gateway: ended.")
-class Ended(NamedTuple):
+class Stopped(NamedTuple):
     """The daemon is about to end."""
 
     cut: Annotated[int, "Calls that were cut."]
@@ -135,7 +135,7 @@
 
 
 @event("gateway: history is gone.")
-class HistoryGone(NamedTuple):
+class HistoryLost(NamedTuple):
     """The store can't tell what changed; everything is listed anew."""
 
     kind: Annotated[str, "Kind of objects."]
@@ -166,14 +166,14 @@
 
 
 @event("gateway: reads the store for others.")
-class ReadsForOthers(NamedTuple):
+class ReadsForSubscribers(NamedTuple):
     """Another daemon relies on this one for the first time, or again."""
 
     asker: Annotated[str, "Name of the other daemon."]
 
 
 @event("gateway: reads through another daemon.")
-class ReadsThrough(NamedTuple):
+class ReadsThroughRelay(NamedTuple):
     """This daemon learns of changes from another one from now on."""
 
     peer: Annotated[str, "IP number and port of the other daemon."]
@@ -189,7 +189,7 @@
 
 
 @event("gateway: another daemon told a list.")
-class ListTold(NamedTuple):
+class PeerListReceived(NamedTuple):
     """Another daemon said what it knew, in place of the store."""
 
     kind: Annotated[str, "Kind of objects."]
@@ -230,7 +230,7 @@
 
 
 @event("gateway: server gone.")
-class ServerGone(NamedTuple):
+class ServerRemoved(NamedTuple):
     """A server was taken out."""
 
     instance: Instance
@@ -268,7 +268,7 @@
 
 
 @event("gateway: server gives no answer.")
-class ServerSilent(NamedTuple):
+class ServerUnresponsive(NamedTuple):
     """A question for a server's load failed; it is avoided for a while."""
 
     instance: Instance
@@ -276,14 +276,14 @@
 
 
 @event("gateway: server answers again.")
-class ServerAnswers(NamedTuple):
+class ServerResponsive(NamedTuple):
     """A server that gave no answer does so again."""
 
     instance: Instance
 
 
 @event("gateway: server is doubted.")
-class ServerDoubted(NamedTuple):
+class ServerReportedFailing(NamedTuple):
     """A server failed several daemons; others are preferred for some seconds.
 
     Ends with its time, without a line.
@@ -296,7 +296,7 @@
 class ServerLimited(NamedTuple):
     """A server takes only so many requests a second from all daemons."""
 
-    start: Start
+    start: IncarnationId
     per_s: Annotated[float, "Requests a second that it takes from all daemons."]
     through: LimitSource
 
@@ -305,7 +305,7 @@
 class ServerUnlimited(NamedTuple):
     """A server that named a limit answers without one."""
 
-    start: Start
+    start: IncarnationId
     through: LimitSource
 
 
@@ -313,7 +313,7 @@
 class LimitUnreadable(NamedTuple):
     """A server's limit can't be read; what was known of it stays."""
 
-    start: Start
+    start: IncarnationId
     error: Annotated[str, "What is wrong."]
 
 
@@ -326,7 +326,7 @@
 
 
 @event("gateway: servers tell no load.")
-class ServiceMute(NamedTuple):
+class ServiceWithoutLoad(NamedTuple):
     """The servers of a service are chosen by the requests sent to them."""
 
     service: Annotated[str, "The service."]
--- a/banyantiller/gateway/exchange.py
+++ b/banyantiller/gateway/exchange.py
@@ -25,7 +25,7 @@
 # without its mark for that may have run it, so they are not passed on.
 PROMISES = frozenset({408, 429, 503})
 # Answers of other requests that are read before the connection is given up.
-MOST_STRAY_ANSWERS = 3
+MAX_STRAY_ANSWERS = 3
 SUCCESS = range(200, 300)
 
 
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class CompleteResponse:
     """The server's own whole answer to this request.
 
     Attributes:
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
+class BrokenResponse:
     """The request was sent, and no usable answer came.
 
     Attributes:
@@ -92,7 +92,7 @@
     reason: str
 
 
-Outcome = Answered | NotRun | Broken
+Outcome = CompleteResponse | NotRun | BrokenResponse
 
 
 async def run(
@@ -106,8 +106,8 @@
 ) -> Outcome:
     """Sends a request and reads its whole answer.
 
-    The connection is not closed or given back; after `Broken` it must be
-    closed.
+    The connection is not closed or given back; after `BrokenResponse` it must
+    be closed.
 
     Args:
         link: Connection to the server.
@@ -124,16 +124,16 @@
         response, body = await _read_own(link, request, wire, body_bytes)
         on_head(response)
     except connection.BodyTooLargeError as error:
-        return Broken(ErrorKind.BACKEND_MALFORMED, str(error))
+        return BrokenResponse(ErrorKind.BACKEND_MALFORMED, str(error))
     except (OSError, connection.ConnectionLostError) as error:
-        return Broken(
+        return BrokenResponse(
             ErrorKind.CONNECTION_LOST, str(error) or type(error).__name__
         )
     _keep_alive(link, response)
-    return judge(response, body, outgoing.request_id, wire)
+    return classify_response(response, body, outgoing.request_id, wire)
 
 
-def judge(
+def classify_response(
     response: messages.Response,
     body: bytes,
     request_id: str,
@@ -154,15 +154,19 @@
         return NotRun(ErrorKind.BACKEND_SHED)
     if status in PROMISES:
         reason = f"status {status} without a word on whether it ran"
-        return Broken(ErrorKind.BACKEND_MALFORMED, reason)
+        return BrokenResponse(ErrorKind.BACKEND_MALFORMED, reason)
     echoed = response.header(wire.request_id.decode())
     if echoed != request_id and (echoed or status in SUCCESS):
-        return Broken(ErrorKind.BACKEND_MALFORMED, "not this request's answer")
+        return BrokenResponse(
+            ErrorKind.BACKEND_MALFORMED, "not this request's answer"
+        )
     if status in SUCCESS and not response.header(wire.signature.decode()):
-        return Broken(ErrorKind.BACKEND_MALFORMED, "an answer is not signed")
+        return BrokenResponse(
+            ErrorKind.BACKEND_MALFORMED, "an answer is not signed"
+        )
     stated = response.header("content-length")
     length = int(stated) if stated.isdigit() and not body else None
-    return Answered(status, forwarded(response.headers), body, length)
+    return CompleteResponse(status, forwarded(response.headers), body, length)
 
 
 async def _read_own(
@@ -177,7 +181,7 @@
     next request's answer is due.
     """
     own = request.header(wire.request_id.decode())
-    for _ in range(MOST_STRAY_ANSWERS):
+    for _ in range(MAX_STRAY_ANSWERS):
         response = await link.connection.read_head()
         body = await link.connection.read_body(body_bytes)
         echoed = response.header(wire.request_id.decode())
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -7,30 +7,25 @@
 
 from banyantiller.config.defaults import Endpoint
 from banyantiller.errors import ErrorKind
+from banyantiller.gateway import call as calls
 from banyantiller.gateway import (
-    asking,
     call_events,
     caller,
-    choosing,
-    endings,
+    crash_detection,
     events,
-    knowledge,
-    limits,
     pool,
+    probing,
+    quarantine_sync,
     sampling,
+    server_choice,
+    server_limits,
     servers,
-    spreading,
+    store_view,
     tallies,
     types,
 )
-from banyantiller.gateway import call as calls
 from banyantiller.gateway import settings as options
-from banyantiller.gateway.decisions import (
-    budget,
-    durations,
-    selection,
-    turns,
-)
+from banyantiller.gateway.decisions import budget, durations, selection, turns
 from banyantiller.http import messages
 from banyantiller.quarantine import table
 
@@ -44,10 +39,10 @@
 # Part of what is shared that is used: a daemon that changes its group counts
 # in two for 3 s.
 SHARE_USE = 0.8
-LEAST_CONNECTIONS = 4
+MIN_CONNECTIONS = 4
 # Longest wait for a request without a route.
 DEFAULT_TIMEOUT_S = 5.0
-ANSWER_BYTES = 16 << 20
+MAX_RESPONSE_BYTES = 16 << 20
 HOUSEKEEPING_S = 0.25
 # After an order to end: how long new connections and requests are taken, so
 # that the platform, which asks once a second and acts on two misses, sees it.
@@ -65,14 +60,14 @@
     Attributes:
         settings: Settings in force.
         adapter: What is known of the surroundings.
-        known: What is known of the store: routes, limits and servers.
+        store_view: What is known of the store: routes, limits and servers.
         draining: Whether an order to end was given.
         connections: Open connections of callers.
-        body_bytes: Bytes of request bodies in memory.
+        buffered_body_bytes: Bytes of request bodies in memory.
         durations: How long requests usually take.
-        endings: Which requests were on servers that ended.
-        spreader: Tells other daemons of them.
-        limits: Limits that servers name.
+        crash_detector: Which requests were on servers that ended.
+        quarantine_sync: Tells other daemons of them.
+        server_limits: Limits that servers name.
     """
 
     def __init__(
@@ -86,52 +81,54 @@
         self.random = rng
         self.loop = asyncio.get_running_loop()
         self.tallies = tallies.Tallies()
-        self.known = knowledge.Knowledge(
+        self.store_view = store_view.StoreView(
             settings, adapter, self.tallies, rng, self._close_pool
         )
-        self.known.on_first_document = self._run_waiting_calls
+        self.store_view.on_first_document = self._run_waiting_calls
         self.draining = False
         self.default_timeout_s = DEFAULT_TIMEOUT_S
-        self.answer_bytes = ANSWER_BYTES
+        self.max_response_bytes = MAX_RESPONSE_BYTES
         self.connections: set[caller.CallerConnection] = set()
-        self.body_bytes = 0
+        self.buffered_body_bytes = 0
         self.pools: dict[str, pool.Pool] = {}
         self.budgets: dict[str, budget.RetryBudget] = {}
-        self.part = budget.LeastPart(settings.retry_window_s, self.loop.time())
+        self.shares = budget.MinShare(settings.retry_window_s, self.loop.time())
         self.durations = durations.Durations()
         self.sampler = sampling.CallSampler()
-        self.endings = endings.Endings(
+        self.crash_detector = crash_detection.CrashDetector(
             table.Table(settings.quarantine_s, rng),
             self.pool_of,
-            self.known.table.stays,
+            self.store_view.table.is_staying,
         )
-        self.spreader = spreading.Spreader(
-            self.endings,
-            self.known.reader.others,
-            self.known.reader.asked_itself,
+        self.quarantine_sync = quarantine_sync.QuarantineSync(
+            self.crash_detector,
+            self.store_view.reader.relays,
+            self.store_view.reader.is_relay,
             rng,
         )
-        self.known.mirror.mark = self.spreader.mark
-        self.spreader.on_shown = self.known.mirror.wake
-        self.limits = limits.Limits(adapter, self._place)
-        self.known.mirror.limits = self.limits
-        for peer in self.known.reader.others:
-            peer.limits = self.limits
-        self.asker = asking.Asker(
+        self.store_view.mirror.mark = self.quarantine_sync.mark
+        self.quarantine_sync.on_mark_change = self.store_view.mirror.wake
+        self.server_limits = server_limits.ServerLimits(adapter, self._place)
+        self.store_view.mirror.server_limits = self.server_limits
+        for peer in self.store_view.reader.relays:
+            peer.server_limits = self.server_limits
+        self.prober = probing.LoadProber(
             adapter,
             self.pool_of,
-            asking.Seen(
-                self.known.moved, self.endings.refused, self._note_health
+            probing.ProbeCallbacks(
+                self.store_view.remove_moved,
+                self.crash_detector.record_refused_connection,
+                self._note_health,
             ),
             settings.zone,
         )
-        self.chooser = choosing.Chooser(
-            self.known.table,
-            self.asker,
-            selection.Selector(settings.daemon, settings.zone, rng),
+        self.chooser = server_choice.ServerChooser(
+            self.store_view.table,
+            self.prober,
+            selection.ServerSelector(settings.daemon, settings.zone, rng),
             self._connected,
-            lambda: self.least_share() * self.settings.cold_tolerance,
-            self.limits,
+            lambda: self.min_recent_share() * self.settings.cold_tolerance,
+            self.server_limits,
         )
         self.emptied = asyncio.Event()
         self.listener: asyncio.Server | None = None
@@ -167,11 +164,11 @@
         """Returns why callers should not be sent here, or an empty text."""
         if self.draining:
             return "the daemon is ending"
-        if self.known.routes is None:
+        if self.store_view.routes is None:
             return "no document is in force"
-        if not self.known.listed:
+        if not self.store_view.servers_listed:
             return "the servers are not known"
-        if not self.known.zones.listed:
+        if not self.store_view.evacuations.listed:
             return "the evacuated zones are not known"
         return ""
 
@@ -185,7 +182,7 @@
             Number of calls that were still in flight at the end.
         """
         self.draining = True
-        self.known.end()
+        self.store_view.begin_shutdown()
         ends = self.loop.time() + limit_s - RESERVE_S
         await asyncio.sleep(min(LISTEN_ON_S, limit_s / 2))
         if self.listener is not None:
@@ -203,35 +200,35 @@
             events.emit(events.CallsCut(self._in_flight()))
         return self._in_flight()
 
-    async def keep_house(self) -> None:
+    async def run_housekeeping(self) -> None:
         """Forgets what is out of date, now and then, until cancelled."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
             now = self.loop.time()
-            self.known.expire(now)
-            self.limits.expire(self.known.table.servers(), now)
-            self.endings.watch.table.period_s = self.settings.quarantine_s
-            self.endings.watch.expire(now)
-            self.least_share()
+            self.store_view.expire(now)
+            self.server_limits.expire(self.store_view.table.servers(), now)
+            self.crash_detector.watch.table.period_s = (
+                self.settings.quarantine_s
+            )
+            self.crash_detector.watch.expire(now)
+            self.min_recent_share()
             for kept in self.pools.values():
                 kept.expire(now)
-            if self.known.routes is not None:
-                self.durations.keep(self.known.routes.names)
+            if self.store_view.routes is not None:
+                self.durations.retain_routes(self.store_view.routes.names)
 
     async def close(self) -> None:
         """Closes every connection at once."""
-        self.spreader.close()
+        self.quarantine_sync.close()
         for kept in self.pools.values():
             kept.close()
-        await self.known.reader.close()
+        await self.store_view.reader.close()
 
-    async def answer_daemon(
-        self, request: messages.Request
-    ) -> messages.Response:
+    async def handle_peer(self, request: messages.Request) -> messages.Response:
         """Answers another daemon."""
-        if request.path.startswith(spreading.PATH):
-            return self.spreader.handle(request)
-        return await self.known.mirror.handle(request)
+        if request.path.startswith(quarantine_sync.PATH):
+            return self.quarantine_sync.handle(request)
+        return await self.store_view.mirror.handle(request)
 
     # Called by connections and calls.
 
@@ -241,15 +238,15 @@
         For a server that has left or started again, returns a closed pool that
         keeps nothing: pools are found by instance, which a later start shares.
         """
-        if not self.known.table.holds(server):
-            closed = pool.Pool(server, LEAST_CONNECTIONS, self.tallies.opened)
+        if not self.store_view.table.is_registered(server):
+            closed = pool.Pool(server, MIN_CONNECTIONS, self.tallies.opened)
             closed.close()
             return closed
         found = self.pools.get(server.instance)
         if found is None:
-            found = pool.Pool(server, LEAST_CONNECTIONS, self.tallies.opened)
+            found = pool.Pool(server, MIN_CONNECTIONS, self.tallies.opened)
             self.pools[server.instance] = found
-        found.most = self._connections_of(server.service)
+        found.max_size = self._connections_of(server.service)
         return found
 
     def budget_of(self, service: str) -> budget.RetryBudget:
@@ -262,17 +259,17 @@
         # Settings may have changed; what was used counts on.
         found.window_s = self.settings.retry_window_s
         found.ratio = self.settings.retry_ratio * BUDGET_USE
-        found.extra = self.settings.retry_extra * self.least_share()
+        found.extra = self.settings.retry_extra * self.min_recent_share()
         return found
 
-    def least_share(self) -> float:
+    def min_recent_share(self) -> float:
         """Returns the least share that was held in the last retry window."""
         if not self.settings.seeds:
             return FLEET_SHARE
         now = self.loop.time()
-        self.part.window_s = self.settings.retry_window_s
-        self.part.note(self.share(), now)
-        return self.part.least(now)
+        self.shares.window_s = self.settings.retry_window_s
+        self.shares.record(self.share(), now)
+        return self.shares.minimum(now)
 
     def share(self) -> float:
         """Returns this daemon's part of what the fleet may use.
@@ -282,29 +279,29 @@
         """
         if not self.settings.seeds:
             return FLEET_SHARE
-        return (self.known.reader.share or 0.0) * SHARE_USE
+        return (self.store_view.reader.budget_share or 0.0) * SHARE_USE
 
-    def left(self, connection: caller.CallerConnection) -> None:
+    def remove_connection(self, connection: caller.CallerConnection) -> None:
         """Forgets a caller's connection."""
         self.connections.discard(connection)
         if self.draining:
             self._note_emptied()
 
-    def finished(
+    def record_call(
         self, call: calls.Call, status: int, error: ErrorKind | None
     ) -> None:
         """Counts and logs the end of a call."""
         progress = call.progress
         duration_s = self.loop.time() - call.request.received
         route = call.route.name if call.route is not None else ""
-        self.tallies.finished(
+        self.tallies.record_call(
             call.service, route, status, error, progress.sends, duration_s
         )
         good = error is None and status < 500 and progress.sends <= 1
-        skipped = self.sampler.turn(self.loop.time())
+        skipped = self.sampler.begin_second(self.loop.time())
         if skipped is not None:
             events.emit(call_events.CallsNotLogged(*skipped))
-        if self.sampler.take(good):
+        if self.sampler.should_log(good):
             self._log_call(call, status, error, route, duration_s)
 
     def _log_call(
@@ -316,7 +313,7 @@
         duration_s: float,
     ) -> None:
         progress = call.progress
-        document_age_s = self.known.document_age_s()
+        document_age_s = self.store_view.document_age_s()
         ended = call_events.CallEnded(
             id=call.request.request_id,
             route=route,
@@ -329,7 +326,7 @@
             maybe_ran=progress.maybe_ran,
             sends=progress.sends,
             instances=progress.instances,
-            among=progress.among,
+            among=progress.answered_count,
             load=progress.load and list(progress.load),
             load_age_ms=round(progress.load_age_s * 1000, 1),
             sent_ms=round(progress.sent_after_s * 1000, 1),
@@ -346,7 +343,9 @@
     def _note_health(
         self, server: types.Server, headers: messages.Headers, sent_at: float
     ) -> None:
-        self.limits.note_answer(server, headers, sent_at, to_request=False)
+        self.server_limits.record_response(
+            server, headers, sent_at, to_request=False
+        )
 
     def _run_waiting_calls(self) -> None:
         """Runs reads that were sent ahead of their answers at a start.
@@ -357,13 +356,15 @@
         for connection in tuple(self.connections):
             connection.run_waiting_calls()
 
-    def _place(self) -> turns.Place | None:
+    def _place(self) -> turns.FleetPosition | None:
         """Returns this daemon's place among those that take turns."""
         if self.settings.seeds:
-            return self.known.reader.place
-        return turns.uncounted(self.settings.daemon)
+            return self.store_view.reader.position
+        return turns.uncounted_position(self.settings.daemon)
 
-    def _connected(self, entries: list[servers.Entry]) -> selection.Connected:
+    def _connected(
+        self, entries: list[servers.ServerEntry]
+    ) -> selection.Connected:
         """Returns to which servers there are connections."""
         pools = [
             (entry.server.instance, self.pools.get(entry.server.instance))
@@ -375,10 +376,10 @@
         return selection.Connected(idle, busy - idle)
 
     def _connections_of(self, service: str) -> int:
-        found = self.known.service(service)
+        found = self.store_view.service(service)
         if found is None:
-            return LEAST_CONNECTIONS
-        return max(LEAST_CONNECTIONS, int(found.max_connections * self.share()))
+            return MIN_CONNECTIONS
+        return max(MIN_CONNECTIONS, int(found.max_connections * self.share()))
 
     def _close_pool(self, server: types.Server) -> None:
         found = self.pools.pop(server.instance, None)
--- a/banyantiller/gateway/metrics.py
+++ b/banyantiller/gateway/metrics.py
@@ -44,9 +44,10 @@
              ("service", "route", "status")),
             ("failures", "Calls ended by this daemon, by kind.", counts.errors,
              ("service", "kind")),
-            ("repeats", "Repeated sends to servers.", counts.repeats,
+            ("repeats", "Repeated sends to servers.", counts.retries,
              ("service",)),
-            ("tries_failed", "Tries that failed, by kind.", counts.tries,
+            ("tries_failed", "Tries that failed, by kind.",
+             counts.failed_attempts,
              ("service", "kind")),
             ("connections_opened", "New connections to servers.",
              counts.opened, ("reason",)),
@@ -56,7 +57,7 @@
              counts.registrations, ("outcome",)),
             ("store_calls", "Calls to the store.", store.calls, ("verb",)),
             ("peer_questions", "Questions to other daemons for changes.",
-             self.gateway.known.reader.questions, ("outcome",)),
+             self.gateway.store_view.reader.query_outcomes, ("outcome",)),
         )  # fmt: skip
         for name, doc, tally, labels in rows:
             self.instruments.counter(
@@ -68,22 +69,22 @@
                 ),
             )
         self._add_server_counters()
-        asker = self.gateway.asker
+        asker = self.gateway.prober
         self.instruments.counter(
             "banyantiller_gateway_questions",
             "",
             "Questions to servers for their load.",
-            lambda: [metrics.Reading(asker.asked)],
+            lambda: [metrics.Reading(asker.probe_count)],
         )
 
     def _add_server_counters(self) -> None:
         """Adds what is counted by server, for those that are registered."""
-        entries = self.gateway.known.table.entries
+        entries = self.gateway.store_view.table.entries
         rows = (
             ("server_sends", "Requests sent to a server.",
              lambda entry: entry.sends),
             ("server_failures", "Of these, those without a usable answer.",
-             lambda entry: entry.failed),
+             lambda entry: entry.failed_sends),
         )  # fmt: skip
         for name, doc, read in rows:
             self.instruments.counter(
@@ -101,18 +102,18 @@
 
     def _add_gauges(self) -> None:
         gateway = self.gateway
-        suspects = gateway.endings.watch.table
+        suspects = gateway.crash_detector.watch.table
         rows = (
             ("document_version", "Version in force.",
-             lambda: gateway.known.version),
+             lambda: gateway.store_view.version),
             ("ready", "Whether callers should be sent here.",
              lambda: not gateway.not_ready()),
             ("store_lost", "Whether the store gives no answer.",
-             lambda: gateway.known.health.lost_at is not None),
+             lambda: gateway.store_view.store_health.lost_at is not None),
             ("evacuated_zones", "Zones whose servers get no requests.",
-             lambda: len(gateway.known.zones.evacuated)),
+             lambda: len(gateway.store_view.evacuations.evacuated)),
             ("limited_servers", "Servers that name a limit.",
-             gateway.limits.count),
+             gateway.server_limits.count_limited),
             ("connections", "Open connections of callers.",
              lambda: len(gateway.connections)),
             ("quarantined_requests", "Requests that are refused since servers"
@@ -134,10 +135,14 @@
             "Servers that may get requests.",
             lambda: [
                 metrics.Reading(
-                    len(gateway.known.table.usable(name, gateway.loop.time())),
+                    len(
+                        gateway.store_view.table.usable(
+                            name, gateway.loop.time()
+                        )
+                    ),
                     {"service": name},
                 )
-                for name in gateway.known.table.by_service
+                for name in gateway.store_view.table.by_service
             ],
         )
 
--- a/banyantiller/gateway/mirror.py
+++ b/banyantiller/gateway/mirror.py
@@ -11,8 +11,13 @@
 
 import msgspec
 
-from banyantiller.gateway import events, histories, limits, telling
-from banyantiller.gateway.decisions import failing
+from banyantiller.gateway import (
+    change_history,
+    events,
+    peer_messages,
+    server_limits,
+)
+from banyantiller.gateway.decisions import failure_reports
 from banyantiller.http import messages
 from banyantiller.store import interface
 
@@ -20,9 +25,9 @@
 # Value of the query parameter `shares` of a daemon that does.
 SHARES = "1"
 # A daemon that was not asked for so long stops reading for others.
-DEMAND_S = 3.0
+SUBSCRIBER_TIMEOUT_S = 3.0
 # Longest wait of one question.
-LONGEST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 # Header field of a list: how long ago the store said so, in milliseconds. The
 # body is packed once for all that ask.
 AGE_FIELD = "age-ms"
@@ -36,16 +41,16 @@
 GONE_STATUS = 410
 
 
-class Asker(NamedTuple):
+class Subscriber(NamedTuple):
     """A daemon that relies on this one.
 
     Attributes:
-        at: Loop time of its last question.
+        queried_at: Loop time of its last question.
         shares: Whether it takes its part of the fleet's budgets from what
             this one divides; a daemon that is asked itself divides its own.
     """
 
-    at: float
+    queried_at: float
     shares: bool
 
 
@@ -67,7 +72,7 @@
         self.sentinel = sentinel
         self.times: dict[str, float] = {}
 
-    def note(self, kind: str, at: float) -> None:
+    def record(self, kind: str, at: float) -> None:
         """Notes that the store said at a loop time what is known of a kind."""
         self.times[kind] = max(self.times.get(kind, at), at)
 
@@ -85,52 +90,54 @@
         histories: Changes by kind.
         status: Returns the HTTP status of answers: 200 while what was read
             is up to date.
-        askers: Last question of each daemon that asks, by its name.
+        subscribers: Last question of each daemon that asks, by its name.
         freshness: When the store said what is known here.
-        on_demand: Called when the first other daemon asks.
+        on_first_subscriber: Called when the first other daemon asks.
         mark: Returns the mark that answers carry; empty for none.
-        reports: What daemons that ask said of servers that failed them.
-        doubted: Returns the servers that are told to be doubted.
-        limits: Limits that servers name, or None if nobody follows them.
+        failure_reports: What daemons that ask said of servers that failed them.
+        failing_servers: Returns the servers that are told to be doubted.
+        server_limits: Limits that servers name, or None if nobody follows them.
     """
 
     def __init__(self, status: Callable[[], int], sentinel: str) -> None:
         self.status = status
-        self.histories: dict[str, histories.History] = {}
-        self.askers: dict[str, Asker] = {}
+        self.histories: dict[str, change_history.ChangeHistory] = {}
+        self.subscribers: dict[str, Subscriber] = {}
         self.freshness = Freshness(sentinel)
-        self.on_demand: Callable[[], None] = lambda: None
+        self.on_first_subscriber: Callable[[], None] = lambda: None
         self.mark: Callable[[], str] = lambda: ""
-        self.reports = failing.Reports()
-        self.doubted: Callable[[], list[str]] = self._doubted
-        self.limits: limits.Limits | None = None
+        self.failure_reports = failure_reports.FailureReports()
+        self.failing_servers: Callable[[], list[str]] = self._doubted
+        self.server_limits: server_limits.ServerLimits | None = None
         self.loop = asyncio.get_running_loop()
 
-    def demanded(self) -> bool:
+    def has_subscribers(self) -> bool:
         """Tells whether other daemons rely on this one."""
         return bool(self._asked_lately())
 
-    def sharers(self) -> int:
+    def count_sharers(self) -> int:
         """Counts the daemons that share with this one, and itself."""
         return sum(asker.shares for asker in self._asked_lately()) + 1
 
-    def _asked_lately(self) -> list[Asker]:
-        oldest = self.loop.time() - DEMAND_S
-        for name in [n for n, a in self.askers.items() if a.at <= oldest]:
-            del self.askers[name]
-        return list(self.askers.values())
+    def _asked_lately(self) -> list[Subscriber]:
+        oldest = self.loop.time() - SUBSCRIBER_TIMEOUT_S
+        for name in [
+            n for n, a in self.subscribers.items() if a.queried_at <= oldest
+        ]:
+            del self.subscribers[name]
+        return list(self.subscribers.values())
 
-    def listed(self, kind: str, found: interface.Listed) -> None:
+    def record_list(self, kind: str, found: interface.Listed) -> None:
         """Notes that a kind was read whole."""
         history = self.histories.get(kind)
         if history is None:
-            self.histories[kind] = histories.History(found)
+            self.histories[kind] = change_history.ChangeHistory(found)
         elif int(found.version) >= history.version:
-            history.relist(found)
+            history.apply_list(found)
 
-    def changed(self, kind: str, found: interface.Changes) -> None:
+    def record_changes(self, kind: str, found: interface.Changes) -> None:
         """Notes changes that were read."""
-        self.histories[kind].add(found)
+        self.histories[kind].add_changes(found)
 
     def wake(self) -> None:
         """Lets those who wait look again whether this daemon is fit."""
@@ -158,21 +165,23 @@
             mark = request.query.get("mark", self.mark())
             told = request.query.get("limits", "[]")
             named_limits = msgspec.json.decode(
-                told, type=list[limits.LimitFields]
+                told, type=list[server_limits.LimitFields]
             )
         except (KeyError, ValueError, msgspec.DecodeError):
             return messages.Response(400)
-        first = not self.demanded()
+        first = not self.has_subscribers()
         now = self.loop.time()
-        self.askers[name] = Asker(now, shares)
+        self.subscribers[name] = Subscriber(now, shares)
         named = [n for n in request.query.get("failing", "").split(",") if n]
-        self.reports.take(name, named[: failing.MOST_NAMED], now)
-        if self.limits is not None:
-            self.limits.learn(named_limits, now)
+        self.failure_reports.receive(
+            name, named[: failure_reports.MAX_NAMED], now
+        )
+        if self.server_limits is not None:
+            self.server_limits.merge_report(named_limits, now)
         if first:
-            events.emit(events.ReadsForOthers(name))
-            self.on_demand()
-        wait_s = min(wait_s, LONGEST_WAIT_S)
+            events.emit(events.ReadsForSubscribers(name))
+            self.on_first_subscriber()
+        wait_s = min(wait_s, MAX_WAIT_S)
         return await self._answer(kind, since, wait_s, mark, name)
 
     def _tell_list(self, kind: str) -> messages.Response:
@@ -180,8 +189,8 @@
         history = self.histories.get(kind)
         if history is None:
             return messages.Response(NOT_READY_STATUS)
-        packed = history.pack()
-        age = (AGE_FIELD, str(telling.age_ms(self._age_s(kind))))
+        packed = history.pack_list()
+        age = (AGE_FIELD, str(peer_messages.age_ms(self._age_s(kind))))
         return packed._replace(headers=(*packed.headers, age))
 
     async def _answer(
@@ -196,45 +205,47 @@
                 return messages.Response(NOT_READY_STATUS)
             if self.status() != 200:
                 return messages.Response(self.status())
-            if not history.knows_since(since):
+            if not history.is_complete_since(since):
                 return messages.Response(GONE_STATUS)
-            events = history.after(since)
+            events = history.changes_after(since)
             left = until - self.loop.time()
             if events or left <= 0 or self.mark() != mark:
                 version = max(since, history.version)
                 age_s = self._age_s(kind)
-                fields = telling.reply(events, version, self.sharers(), age_s)
+                fields = peer_messages.reply(
+                    events, version, self.count_sharers(), age_s
+                )
                 held_s = self.loop.time() - received
                 fields["held_ms"] = int(held_s * 1000)
-                doubted = self.doubted()
+                doubted = self.failing_servers()
                 if doubted:
                     fields["doubted"] = doubted
                 if kind == self.freshness.sentinel:
                     self._add_turns(fields, name)
-                return telling.pack(fields)
+                return peer_messages.pack(fields)
             try:
                 async with asyncio.timeout(left):
                     await history.changed.wait()
             except TimeoutError:
                 continue
 
-    def _add_turns(self, fields: telling.ReplyFields, name: str) -> None:
+    def _add_turns(self, fields: peer_messages.ReplyFields, name: str) -> None:
         """Adds what a daemon needs to take its turns at servers."""
         fields["rank"] = self.rank(name)
         fields["clock_ms"] = int(self.loop.time() * 1000)
-        if self.limits is not None and self.limits.known:
-            fields["limits"] = self.limits.tell()
+        if self.server_limits is not None and self.server_limits.by_incarnation:
+            fields["limits"] = self.server_limits.to_report()
 
     def rank(self, name: str) -> int:
         """Returns a daemon's number among those that share with this one.
 
         This one is the last.
         """
-        sharing = [n for n, asker in self.askers.items() if asker.shares]
+        sharing = [n for n, asker in self.subscribers.items() if asker.shares]
         return sum(other < name for other in sharing)
 
     def _doubted(self) -> list[str]:
-        return self.reports.doubted(self.loop.time())
+        return self.failure_reports.failing_servers(self.loop.time())
 
     def _age_s(self, kind: str) -> float:
         """Returns how long ago the store said what is known, in seconds."""
--- a/banyantiller/gateway/telling.py
+++ b/banyantiller/gateway/peer_messages.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from banyantiller.gateway import limits
+from banyantiller.gateway import server_limits
 from banyantiller.http import messages
 from banyantiller.store import interface
 
 # A document of 480 routes has 100 KB, of which the fastest level leaves a
 # tenth; below 1 KB there is nothing to gain.
 DEFLATE_LEVEL = 1
-LEAST_DEFLATED_BYTES = 1024
+MIN_DEFLATED_BYTES = 1024
 DEFLATED = (("content-encoding", "deflate"),)
 
 
@@ -46,7 +46,7 @@
     doubted: NotRequired[list[str]]
     rank: NotRequired[int]
     clock_ms: NotRequired[int]
-    limits: NotRequired[list[limits.LimitFields]]
+    limits: NotRequired[list[server_limits.LimitFields]]
 
 
 class ListFields(TypedDict):
@@ -90,6 +90,6 @@
 def pack(fields: ReplyFields | ListFields) -> messages.Response:
     """Returns an answer with these fields, deflated if it is long."""
     body = msgspec.json.encode(fields)
-    if len(body) < LEAST_DEFLATED_BYTES:
+    if len(body) < MIN_DEFLATED_BYTES:
         return messages.Response(200, (), body)
     return messages.Response(200, DEFLATED, zlib.compress(body, DEFLATE_LEVEL))
--- a/banyantiller/gateway/peers.py
+++ b/banyantiller/gateway/peers.py
@@ -12,17 +12,17 @@
 import msgspec
 
 from banyantiller.config.defaults import Endpoint
-from banyantiller.gateway import events, limits, mirror, telling
+from banyantiller.gateway import events, mirror, peer_messages, server_limits
 from banyantiller.gateway.decisions import turns
 from banyantiller.http import client, messages, outcomes
 from banyantiller.store import interface
 
 # How much longer than it was asked to wait another daemon may take.
-ASK_MARGIN_S = 0.4
+QUERY_MARGIN_S = 0.4
 # A daemon that refuses for a reason that lasts is not asked again so long.
-UNFIT_S = 2.0
+SKIP_S = 2.0
 LIMITS = messages.Limits(connections=4, silence_s=3)
-# A process and a revision; see `gateway.spreading`.
+# A process and a revision; see `gateway.quarantine_sync`.
 MARK = re.compile("[0-9a-f]{8}-[0-9]{1,18}")
 
 
@@ -30,24 +30,24 @@
     """Why another daemon told nothing.
 
     Attributes:
-        SILENT: It gave no answer, or none that can be read.
+        UNRESPONSIVE: It gave no answer, or none that can be read.
         NOT_READY: It starts or ends, or what it knows is too old.
         STORE_LOST: It lives, and hears nothing of the store.
     """
 
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     NOT_READY = "not_ready"
     STORE_LOST = "store_lost"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refused:
+class PeerRefusal:
     """Another daemon told nothing."""
 
     kind: RefusalKind
 
 
-class Told(NamedTuple):
+class PeerReply(NamedTuple):
     """A whole answer of another daemon.
 
     Attributes:
@@ -59,7 +59,7 @@
     fields: Any
 
 
-class ToldList(NamedTuple):
+class PeerList(NamedTuple):
     """All objects of a kind, as another daemon knows them.
 
     Attributes:
@@ -83,47 +83,47 @@
     """Another daemon that can be asked.
 
     Attributes:
-        user: Client of it.
+        client: Client of it.
         name: Name of this daemon, by which the other counts it.
         shares: Whether this daemon shares what the other one divides.
         address: IP number and port of the other daemon.
-        patience_s: Age up to which what it tells is relied on, in seconds.
+        max_age_s: Age up to which what it tells is relied on, in seconds.
         sharers: Daemons that the other one told for, itself included.
         rank: Number of this daemon among these.
         ahead_s: How far the other one's clock is ahead, in seconds.
         fresh_at: Loop time at which the store said what the other one told.
-        unfit_until: Loop time until which it is not asked.
-        mark: Mark of the last answer; see `gateway.spreading`.
+        skipped_until: Loop time until which it is not asked.
+        mark: Mark of the last answer; see `gateway.quarantine_sync`.
         on_mark: Called with each answer's mark.
         failing: Returns the servers that failed this daemon lately.
-        on_doubted: Called with the servers that the other doubts.
-        limits: Limits that servers name, or None if nobody follows them.
-        told_limits: What the other one knew of limits when it answered last.
+        on_failing_servers: Called with the servers that the other doubts.
+        server_limits: Limits that servers name, or None if nobody follows them.
+        peer_limits: What the other one knew of limits when it answered last.
     """
 
     def __init__(
-        self, endpoint: Endpoint, name: str, shares: bool, patience_s: float
+        self, endpoint: Endpoint, name: str, shares: bool, max_age_s: float
     ) -> None:
         self.name = parse.quote(name)
         self.shares = mirror.SHARES if shares else "0"
         self.address = f"{endpoint.address}:{endpoint.port}"
-        self.patience_s = patience_s
+        self.max_age_s = max_age_s
         self.sharers = 0
         self.rank = 0
         self.ahead_s = 0.0
         self.fresh_at = 0.0
-        self.user = client.HttpClient(endpoint.address, endpoint.port, LIMITS)
-        self.unfit_until = 0.0
+        self.client = client.HttpClient(endpoint.address, endpoint.port, LIMITS)
+        self.skipped_until = 0.0
         self.mark = ""
         self.on_mark: Callable[[Peer, str], None] = lambda *_: None
         self.failing: Callable[[], list[str]] = list
-        self.on_doubted: Callable[[list[str]], None] = lambda _: None
-        self.limits: limits.Limits | None = None
-        self.told_limits: list[limits.LimitFields] = []
+        self.on_failing_servers: Callable[[list[str]], None] = lambda _: None
+        self.server_limits: server_limits.ServerLimits | None = None
+        self.peer_limits: list[server_limits.LimitFields] = []
 
     async def changes(
         self, kind: str, version: str, wait_s: float
-    ) -> interface.Changes | interface.Gone | Refused:
+    ) -> interface.Changes | interface.Gone | PeerRefusal:
         """Asks for the changes after a version."""
         target = (
             f"{mirror.PATH}{kind}?since={version}"
@@ -135,40 +135,42 @@
             target += f"&failing={parse.quote(','.join(named))}"
         target += self._limits_to_tell()
         asked_at = _now()
-        told = await self._ask(target, wait_s, telling.ReplyFields)
-        if isinstance(told, interface.Gone | Refused):
+        told = await self._ask(target, wait_s, peer_messages.ReplyFields)
+        if isinstance(told, interface.Gone | PeerRefusal):
             return told
         fields = told.fields
         composed_at = asked_at + fields.get("held_ms", 0) / 1000
         fresh_at = composed_at - fields["age_ms"] / 1000
-        too_old = fresh_at < _now() - self.patience_s
+        too_old = fresh_at < _now() - self.max_age_s
         # A change is one, however old the answer is.
         if too_old and not fields["events"]:
-            return Refused(RefusalKind.NOT_READY)
-        self.on_doubted(fields.get("doubted", []))
+            return PeerRefusal(RefusalKind.NOT_READY)
+        self.on_failing_servers(fields.get("doubted", []))
         self._note_turns(fields, composed_at)
         self.fresh_at = fresh_at
         changes = tuple(_event(kind, item) for item in fields["events"])
         return interface.Changes(changes, fields["version"], second_hand=True)
 
-    def place(self, groups: int) -> turns.Place:
+    def position(self, relay_count: int) -> turns.FleetPosition:
         """Returns this daemon's place among those that share with the other.
 
         Args:
-            groups: Number of daemons that others may ask.
+            relay_count: Number of daemons that others may ask.
         """
-        return turns.Place(self.rank, self.sharers, groups, self.ahead_s)
+        return turns.FleetPosition(
+            self.rank, self.sharers, relay_count, self.ahead_s
+        )
 
     def _limits_to_tell(self) -> str:
-        if self.limits is None:
+        if self.server_limits is None:
             return ""
-        found = self.limits.tell_unknown(self.told_limits)
+        found = self.server_limits.unreported(self.peer_limits)
         if not found:
             return ""
         return f"&limits={parse.quote(msgspec.json.encode(found))}"
 
     def _note_turns(
-        self, fields: telling.ReplyFields, composed_at: float
+        self, fields: peer_messages.ReplyFields, composed_at: float
     ) -> None:
         """Notes who shares with this daemon, and the limits that were told.
 
@@ -179,38 +181,42 @@
             return
         self.rank = fields.get("rank", 0)
         self.ahead_s = fields["clock_ms"] / 1000 - composed_at
-        self.told_limits = fields.get("limits", [])
-        if self.limits is not None:
-            self.limits.learn(self.told_limits, composed_at)
+        self.peer_limits = fields.get("limits", [])
+        if self.server_limits is not None:
+            self.server_limits.merge_report(self.peer_limits, composed_at)
 
-    async def list(self, kind: str) -> ToldList | Refused:
+    async def list(self, kind: str) -> PeerList | PeerRefusal:
         """Asks for all objects, however old what is known there may be."""
         asked_at = _now()
-        told = await self._ask(f"{mirror.PATH}{kind}", 0, telling.ListFields)
+        told = await self._ask(
+            f"{mirror.PATH}{kind}", 0, peer_messages.ListFields
+        )
         if isinstance(told, interface.Gone):
-            return Refused(RefusalKind.NOT_READY)
-        if isinstance(told, Refused):
+            return PeerRefusal(RefusalKind.NOT_READY)
+        if isinstance(told, PeerRefusal):
             return told
         age = told.response.header(mirror.AGE_FIELD)
         if not age.isdigit():
-            return Refused(RefusalKind.SILENT)
+            return PeerRefusal(RefusalKind.UNRESPONSIVE)
         items = tuple(_stored(kind, item) for item in told.fields["items"])
         version = told.fields["version"]
         listed = interface.Listed(items, version, second_hand=True)
-        return ToldList(listed, asked_at - int(age) / 1000, self.address)
+        return PeerList(listed, asked_at - int(age) / 1000, self.address)
 
     async def _ask(
         self, target: str, wait_s: float, kind: Any
-    ) -> Told | interface.Gone | Refused:
-        outcome = await self.user.request("GET", target, wait_s + ASK_MARGIN_S)
+    ) -> PeerReply | interface.Gone | PeerRefusal:
+        outcome = await self.client.request(
+            "GET", target, wait_s + QUERY_MARGIN_S
+        )
         if not isinstance(outcome, outcomes.Answered):
-            return Refused(RefusalKind.SILENT)
+            return PeerRefusal(RefusalKind.UNRESPONSIVE)
         self._note_mark(outcome.response)
         status = outcome.response.status
         if status == mirror.GONE_STATUS:
             return interface.Gone()
         if status != 200:
-            return Refused(REFUSALS.get(status, RefusalKind.SILENT))
+            return PeerRefusal(REFUSALS.get(status, RefusalKind.UNRESPONSIVE))
         try:
             body = outcome.body
             if outcome.response.header("content-encoding"):
@@ -219,8 +225,8 @@
             int(fields["version"])
         except (ValueError, msgspec.DecodeError, zlib.error) as error:
             events.emit(events.PeerUnreadable(self.address, str(error)))
-            return Refused(RefusalKind.SILENT)
-        return Told(outcome.response, fields)
+            return PeerRefusal(RefusalKind.UNRESPONSIVE)
+        return PeerReply(outcome.response, fields)
 
     def _note_mark(self, response: messages.Response) -> None:
         mark = response.header(mirror.MARK_FIELD)
@@ -233,7 +239,7 @@
 
 
 def _event(
-    kind: str, fields: telling.EventFields
+    kind: str, fields: peer_messages.EventFields
 ) -> interface.Changed | interface.Deleted:
     item = _stored(kind, fields)
     if fields["removed"]:
@@ -241,7 +247,9 @@
     return interface.Changed(item)
 
 
-def _stored(kind: str, fields: telling.EventFields) -> interface.StoredObject:
+def _stored(
+    kind: str, fields: peer_messages.EventFields
+) -> interface.StoredObject:
     return interface.StoredObject(
         kind, fields["name"], fields["version"], fields["value"]
     )
--- a/banyantiller/gateway/pool.py
+++ b/banyantiller/gateway/pool.py
@@ -63,7 +63,7 @@
 
     Attributes:
         server: The server.
-        most: Most connections at a time.
+        max_size: Most connections at a time.
         idle: Idle connections, latest used last.
         busy: Connections in use or being made.
         lost_by: Why the last connection that could have been kept was not.
@@ -73,11 +73,11 @@
     def __init__(
         self,
         server: types.Server,
-        most: int,
+        max_size: int,
         opened: collections.Counter[str],
     ) -> None:
         self.server = server
-        self.most = most
+        self.max_size = max_size
         self.opened = opened
         self.lost_by = Reason.FIRST
         self.idle: list[Link] = []
@@ -104,7 +104,7 @@
             self.discard(
                 link, Reason.IDLE_TOO_LONG if expired else Reason.CLOSED
             )
-        if self.busy + len(self.idle) >= self.most:
+        if self.busy + len(self.idle) >= self.max_size:
             raise PoolFullError
         self.opened[self._reason(fresh).value] += 1
         self.busy += 1
@@ -126,11 +126,11 @@
     def release(self, link: Link) -> None:
         """Takes a connection back after a whole answer."""
         if link.connection.ready_again():
-            self.keep(link)
+            self.put_idle(link)
         else:
             self.discard(link, Reason.CLOSED)
 
-    def keep(self, link: Link) -> None:
+    def put_idle(self, link: Link) -> None:
         """Takes a connection back that is ready for another exchange."""
         if self.closed:
             self.discard(link)
--- a/banyantiller/gateway/asking.py
+++ b/banyantiller/gateway/probing.py
@@ -11,7 +11,7 @@
 
 # A server answers within 8 ms, over a new connection within 11; one that
 # takes ten times as long counts as silent.
-ANSWER_TIMEOUT_S = 0.1
+PROBE_TIMEOUT_S = 0.1
 # How long the others are waited for once one server has answered.
 OTHERS_WAIT_S = 0.02
 HEALTH_BYTES = 65536
@@ -28,30 +28,31 @@
         entry: The server.
         link: Connection on which it answered, or None.
         load: Its load, or None if it tells none.
-        asked_at: Loop time of its answer.
-        fit: Whether it says that it is well.
+        probed_at: Loop time of its answer.
+        healthy: Whether it says that it is well.
         score: Its cost; less is better.
-        among: Servers that answered the same question.
+        answered_count: Servers that answered the same question.
     """
 
-    entry: servers.Entry
+    entry: servers.ServerEntry
     link: pool.Link | None
     load: types.Load | None
-    asked_at: float
-    fit: bool
+    probed_at: float
+    healthy: bool
     score: float
-    among: int = 0
+    answered_count: int = 0
 
-    def ready(self, slowest: float) -> bool:
+    def ready(self, max_slowness: float) -> bool:
         """Tells whether a request would start at once and at speed.
 
         Args:
-            slowest: Greatest slowness that is taken.
+            max_slowness: Greatest slowness that is taken.
         """
         if self.load is None:
             return self.entry.in_flight < self.entry.server.slots
         return (
-            scoring.has_free_slot(self.load) and self.load.slowness <= slowest
+            scoring.has_free_slot(self.load)
+            and self.load.slowness <= max_slowness
         )
 
     def takes_last_slot(self) -> bool:
@@ -59,17 +60,17 @@
         return self.load is not None and scoring.takes_last_slot(self.load)
 
 
-class Answer(NamedTuple):
+class ProbeResult(NamedTuple):
     """What a server told of itself.
 
     Attributes:
-        fit: Whether it says that it is well.
+        healthy: Whether it says that it is well.
         load: Its load, or None.
         instance: Its identity, or empty.
         warmup_s: How long it is still cold, in seconds.
     """
 
-    fit: bool
+    healthy: bool
     load: types.Load | None
     instance: str
     warmup_s: float = 0.0
@@ -78,33 +79,33 @@
 Pools = Callable[[types.Server], pool.Pool]
 
 
-class Seen(NamedTuple):
+class ProbeCallbacks(NamedTuple):
     """Called with a server of which asking has shown something.
 
     Attributes:
-        moved: Another instance has its address.
-        refused: Its machine refuses connections to it.
-        answered: It answered a question that was sent at a loop time.
+        on_moved: Another instance has its address.
+        on_refused_connection: Its machine refuses connections to it.
+        on_response: It answered a question that was sent at a loop time.
     """
 
-    moved: Callable[[types.Server], None]
-    refused: Callable[[types.Server], None]
-    answered: Callable[[types.Server, messages.Headers, float], None]
+    on_moved: Callable[[types.Server], None]
+    on_refused_connection: Callable[[types.Server], None]
+    on_response: Callable[[types.Server, messages.Headers, float], None]
 
 
-class Asker:
+class LoadProber:
     """Asks servers over kept connections.
 
     Attributes:
         wire: Names of header fields.
         read_load: Decodes the load header.
         pools: Returns the pool of a server.
-        seen: Called when a server has gone.
+        callbacks: Called when a server has gone.
         zone: Availability zone of this daemon.
         services_without_load: Services of which a server answered without a
             load, and none has answered with one yet.
         services_with_load: Services of which a server told its load.
-        asked: Questions so far.
+        probe_count: Questions so far.
         tasks: Questions whose answers are not in.
     """
 
@@ -112,22 +113,22 @@
         self,
         adapter: types.Adapter,
         pools: Pools,
-        seen: Seen,
+        callbacks: ProbeCallbacks,
         zone: str,
     ) -> None:
         self.wire = adapter.wire
         self.read_load = adapter.read_load
         self.pools = pools
-        self.seen = seen
+        self.callbacks = callbacks
         self.zone = zone
         self.services_without_load: set[str] = set()
         self.services_with_load: set[str] = set()
-        self.asked = 0
+        self.probe_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.loop = asyncio.get_running_loop()
 
-    async def ask(
-        self, entries: list[servers.Entry], health_path: str
+    async def probe(
+        self, entries: list[servers.ServerEntry], health_path: str
     ) -> list[Candidate]:
         """Returns the servers that answered in time, best first.
 
@@ -135,12 +136,12 @@
         would wait for a slot as any request does.
 
         Connections of the candidates belong to the caller, which hands them
-        back with `give_back`.
+        back with `release`.
         """
         unasked = [one for one in entries if self._is_without_load(one)]
         if entries and len(unasked) == len(entries):
             return self._unasked(unasked)
-        asked = Round()
+        asked = ProbeRound()
         tasks = [
             self.loop.create_task(self._ask_one(entry, health_path, asked))
             for entry in entries
@@ -152,24 +153,24 @@
         try:
             await self._gather(tasks, asked)
         except BaseException:
-            self.give_back(asked.close())
+            self.release(asked.close())
             raise
         found = asked.close() + self._unasked(unasked)
         for candidate in found:
-            candidate.among = len(found)
+            candidate.answered_count = len(found)
         found.sort(key=lambda candidate: candidate.score)
         return found
 
-    def give_back(self, candidates: list[Candidate]) -> None:
+    def release(self, candidates: list[Candidate]) -> None:
         """Hands the connections of candidates back to their pools."""
         for candidate in candidates:
             if candidate.link is not None:
                 server = candidate.entry.server
-                self.pools(server).keep(candidate.link)
+                self.pools(server).put_idle(candidate.link)
                 candidate.link = None
 
-    def note_answer_load(
-        self, entry: servers.Entry, headers: messages.Headers
+    def record_response_load(
+        self, entry: servers.ServerEntry, headers: messages.Headers
     ) -> None:
         """Notes a load that came with the answer to a request.
 
@@ -183,19 +184,19 @@
         if told and self.read_load(told.encode("latin-1")) is not None:
             self._note_load(entry)
 
-    def _is_without_load(self, entry: servers.Entry) -> bool:
+    def _is_without_load(self, entry: servers.ServerEntry) -> bool:
         return (
             entry.without_load
             or entry.server.service in self.services_without_load
         )
 
-    def _note_load(self, entry: servers.Entry) -> None:
+    def _note_load(self, entry: servers.ServerEntry) -> None:
         """Notes that a server told its load."""
         entry.without_load = False
         self.services_with_load.add(entry.server.service)
         self.services_without_load.discard(entry.server.service)
 
-    def _note_no_load(self, entry: servers.Entry) -> None:
+    def _note_no_load(self, entry: servers.ServerEntry) -> None:
         """Notes that a server told no load.
 
         Until one of its service does, that is taken to hold for all of them: a
@@ -206,20 +207,20 @@
             entry.without_load = True
         elif service not in self.services_without_load:
             self.services_without_load.add(service)
-            events.emit(events.ServiceMute(service))
+            events.emit(events.ServiceWithoutLoad(service))
 
-    def _unasked(self, entries: list[servers.Entry]) -> list[Candidate]:
+    def _unasked(self, entries: list[servers.ServerEntry]) -> list[Candidate]:
         """Ranks servers by what this daemon has under way there."""
-        nothing = Answer(True, None, "")
+        nothing = ProbeResult(True, None, "")
         found = [self._candidate(entry, None, nothing) for entry in entries]
         found.sort(key=lambda candidate: candidate.score)
         return found
 
     async def _gather(
-        self, tasks: list[asyncio.Task[None]], asked: "Round"
+        self, tasks: list[asyncio.Task[None]], asked: "ProbeRound"
     ) -> None:
         pending = set(tasks)
-        until = self.loop.time() + 2 * ANSWER_TIMEOUT_S
+        until = self.loop.time() + 2 * PROBE_TIMEOUT_S
         while pending:
             left = until - self.loop.time()
             if left <= 0:
@@ -227,48 +228,51 @@
             _, pending = await asyncio.wait(
                 pending, timeout=left, return_when=asyncio.FIRST_COMPLETED
             )
-            if any(one.fit and one.score <= IDEAL_SCORE for one in asked.found):
+            if any(
+                one.healthy and one.score <= IDEAL_SCORE
+                for one in asked.candidates
+            ):
                 return
-            if asked.found:
+            if asked.candidates:
                 until = min(until, self.loop.time() + OTHERS_WAIT_S)
 
     async def _ask_one(
-        self, entry: servers.Entry, health_path: str, asked: "Round"
+        self, entry: servers.ServerEntry, health_path: str, asked: "ProbeRound"
     ) -> None:
         """Asks one server; adds it to the round if that is still open."""
         home = self.pools(entry.server)
         link: pool.Link | None = None
-        self.asked += 1
+        self.probe_count += 1
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 link, answer = await self._exchange(home, entry, health_path)
         except pool.PoolFullError:
             return
         except (OSError, connection.ConnectionLostError) as error:
             self._silent(entry, error)
             return
-        if entry.belief.answered():
-            events.emit(events.ServerAnswers(entry.server.instance))
+        if entry.health.record_response():
+            events.emit(events.ServerResponsive(entry.server.instance))
         if answer.instance and answer.instance != entry.server.instance:
             home.discard(link)
-            self.seen.moved(entry.server)
+            self.callbacks.on_moved(entry.server)
             return
-        entry.note_warmup(answer.warmup_s, self.loop.time())
+        entry.record_warmup(answer.warmup_s, self.loop.time())
         if answer.load is not None:
             self._note_load(entry)
-        elif answer.fit:
+        elif answer.healthy:
             self._note_no_load(entry)
         if not link.connection.ready_again():
             home.discard(link, pool.Reason.CLOSED)
             link = None
         if asked.open:
-            asked.found.append(self._candidate(entry, link, answer))
+            asked.candidates.append(self._candidate(entry, link, answer))
         elif link is not None:
-            home.keep(link)
+            home.put_idle(link)
 
     async def _exchange(
-        self, home: pool.Pool, entry: servers.Entry, health_path: str
-    ) -> tuple[pool.Link, Answer]:
+        self, home: pool.Pool, entry: servers.ServerEntry, health_path: str
+    ) -> tuple[pool.Link, ProbeResult]:
         link = await home.acquire()
         if link.reused:
             # A kept connection may have been dropped by the server, which
@@ -286,9 +290,9 @@
         self,
         home: pool.Pool,
         link: pool.Link,
-        entry: servers.Entry,
+        entry: servers.ServerEntry,
         health_path: str,
-    ) -> Answer:
+    ) -> ProbeResult:
         server = entry.server
         request = messages.Request(
             "GET", health_path, (("host", f"{server.host}:{server.port}"),)
@@ -306,10 +310,10 @@
         except BaseException:
             home.discard(link)
             raise
-        self.seen.answered(server, response.headers, sent_at)
+        self.callbacks.on_response(server, response.headers, sent_at)
         told = response.header(self.wire.load.decode())
         load = self.read_load(told.encode("latin-1")) if told else None
-        return Answer(
+        return ProbeResult(
             response.status == 200,
             load,
             response.header(self.wire.instance.decode()),
@@ -321,43 +325,46 @@
         return int(told) / 1000 if told.isdigit() else 0.0
 
     def _candidate(
-        self, entry: servers.Entry, link: pool.Link | None, answer: Answer
+        self,
+        entry: servers.ServerEntry,
+        link: pool.Link | None,
+        answer: ProbeResult,
     ) -> Candidate:
         now = self.loop.time()
         load = answer.load
         seen = load or types.Load(entry.in_flight, 0, entry.server.slots, 1.0)
         score = scoring.score(
             seen,
-            entry.belief.failures(now),
+            entry.health.failure_rate_at(now),
             entry.server.zone == self.zone,
             now < entry.warm_at,
         )
-        return Candidate(entry, link, load, now, answer.fit, score)
+        return Candidate(entry, link, load, now, answer.healthy, score)
 
-    def _silent(self, entry: servers.Entry, error: Exception) -> None:
+    def _silent(self, entry: servers.ServerEntry, error: Exception) -> None:
         if isinstance(error, ConnectionRefusedError):
-            self.seen.refused(entry.server)
-        if entry.belief.no_answer(self.loop.time()):
+            self.callbacks.on_refused_connection(entry.server)
+        if entry.health.record_no_response(self.loop.time()):
             events.emit(
-                events.ServerSilent(
+                events.ServerUnresponsive(
                     entry.server.instance, str(error) or type(error).__name__
                 )
             )
 
 
-class Round:
+class ProbeRound:
     """Servers that answered one question, while it is of interest.
 
     Attributes:
         open: Whether further answers are taken.
-        found: Servers that answered.
+        candidates: Servers that answered.
     """
 
     def __init__(self) -> None:
         self.open = True
-        self.found: list[Candidate] = []
+        self.candidates: list[Candidate] = []
 
     def close(self) -> list[Candidate]:
         """Takes no further answers and returns those that are in."""
         self.open = False
-        return self.found
+        return self.candidates
--- a/banyantiller/gateway/progress.py
+++ b/banyantiller/gateway/progress.py
@@ -15,7 +15,7 @@
         maybe_ran: Whether an earlier server may have executed it.
         instances: Servers that it was sent to, in order.
         load: Load of the last one when it was chosen.
-        among: Servers that it was chosen from.
+        answered_count: Servers that it was chosen from.
         load_age_s: Age of that load at sending, in seconds.
         sent_after_s: Time from its arrival to its last sending, in seconds.
         usual_s: Usual duration of its route's requests when a server was
@@ -28,7 +28,7 @@
     maybe_ran: bool = False
     instances: list[str] = dataclasses.field(default_factory=list)
     load: types.Load | None = None
-    among: int = 0
+    answered_count: int = 0
     load_age_s: float = 0.0
     sent_after_s: float = 0.0
     usual_s: float = 0.0
--- a/banyantiller/gateway/ports.py
+++ b/banyantiller/gateway/protocols.py
@@ -10,15 +10,15 @@
 
 from banyantiller.errors import ErrorKind
 from banyantiller.gateway import (
-    asking,
-    choosing,
-    endings,
+    crash_detection,
     exchange,
-    knowledge,
-    limits,
     pool,
+    probing,
     progress,
     requests,
+    server_choice,
+    server_limits,
+    store_view,
     tallies,
     types,
 )
@@ -26,7 +26,7 @@
 from banyantiller.gateway.decisions import budget, durations
 
 
-class CallSurroundings(Protocol):
+class CallContext(Protocol):
     """What a call needs of the gateway; see `gateway.Gateway`."""
 
     settings: options.Settings
@@ -34,14 +34,14 @@
     random: random.Random
     loop: asyncio.AbstractEventLoop
     tallies: tallies.Tallies
-    known: knowledge.Knowledge
-    endings: endings.Endings
-    limits: limits.Limits
-    asker: asking.Asker
-    chooser: choosing.Chooser
+    store_view: store_view.StoreView
+    crash_detector: crash_detection.CrashDetector
+    server_limits: server_limits.ServerLimits
+    prober: probing.LoadProber
+    chooser: server_choice.ServerChooser
     durations: durations.Durations
     default_timeout_s: float
-    answer_bytes: int
+    max_response_bytes: int
 
     def pool_of(self, server: types.Server) -> pool.Pool:
         """Returns the connections to a server."""
@@ -52,25 +52,27 @@
     def share(self) -> float:
         """Returns this daemon's part of what the fleet may use."""
 
-    def finished(self, call: Any, status: int, error: ErrorKind | None) -> None:
+    def record_call(
+        self, call: Any, status: int, error: ErrorKind | None
+    ) -> None:
         """Counts and logs the end of a call."""
 
 
-class ConnectionSurroundings(CallSurroundings, Protocol):
+class ConnectionContext(CallContext, Protocol):
     """What a caller's connection needs of the gateway."""
 
     connections: set[Any]
-    body_bytes: int
+    buffered_body_bytes: int
     draining: bool
 
-    def left(self, connection: Any) -> None:
+    def remove_connection(self, connection: Any) -> None:
         """Forgets a caller's connection."""
 
 
 class RunningCall(Protocol):
     """What a try needs of its call; see `call.Call`."""
 
-    gateway: CallSurroundings
+    gateway: CallContext
     loop: asyncio.AbstractEventLoop
     request: requests.Request
     outgoing: exchange.Outgoing
--- a/banyantiller/gateway/spreading.py
+++ b/banyantiller/gateway/quarantine_sync.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from banyantiller.gateway import endings, events, peers
+from banyantiller.gateway import crash_detection, events, peers
 from banyantiller.http import messages, outcomes
 from banyantiller.quarantine import table
 
@@ -28,7 +28,7 @@
 # Value of the query parameter `all` of a daemon that others ask.
 ALL = "1"
 # One end says nothing yet of a request to daemons that did not see it.
-LEAST_SHARED_ENDS = 2
+MIN_SHARED_CRASHES = 2
 # What is seen within this time is sent at once: a server ends with several
 # requests on it.
 GATHER_S = 0.02
@@ -43,7 +43,7 @@
 # Pause before it is sent again to a daemon that gave no answer, and how often:
 # one that starts later fetches it from the others.
 AGAIN_S = 0.3
-MOST_TRIES = 10
+MAX_ATTEMPTS = 10
 
 
 class Message(TypedDict):
@@ -53,49 +53,51 @@
     records: list[table.RecordFields]
 
 
-class Spreader:
+class QuarantineSync:
     """Exchanges with other daemons what is known of requests.
 
     Attributes:
         watch: What this daemon knows.
-        others: Daemons that others ask, without this one.
-        asked_itself: Whether others ask this daemon.
-        life: Tells this process from an earlier one of the same daemon.
-        shown: Revision of the table that the mark stands for.
-        on_shown: Called when the mark has changed.
-        fetched: Mark of what was fetched last, by the address of a daemon.
-        lives: Process that the last mark was of, by the address of a daemon.
+        relays: Daemons that others ask, without this one.
+        is_relay: Whether others ask this daemon.
+        incarnation: Tells this process from an earlier one of the same daemon.
+        shown_revision: Revision of the table that the mark stands for.
+        on_mark_change: Called when the mark has changed.
+        fetched_marks: Mark of what was fetched last, by the address of a
+            daemon.
+        incarnations: Process that the last mark was of, by the address of a
+            daemon.
         unsent: Requests to tell, by the address of a daemon.
         tasks: Messages on their way.
     """
 
     def __init__(
         self,
-        known: endings.Endings,
-        others: list[peers.Peer],
-        asked_itself: bool,
+        crash_detector: crash_detection.CrashDetector,
+        relays: list[peers.Peer],
+        is_relay: bool,
         rng: random.Random,
     ) -> None:
-        self.watch = known.watch
-        self.others = others
-        self.asked_itself = asked_itself
+        self.watch = crash_detector.watch
+        self.relays = relays
+        self.is_relay = is_relay
         self.random = rng
-        self.life = f"{rng.getrandbits(32):08x}"
-        self.shown = 0
-        self.on_shown: Callable[[], None] = lambda: None
-        self.fetched: dict[str, str] = {}
-        self.lives: dict[str, str] = {}
+        self.incarnation = f"{rng.getrandbits(32):08x}"
+        self.shown_revision = 0
+        self.on_mark_change: Callable[[], None] = lambda: None
+        self.fetched_marks: dict[str, str] = {}
+        self.incarnations: dict[str, str] = {}
         self.unsent: dict[str, set[str]] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.loop = asyncio.get_running_loop()
-        known.on_news = self.tell
-        for peer in others:
-            peer.on_mark = self.see
+        crash_detector.on_change = self.publish
+        for peer in relays:
+            peer.on_mark = self.receive_mark
 
     async def run(self) -> None:
         """Fetches from other daemons that are asked, until cancelled."""
-        while self.asked_itself:
-            for peer in self.others:
+        while self.is_relay:
+            for peer in self.relays:
                 self._begin(f"fetch {peer.address}", self._fetch(peer))
             await asyncio.sleep(FETCH_S)
 
@@ -104,13 +106,13 @@
         for task in self.tasks.values():
             task.cancel()
 
-    def tell(self, fingerprints: Iterable[str]) -> None:
+    def publish(self, fingerprints: Iterable[str]) -> None:
         """Tells the daemons that are asked what is known of requests."""
         self._show_later()
-        for peer in self.others:
+        for peer in self.relays:
             self._send_later(peer, fingerprints, GATHER_S)
 
-    def see(self, peer: peers.Peer, mark: str) -> None:
+    def receive_mark(self, peer: peers.Peer, mark: str) -> None:
         """Takes the mark of another daemon's answer.
 
         What is behind a new mark is fetched. A daemon that was started again
@@ -118,16 +120,20 @@
         started again at once, and have nobody else to learn it from.
         """
         life = mark.partition("-")[0]
-        known_life = self.lives.get(peer.address, life)
-        self.lives[peer.address] = life
+        known_life = self.incarnations.get(peer.address, life)
+        self.incarnations[peer.address] = life
         if life != known_life:
             self._remind(peer)
-        if mark and _is_newer(mark, self.fetched.get(peer.address, "")):
+        if mark and _is_newer(mark, self.fetched_marks.get(peer.address, "")):
             self._begin(f"fetch {peer.address}", self._fetch(peer))
 
     def mark(self) -> str:
         """Returns the mark to show to daemons that ask; empty for none."""
-        return f"{self.life}-{self.shown}" if self.shown else ""
+        return (
+            f"{self.incarnation}-{self.shown_revision}"
+            if self.shown_revision
+            else ""
+        )
 
     # Questions of others.
 
@@ -137,14 +143,14 @@
             return self._lift(request)
         if request.method == "POST":
             return self._take(request)
-        least = LEAST_SHARED_ENDS
+        least = MIN_SHARED_CRASHES
         if request.query.get("all") == ALL:
             least = 1
         after = self._revision_of(request.query.get("since", ""))
         now = self.loop.time()
         records = self.watch.table.tell(now, after, least)
-        shown = self.watch.table.revision if least == 1 else self.shown
-        reply = Message(mark=f"{self.life}-{shown}", records=records)
+        shown = self.watch.table.revision if least == 1 else self.shown_revision
+        reply = Message(mark=f"{self.incarnation}-{shown}", records=records)
         return messages.Response(200, (), msgspec.json.encode(reply))
 
     def _take(self, request: messages.Request) -> messages.Response:
@@ -166,7 +172,11 @@
     def _revision_of(self, mark: str) -> int:
         """Returns the revision that a mark of this process stands for."""
         life, _, revision = mark.partition("-")
-        return int(revision) if life == self.life and revision.isdigit() else 0
+        return (
+            int(revision)
+            if life == self.incarnation and revision.isdigit()
+            else 0
+        )
 
     # What is learned.
 
@@ -180,10 +190,10 @@
     async def _show(self) -> None:
         """Shows a new mark if something concerns the whole fleet."""
         await asyncio.sleep(SHOW_S)
-        newest = self.watch.table.newest(LEAST_SHARED_ENDS)
-        if newest > self.shown:
-            self.shown = newest
-            self.on_shown()
+        newest = self.watch.table.newest(MIN_SHARED_CRASHES)
+        if newest > self.shown_revision:
+            self.shown_revision = newest
+            self.on_mark_change()
 
     # Messages.
 
@@ -192,7 +202,7 @@
         known = [
             record.fingerprint
             for record in self.watch.table.records.values()
-            if len(record.ends) >= LEAST_SHARED_ENDS
+            if len(record.ends) >= MIN_SHARED_CRASHES
         ]
         if known:
             pause_s = GATHER_S + self.random.random() * REMIND_WITHIN_S
@@ -223,13 +233,15 @@
         await asyncio.sleep(pause_s)
         unsent = self.unsent[peer.address]
         tries = 0
-        while unsent and tries < MOST_TRIES:
+        while unsent and tries < MAX_ATTEMPTS:
             sending = set(unsent)
             unsent.clear()
             now = self.loop.time()
             records = self.watch.table.tell_of(sending, now)
             body = msgspec.json.encode(Message(mark="", records=records))
-            outcome = await peer.user.request("POST", PATH, ANSWER_S, (), body)
+            outcome = await peer.client.request(
+                "POST", PATH, ANSWER_S, (), body
+            )
             if not isinstance(outcome, outcomes.Answered):
                 tries += 1
                 unsent |= sending
@@ -238,11 +250,11 @@
 
     async def _fetch(self, peer: peers.Peer) -> None:
         """Fetches what another daemon knows and this one may not."""
-        query = {"since": self.fetched.get(peer.address, "")}
-        if self.asked_itself:
+        query = {"since": self.fetched_marks.get(peer.address, "")}
+        if self.is_relay:
             query["all"] = ALL
         target = f"{PATH}?{parse.urlencode(query)}"
-        outcome = await peer.user.request("GET", target, ANSWER_S)
+        outcome = await peer.client.request("GET", target, ANSWER_S)
         if not isinstance(outcome, outcomes.Answered):
             return
         if outcome.response.status != 200:
@@ -252,7 +264,7 @@
         except msgspec.DecodeError as error:
             events.emit(events.PeerUnreadable(peer.address, str(error)))
             return
-        self.fetched[peer.address] = told["mark"]
+        self.fetched_marks[peer.address] = told["mark"]
         self._learn(told["records"])
 
 
--- a/banyantiller/gateway/replies.py
+++ b/banyantiller/gateway/replies.py
@@ -5,7 +5,7 @@
 from banyantiller.errors import Failure, Ran
 from banyantiller.http import messages
 
-SHORTEST_RETRY_AFTER_S = 0.001
+MIN_RETRY_AFTER_S = 0.001
 
 
 class Reply(NamedTuple):
@@ -43,6 +43,6 @@
         ("request-ran", ran.value),
     ]
     if failure.retry_after is not None:
-        seconds = max(SHORTEST_RETRY_AFTER_S, failure.retry_after)
+        seconds = max(MIN_RETRY_AFTER_S, failure.retry_after)
         headers.append(("retry-after", f"{seconds:.3f}"))
     return Reply(row.status, tuple(headers), f"{failure.kind}\n".encode())
--- a/banyantiller/gateway/requests.py
+++ b/banyantiller/gateway/requests.py
@@ -8,7 +8,7 @@
 from banyantiller.http import messages
 from banyantiller.quarantine import fingerprint
 
-MOST_DEADLINE_DIGITS = 9
+MAX_DEADLINE_DIGITS = 9
 
 
 class AmbiguousLengthError(Exception):
@@ -94,6 +94,6 @@
 
 
 def _remaining_s(text: str) -> float | None:
-    if not text.isdigit() or len(text) > MOST_DEADLINE_DIGITS:
+    if not text.isdigit() or len(text) > MAX_DEADLINE_DIGITS:
         return None
     return int(text) / 1000
--- a/banyantiller/gateway/routes.py
+++ b/banyantiller/gateway/routes.py
@@ -58,12 +58,12 @@
         are divided by weight as well: of 312 daemons with one request each 0.95
         go to a part of that weight, where even chances sent 0.54.
         """
-        total = sum(part.weight for part in route.parts)
-        if len(route.parts) == 1 or total <= 0:
-            return route.parts[0].service
+        total = sum(part.weight for part in route.weighted_services)
+        if len(route.weighted_services) == 1 or total <= 0:
+            return route.weighted_services[0].service
         point = self.points.get(route.name, self.random.random())
         self.points[route.name] = (point + GOLDEN_SECTION) % 1.0
-        weighted = [part for part in route.parts if part.weight > 0]
+        weighted = [part for part in route.weighted_services if part.weight > 0]
         left = point * total
         for part in weighted:
             left -= part.weight
@@ -75,7 +75,7 @@
 def _urgent(routes: tuple[types.Route, ...]) -> frozenset[str]:
     ranks: dict[str, set[int]] = {}
     for route in routes:
-        for part in route.parts:
+        for part in route.weighted_services:
             ranks.setdefault(part.service, set()).add(route.priority)
     return frozenset(
         route.name
@@ -83,6 +83,6 @@
         if all(
             len(ranks[part.service]) > 1
             and route.priority == min(ranks[part.service])
-            for part in route.parts
+            for part in route.weighted_services
         )
     )
--- a/banyantiller/gateway/run.py
+++ b/banyantiller/gateway/run.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from banyantiller import exceptions, plugins
-from banyantiller.gateway import events, lean
+from banyantiller.gateway import events, tls_imports
 from banyantiller.gateway import gateway as gateways
 from banyantiller.gateway import settings as options
 from banyantiller.http import messages, server
@@ -39,7 +39,7 @@
         gateway: Serves callers.
         changed_at: When the settings file was changed that is in force, in
             nanoseconds.
-        ending: Set once the daemon was told to end.
+        shutdown_requested: Set once the daemon was told to end.
         listener: Socket on which callers wait already, or None.
     """
 
@@ -62,12 +62,12 @@
         self.ready = server.HttpServer(self._answer_ready, SIDE_LIMITS)
         self.metrics = server.HttpServer(self._answer_metrics, SIDE_LIMITS)
         self.control = server.HttpServer(
-            self.gateway.answer_daemon, CONTROL_LIMITS
+            self.gateway.handle_peer, CONTROL_LIMITS
         )
         self.page: Any = None
         self.last_reason = "starting"
         self.changed_at = changed_at
-        self.ending = asyncio.Event()
+        self.shutdown_requested = asyncio.Event()
 
     async def run(self) -> int:
         """Runs until it is told to end, then drains.
@@ -75,10 +75,10 @@
         Returns:
             Number of calls that were cut.
         """
-        for follower in self.gateway.known.followers():
-            self.kernel.start(follower.kind, follower.run)
-        self.kernel.start("housekeeping", self.gateway.keep_house)
-        self.kernel.start("quarantine", self.gateway.spreader.run)
+        for follower in self.gateway.store_view.store_watchers():
+            self.kernel.start(follower.object_kind, follower.run)
+        self.kernel.start("housekeeping", self.gateway.run_housekeeping)
+        self.kernel.start("quarantine", self.gateway.quarantine_sync.run)
         self.kernel.start("settings", self._watch_settings)
         try:
             await self._listen()
@@ -87,22 +87,22 @@
                 f"An address can't be listened on: {error}."
             ) from error
         events.emit(events.Started(self.settings.callers))
-        await self.ending.wait()
-        events.emit(events.Ending(len(self.gateway.connections)))
+        await self.shutdown_requested.wait()
+        events.emit(events.ShuttingDown(len(self.gateway.connections)))
         cut = await self.gateway.drain(self.settings.drain_s)
         await self.kernel.stop()
         await self.gateway.close()
         await self.ready.close()
         await self.metrics.close()
         await self.control.close()
-        events.emit(events.Ended(cut))
+        events.emit(events.Stopped(cut))
         return cut
 
-    def follow_signals(self) -> None:
+    def install_signal_handlers(self) -> None:
         """Ends on SIGTERM and SIGINT, and reads the settings on SIGHUP."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.ending.set)
-        loop.add_signal_handler(signal.SIGINT, self.ending.set)
+        loop.add_signal_handler(signal.SIGTERM, self.shutdown_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self.shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def _listen(self) -> None:
@@ -148,7 +148,7 @@
         if self.page is None:
             # Their libraries insist on the one for TLS. Loading takes half a
             # second: not on the thread of the calls.
-            lean.allow_tls()
+            tls_imports.allow_tls()
             module = await asyncio.to_thread(
                 importlib.import_module, "banyantiller.gateway.metrics"
             )
@@ -203,5 +203,5 @@
     output = sink.Sink(sys.stdout.fileno())
     logs.configure(settings.log, output, daemon=settings.daemon)
     daemon = Daemon(path, settings, changed_at, listener)
-    daemon.follow_signals()
+    daemon.install_signal_handlers()
     return await daemon.run()
--- a/banyantiller/gateway/sampling.py
+++ b/banyantiller/gateway/sampling.py
@@ -9,16 +9,16 @@
 BAD_LINES_S = 400
 
 
-class Skipped(NamedTuple):
+class SkippedCalls(NamedTuple):
     """Calls of the last second without a line.
 
     Attributes:
-        good: Calls that went well.
-        bad: Calls that failed.
+        successful: Calls that went well.
+        failed: Calls that failed.
     """
 
-    good: int
-    bad: int
+    successful: int
+    failed: int
 
 
 class CallSampler:
@@ -26,31 +26,32 @@
 
     Attributes:
         second: The present second of the loop's clock.
-        good: Good calls in it.
-        bad: Other calls in it.
+        successful: Good calls in it.
+        failed: Other calls in it.
     """
 
     def __init__(self) -> None:
         self.second = 0
-        self.good = 0
-        self.bad = 0
+        self.successful = 0
+        self.failed = 0
 
-    def turn(self, now: float) -> Skipped | None:
+    def begin_second(self, now: float) -> SkippedCalls | None:
         """Begins a new second; returns what the last one left out, if any."""
         if int(now) == self.second:
             return None
-        skipped = Skipped(
-            max(0, self.good - GOOD_LINES_S), max(0, self.bad - BAD_LINES_S)
+        skipped = SkippedCalls(
+            max(0, self.successful - GOOD_LINES_S),
+            max(0, self.failed - BAD_LINES_S),
         )
         self.second = int(now)
-        self.good = 0
-        self.bad = 0
+        self.successful = 0
+        self.failed = 0
         return skipped if any(skipped) else None
 
-    def take(self, good: bool) -> bool:
+    def should_log(self, successful: bool) -> bool:
         """Tells whether a call that ended now gets a line."""
-        if good:
-            self.good += 1
-            return self.good <= GOOD_LINES_S
-        self.bad += 1
-        return self.bad <= BAD_LINES_S
+        if successful:
+            self.successful += 1
+            return self.successful <= GOOD_LINES_S
+        self.failed += 1
+        return self.failed <= BAD_LINES_S
--- a/banyantiller/gateway/servers.py
+++ b/banyantiller/gateway/servers.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from banyantiller.gateway import events, types
-from banyantiller.gateway.decisions import beliefs
+from banyantiller.gateway.decisions import server_health
 
 # Registrations that lapsed while the store was away come back within about
 # 2 s of its return; a little less keeps within the time that a leaving
@@ -14,7 +14,7 @@
 LAPSED_GRACE_S = 1.8
 
 
-class Start(NamedTuple):
+class Incarnation(NamedTuple):
     """What tells the starts of one server apart.
 
     Attributes:
@@ -28,23 +28,23 @@
     port: int
 
     @classmethod
-    def of(cls, server: types.Server) -> "Start":
+    def of(cls, server: types.Server) -> "Incarnation":
         """Returns the start that a registration is of."""
         return cls(server.started_ms, server.host, server.port)
 
 
-class Entry:
+class ServerEntry:
     """One registered server and what is believed of it.
 
     Attributes:
         server: The registration.
-        belief: What this daemon saw of it.
+        health: What this daemon saw of it.
         warm_at: Loop time at which it is as fast as usual.
-        said_cold_until: The same, as it said itself when it was asked.
-        sent_cold_at: When it got the last request while it was cold.
+        reported_cold_until: The same, as it said itself when it was asked.
+        last_cold_send_at: When it got the last request while it was cold.
         in_flight: Requests of this daemon at the server.
         sends: Requests of this daemon so far.
-        failed: Of these, those without an answer that can be used.
+        failed_sends: Of these, those without an answer that can be used.
         without_load: Whether it told no load where others of its service do.
         lapses_at: Loop time at which a registration that vanished with the
             store's outage counts as gone, or None.
@@ -53,26 +53,26 @@
 
     def __init__(self, server: types.Server, now: float) -> None:
         self.server = server
-        self.belief = beliefs.Belief()
+        self.health = server_health.ServerHealth()
         self.warm_at = now + server.warmup_s
-        self.said_cold_until = -math.inf
-        self.sent_cold_at = -math.inf
+        self.reported_cold_until = -math.inf
+        self.last_cold_send_at = -math.inf
         self.in_flight = 0
         self.sends = 0
-        self.failed = 0
+        self.failed_sends = 0
         self.without_load = False
         self.lapses_at: float | None = None
         self.evacuated = False
 
-    def note_warmup(self, warmup_s: float, now: float) -> None:
+    def record_warmup(self, warmup_s: float, now: float) -> None:
         """Notes for how long it says that it is still cold."""
         self.warm_at = now + warmup_s
-        self.said_cold_until = self.warm_at
+        self.reported_cold_until = self.warm_at
 
-    def note_cold_send(self, now: float) -> None:
+    def record_cold_send(self, now: float) -> None:
         """Notes that it gets a request, which counts while it is cold."""
         if now < self.warm_at:
-            self.sent_cold_at = now
+            self.last_cold_send_at = now
 
     def usable(self, now: float) -> bool:
         """Tells whether it may get new requests."""
@@ -92,19 +92,19 @@
     Attributes:
         entries: Entries by instance.
         by_service: Entries by service and instance.
-        started: Latest start that was seen of each instance, in Unix
+        latest_start_ms: Latest start that was seen of each instance, in Unix
             milliseconds; kept for instances that are gone.
-        left: The start with which an instance said that it leaves. That one
-            stays out for the life of this process.
+        left_incarnations: The start with which an instance said that it leaves.
+            That one stays out for the life of this process.
         evacuated: Availability zones whose servers get no requests, or None
             while they are not known; no server gets requests then.
     """
 
     def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}
-        self.by_service: dict[str, dict[str, Entry]] = {}
-        self.started: dict[str, int] = {}
-        self.left: dict[str, Start] = {}
+        self.entries: dict[str, ServerEntry] = {}
+        self.by_service: dict[str, dict[str, ServerEntry]] = {}
+        self.latest_start_ms: dict[str, int] = {}
+        self.left_incarnations: dict[str, Incarnation] = {}
         self.evacuated: frozenset[str] | None = None
 
     def put(self, server: types.Server, now: float) -> types.Server | None:
@@ -113,18 +113,18 @@
         Returns:
             The earlier start of the same server that this one replaces.
         """
-        latest = self.started.get(server.instance, server.started_ms)
+        latest = self.latest_start_ms.get(server.instance, server.started_ms)
         if server.started_ms < latest:
             return None
-        self.started[server.instance] = server.started_ms
+        self.latest_start_ms[server.instance] = server.started_ms
         before = None
-        start = Start.of(server)
+        start = Incarnation.of(server)
         held = self.entries.get(server.instance)
-        if held is not None and Start.of(held.server) != start:
+        if held is not None and Incarnation.of(held.server) != start:
             before = self.remove(server.instance, "started_again")
         if server.leaving:
-            self.left[server.instance] = start
-        elif self.left.get(server.instance) == start:
+            self.left_incarnations[server.instance] = start
+        elif self.left_incarnations.get(server.instance) == start:
             server = server._replace(leaving=True)
         self._put(server, now)
         return before
@@ -132,7 +132,7 @@
     def _put(self, server: types.Server, now: float) -> None:
         entry = self.entries.get(server.instance)
         if entry is None:
-            entry = Entry(server, now)
+            entry = ServerEntry(server, now)
             self.entries[server.instance] = entry
             self._of(server.service)[server.instance] = entry
             events.emit(events.ServerJoined(*_described(server)))
@@ -148,20 +148,22 @@
         entry.lapses_at = None
         entry.warm_at = max(entry.warm_at, now + server.warmup_s)
 
-    def evacuate(self, zones: frozenset[str]) -> None:
+    def set_evacuated_zones(self, zones: frozenset[str]) -> None:
         """Lets the servers of some zones get no requests, and others again."""
         self.evacuated = zones
         for entry in self.entries.values():
             entry.evacuated = self._is_evacuated(entry.server)
 
-    def only_evacuated(self, service: str, now: float) -> bool:
+    def all_evacuated(self, service: str, now: float) -> bool:
         """Tells whether all servers of a service are in evacuated zones."""
         entries = self.by_service.get(service, {}).values()
         if any(entry.usable(now) for entry in entries):
             return False
         return any(entry.evacuated for entry in entries)
 
-    def doubt(self, instances: Iterable[str], until: float, now: float) -> None:
+    def mark_failing(
+        self, instances: Iterable[str], until: float, now: float
+    ) -> None:
         """Takes servers for failing that failed several other daemons.
 
         Not if they are half of a service or more: then the fault may be shared,
@@ -173,25 +175,25 @@
             service = entry.server.service
             if 2 * counts[service] >= len(self.by_service[service]):
                 continue
-            if entry.belief.doubt(until, now):
-                events.emit(events.ServerDoubted(entry.server.instance))
+            if entry.health.mark_failing(until, now):
+                events.emit(events.ServerReportedFailing(entry.server.instance))
 
-    def in_zone(self, zone: str) -> int:
+    def count_in_zone(self, zone: str) -> int:
         """Counts the servers of an availability zone."""
         return sum(e.server.zone == zone for e in self.entries.values())
 
-    def holds(self, server: types.Server) -> bool:
+    def is_registered(self, server: types.Server) -> bool:
         """Tells whether a server is still registered as the same start."""
         entry = self.entries.get(server.instance)
         if entry is None:
             return False
         # Asked with each question to a server, and usually of the same object.
         same = entry.server is server
-        return same or Start.of(entry.server) == Start.of(server)
+        return same or Incarnation.of(entry.server) == Incarnation.of(server)
 
-    def stays(self, server: types.Server) -> bool:
+    def is_staying(self, server: types.Server) -> bool:
         """Tells whether a server is registered and has not said it leaves."""
-        if not self.holds(server):
+        if not self.is_registered(server):
             return False
         return not self.entries[server.instance].server.leaving
 
@@ -201,7 +203,7 @@
         if entry is None:
             return None
         self._of(entry.server.service).pop(instance, None)
-        events.emit(events.ServerGone(instance, reason))
+        events.emit(events.ServerRemoved(instance, reason))
         return entry.server
 
     def lapse(self, instance: str, now: float) -> None:
@@ -221,7 +223,7 @@
         gone = [self.remove(name, "registration_lapsed") for name in late]
         return [server for server in gone if server is not None]
 
-    def absent(self, present: Iterable[str]) -> list[str]:
+    def instances_missing_from(self, present: Iterable[str]) -> list[str]:
         """Returns the known instances that a list does not have."""
         return sorted(set(self.entries) - set(present))
 
@@ -229,7 +231,7 @@
         """Returns all registrations."""
         return [entry.server for entry in self.entries.values()]
 
-    def usable(self, service: str, now: float) -> list[Entry]:
+    def usable(self, service: str, now: float) -> list[ServerEntry]:
         """Returns the servers of a service that may get new requests."""
         found = self.by_service.get(service, {})
         return [entry for entry in found.values() if entry.usable(now)]
@@ -237,7 +239,7 @@
     def _is_evacuated(self, server: types.Server) -> bool:
         return self.evacuated is None or server.zone in self.evacuated
 
-    def _of(self, service: str) -> dict[str, Entry]:
+    def _of(self, service: str) -> dict[str, ServerEntry]:
         return self.by_service.setdefault(service, {})
 
 
--- a/banyantiller/gateway/knowledge.py
+++ b/banyantiller/gateway/store_view.py
@@ -9,17 +9,21 @@
 from banyantiller.gateway import (
     evacuations,
     events,
-    following,
     mirror,
     peers,
     routes,
     servers,
-    sharing,
+    shared_reading,
+    store_watching,
     tallies,
     types,
 )
 from banyantiller.gateway import settings as options
-from banyantiller.gateway.decisions import failing, reading, refusing
+from banyantiller.gateway.decisions import (
+    failure_reports,
+    retry_after,
+    store_reads,
+)
 from banyantiller.store import interface
 
 # How long callers of a daemon that starts wait for the first document and list
@@ -35,27 +39,27 @@
 OWN_REPORT = ""
 
 
-class Knowledge:
+class StoreView:
     """Takes what the followers of the store read.
 
     Attributes:
         adapter: What is known of the surroundings.
         routes: Routes of the document in force, or None before the first.
         table: Servers that registered.
-        zones: Availability zones that are evacuated.
-        listed: Whether the registered servers were read once.
+        evacuations: Availability zones that are evacuated.
+        servers_listed: Whether the registered servers were read once.
         complete: Set once there is a document, and the servers and the
             evacuated zones are listed.
-        begun: Loop time at which reading began.
-        limits: Limits for callers in force.
-        health: Whether the store answers.
+        started_at: Loop time at which reading began.
+        caller_limits: Limits for callers in force.
+        store_health: Whether the store answers.
         mirror: What other daemons are told of the store.
         reader: Reads the store, also through other daemons.
-        gone: Called with each server that was taken out.
+        on_server_removed: Called with each server that was taken out.
         on_first_document: Called when the first document is in force.
-        ending: Whether this daemon was told to end.
+        shutting_down: Whether this daemon was told to end.
         newest_unreadable: Whether the newest document can't be read.
-        own_failures: Servers that failed this daemon.
+        local_failures: Servers that failed this daemon.
         unreadable: What is wrong with registrations that can't be read, by
             instance.
     """
@@ -66,46 +70,48 @@
         adapter: types.Adapter,
         counts: tallies.Tallies,
         rng: random.Random,
-        gone: Callable[[types.Server], None],
+        on_server_removed: Callable[[types.Server], None],
     ) -> None:
         self.adapter = adapter
-        self.counts = counts
+        self.tallies = counts
         self.random = rng
-        self.gone = gone
+        self.on_server_removed = on_server_removed
         self.on_first_document: Callable[[], None] = lambda: None
-        self.ending = False
+        self.shutting_down = False
         self.newest_unreadable = False
         self.unreadable: dict[str, str] = {}
-        self.own_failures = failing.OwnFailures()
+        self.local_failures = failure_reports.LocalFailures()
         self.loop = asyncio.get_running_loop()
         self.routes: routes.RouteTable | None = None
         self.table = servers.ServerTable()
-        self.zones = evacuations.Evacuations(self.table, self._note_complete)
-        self.listed = False
+        self.evacuations = evacuations.Evacuations(
+            self.table, self._note_complete
+        )
+        self.servers_listed = False
         self.complete = asyncio.Event()
-        self.begun = self.loop.time()
-        self.limits = types.CallerLimits()
-        self.health = following.StoreHealth()
+        self.started_at = self.loop.time()
+        self.caller_limits = types.CallerLimits()
+        self.store_health = store_watching.StoreHealth()
         self.mirror = mirror.Mirror(self._status, adapter.document_kind)
-        self.health.on_lost = self.mirror.wake
-        self.mirror.on_demand = self._begin_anew
-        reliance = reading.Reliance(
+        self.store_health.on_lost = self.mirror.wake
+        self.mirror.on_first_subscriber = self._begin_anew
+        reliance = store_reads.StoreReadPolicy(
             min(settings.apply_s, settings.leave_s), self.loop.time()
         )
-        self.reader = sharing.SharedReader(
+        self.reader = shared_reading.SharedReader(
             adapter.store,
             self.mirror,
             adapter.document_kind,
-            _others(settings, reliance.patience_s),
+            _others(settings, reliance.max_peer_age_s),
             settings.control if settings.control in settings.seeds else "",
             rng,
             reliance,
             frozenset((adapter.evacuation_kind,)),
         )
-        for peer in self.reader.others:
+        for peer in self.reader.relays:
             peer.failing = self._failing
-            peer.on_doubted = self._doubted
-        self.mirror.doubted = self._told_doubted
+            peer.on_failing_servers = self._doubted
+        self.mirror.failing_servers = self._told_doubted
 
     @property
     def version(self) -> int:
@@ -126,7 +132,7 @@
 
     def is_current(self) -> bool:
         """Tells whether the document counts as the newest."""
-        if self.health.lost_at is not None or self.newest_unreadable:
+        if self.store_health.lost_at is not None or self.newest_unreadable:
             return False
         return self.document_age_s() <= CURRENT_S
 
@@ -142,7 +148,7 @@
         if self.is_current():
             return Failure(kind)
         unsure = ErrorKind.FENCED if self.routes else ErrorKind.NO_BUNDLE
-        return Failure(unsure, retry_after=refusing.START_RETRY_AFTER_S)
+        return Failure(unsure, retry_after=retry_after.START_RETRY_AFTER_S)
 
     def service(self, name: str) -> types.Service | None:
         """Returns a service of the document in force, or None."""
@@ -150,37 +156,42 @@
             return None
         return self.routes.document.services.get(name)
 
-    def followers(self) -> list[following.Follower]:
+    def store_watchers(self) -> list[store_watching.StoreWatcher]:
         """Returns the tasks that follow the store."""
-        document = following.Handlers(
+        document = store_watching.Handlers(
             self._documents_listed, self._document_changed, self._ignore
         )
-        registrations = following.Handlers(
+        registrations = store_watching.Handlers(
             self._servers_listed, self._server_changed, self._server_removed
         )
         adapter = self.adapter
         wanted = (
-            (adapter.document_kind, document, following.DOCUMENT_PACE),
-            (adapter.server_kind, registrations, following.SERVER_PACE),
+            (adapter.document_kind, document, store_watching.DOCUMENT_TIMING),
+            (adapter.server_kind, registrations, store_watching.SERVER_TIMING),
             (
                 adapter.evacuation_kind,
-                self.zones.handlers(),
-                following.EVACUATION_PACE,
+                self.evacuations.handlers(),
+                store_watching.EVACUATION_TIMING,
             ),
         )
         return [
-            following.Follower(
-                self.reader, kind, handlers, pace, self.health, self.random
+            store_watching.StoreWatcher(
+                self.reader,
+                kind,
+                handlers,
+                pace,
+                self.store_health,
+                self.random,
             )
             for kind, handlers, pace in wanted
         ]
 
-    async def first_read(self) -> None:
+    async def wait_for_first_read(self) -> None:
         """Waits for what a daemon that just started is about to know."""
-        left_s = self.begun + FIRST_READ_S - self.loop.time()
+        left_s = self.started_at + FIRST_READ_S - self.loop.time()
         if self.complete.is_set():
             return
-        self.reader.hurry()
+        self.reader.skip_start_pause()
         if left_s <= 0:
             return
         try:
@@ -189,25 +200,25 @@
         except TimeoutError:
             return
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Lets other daemons ask somebody else."""
-        self.ending = True
+        self.shutting_down = True
         self.mirror.wake()
 
-    def moved(self, server: types.Server) -> None:
+    def remove_moved(self, server: types.Server) -> None:
         """Takes out a server whose address another instance has.
 
         One that registered anew since it was asked stays: the store tells a
         registration only when it changes, so it would stay out.
         """
-        if self.table.holds(server):
+        if self.table.is_registered(server):
             self.table.remove(server.instance, "address_reused")
-            self.gone(server)
+            self.on_server_removed(server)
 
     def expire(self, now: float) -> None:
         """Takes out servers whose registration did not come back."""
         for server in self.table.expire(now):
-            self.gone(server)
+            self.on_server_removed(server)
 
     # Called by the followers.
 
@@ -224,7 +235,7 @@
             document = self.adapter.read_document(item.value)
         except ValueError as error:
             self.newest_unreadable = True
-            self.counts.documents["unreadable"] += 1
+            self.tallies.documents["unreadable"] += 1
             events.emit(events.DocumentUnreadable(str(error)))
             return
         self.newest_unreadable = False
@@ -232,15 +243,15 @@
         if document.version <= held:
             return
         self.routes = routes.RouteTable(document, self.random)
-        self.limits = document.limits
+        self.caller_limits = document.limits
         self._note_complete()
-        self.counts.documents["in_force"] += 1
+        self.tallies.documents["in_force"] += 1
         events.emit(
             events.DocumentInForce(
                 version=document.version,
                 before=held,
                 routes=len(document.routes),
-                through=self.reader.heard_through,
+                through=self.reader.confirmed_by,
                 unconfirmed_ms=round(self.reader.unconfirmed_s * 1000, 1),
             )
         )
@@ -252,13 +263,15 @@
     ) -> None:
         for item in items:
             self._server_changed(item)
-        for instance in self.table.absent(item.name for item in items):
+        for instance in self.table.instances_missing_from(
+            item.name for item in items
+        ):
             self._server_deleted(instance)
-        self.listed = True
+        self.servers_listed = True
         self._note_complete()
 
     def _note_complete(self) -> None:
-        known = self.listed and self.zones.listed
+        known = self.servers_listed and self.evacuations.listed
         if known and self.routes is not None:
             self.complete.set()
 
@@ -269,23 +282,23 @@
             self._registration_unreadable(item.name, str(error))
             return
         self.unreadable.pop(item.name, None)
-        self.counts.registrations["read"] += 1
+        self.tallies.registrations["read"] += 1
         before = self.table.put(server, self.loop.time())
         if before is not None:
-            self.gone(before)
+            self.on_server_removed(before)
 
     def _registration_unreadable(self, instance: str, error: str) -> None:
         """Takes out a server whose registration another writer spoilt.
 
         One line is logged as long as the same is wrong with it.
         """
-        self.counts.registrations["unreadable"] += 1
+        self.tallies.registrations["unreadable"] += 1
         if self.unreadable.get(instance) != error:
             self.unreadable[instance] = error
             events.emit(events.RegistrationUnreadable(instance, error))
         server = self.table.remove(instance, "registration_unreadable")
         if server is not None:
-            self.gone(server)
+            self.on_server_removed(server)
 
     def _server_removed(self, item: interface.StoredObject) -> None:
         self._server_deleted(item.name)
@@ -293,33 +306,35 @@
     def _server_deleted(self, instance: str) -> None:
         now = self.loop.time()
         self.unreadable.pop(instance, None)
-        if self.health.may_have_lapsed(now):
+        if self.store_health.may_have_lapsed(now):
             self.table.lapse(instance, now)
             return
         server = self.table.remove(instance, "registration_removed")
         if server is not None:
-            self.gone(server)
+            self.on_server_removed(server)
 
     # Servers that fail.
 
     def _failing(self) -> list[str]:
         """Returns the servers that this daemon tells others of."""
         now = self.loop.time()
-        reported = self.mirror.reports.doubted(now)
-        return sorted({*self.own_failures.recent(now), *reported})
+        reported = self.mirror.failure_reports.failing_servers(now)
+        return sorted({*self.local_failures.recent(now), *reported})
 
     def _told_doubted(self) -> list[str]:
         """Returns the servers that those who ask this daemon should doubt."""
         now = self.loop.time()
-        own = self.own_failures.recent(now)
-        self.mirror.reports.take(OWN_REPORT, own, now)
-        doubted = self.mirror.reports.doubted(now)
+        own = self.local_failures.recent(now)
+        self.mirror.failure_reports.receive(OWN_REPORT, own, now)
+        doubted = self.mirror.failure_reports.failing_servers(now)
         self._doubted(doubted)
         return doubted
 
     def _doubted(self, instances: list[str]) -> None:
         now = self.loop.time()
-        self.table.doubt(instances, now + failing.HELD_S, now)
+        self.table.mark_failing(
+            instances, now + failure_reports.REPORT_VALID_S, now
+        )
 
     def _ignore(self, item: interface.StoredObject) -> None:
         events.emit(events.DocumentRemoved(item.name))
@@ -328,16 +343,16 @@
 
     def _status(self) -> int:
         """Returns the status with which other daemons are answered."""
-        if self.ending:
+        if self.shutting_down:
             return mirror.NOT_READY_STATUS
-        if self.health.lost_at is not None:
+        if self.store_health.lost_at is not None:
             return mirror.STORE_LOST_STATUS
         return 200
 
     def _begin_anew(self) -> None:
         # What waits for seconds would notice the store's loss too late.
-        for follower in self.health.watchers:
-            follower.begin_anew.set()
+        for follower in self.store_health.watchers:
+            follower.restart.set()
 
 
 def _others(settings: options.Settings, patience_s: float) -> list[peers.Peer]:
--- a/banyantiller/gateway/following.py
+++ b/banyantiller/gateway/store_watching.py
@@ -11,14 +11,14 @@
 # Pauses between tries while the store gives no answer: with the timeout of a
 # call, 1 s, its return is seen within 1.8 s.
 FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.8
+MAX_PAUSE_S = 0.8
 # Registrations lapse after three heartbeats; a shorter outage loses none.
 LAPSE_OUTAGE_S = 1.0
 # How long after its return the store may still be short of registrations.
 RETURN_S = 2.5
 
 
-class Pace(NamedTuple):
+class WatchTiming(NamedTuple):
     """How often a kind is read.
 
     Attributes:
@@ -34,27 +34,27 @@
 # A connection that went silent at the store hides a change for as long as a
 # call waits. A document must be in force 2 s after its acceptance, with 3 s of
 # undisturbed store before.
-DOCUMENT_PACE = Pace(wait_s=3.0, period_s=0.0)
+DOCUMENT_TIMING = WatchTiming(wait_s=3.0, period_s=0.0)
 # Registrations come in series; a leaving server may get requests for 2 s, so
 # one call brings what changed within 0.8 s. A lost store is noticed by the
 # kind of the documents.
-SERVER_PACE = Pace(wait_s=10.0, period_s=0.8)
+SERVER_TIMING = WatchTiming(wait_s=10.0, period_s=0.8)
 # Zones are evacuated rarely, and each evacuation has to be known at once.
-EVACUATION_PACE = Pace(wait_s=10.0, period_s=0.0)
+EVACUATION_TIMING = WatchTiming(wait_s=10.0, period_s=0.0)
 
 
 class Handlers(NamedTuple):
     """What is called with the objects of a kind.
 
     Attributes:
-        listed: Takes all objects that exist.
-        changed: Takes an object that was created or changed.
-        deleted: Takes an object that was removed, as it was.
+        on_listed: Takes all objects that exist.
+        on_changed: Takes an object that was created or changed.
+        on_deleted: Takes an object that was removed, as it was.
     """
 
-    listed: Callable[[tuple[interface.StoredObject, ...]], None]
-    changed: Callable[[interface.StoredObject], None]
-    deleted: Callable[[interface.StoredObject], None]
+    on_listed: Callable[[tuple[interface.StoredObject, ...]], None]
+    on_changed: Callable[[interface.StoredObject], None]
+    on_deleted: Callable[[interface.StoredObject], None]
 
 
 class StoreHealth:
@@ -65,18 +65,18 @@
         lapsed_until: Loop time until which missing objects may come back.
         watchers: Followers that are told when the store is lost.
         on_lost: Called when the store is lost.
-        back: Set while the store answers.
+        available: Set while the store answers.
     """
 
     def __init__(self) -> None:
         self.lost_at: float | None = None
         self.lapsed_until = 0.0
-        self.watchers: list[Follower] = []
+        self.watchers: list[StoreWatcher] = []
         self.on_lost: Callable[[], None] = lambda: None
-        self.back = asyncio.Event()
-        self.back.set()
+        self.available = asyncio.Event()
+        self.available.set()
 
-    def answered(self, now: float) -> None:
+    def record_response(self, now: float) -> None:
         """Notes an answer of the store."""
         if self.lost_at is None:
             return
@@ -85,9 +85,9 @@
             self.lapsed_until = now + RETURN_S
         events.emit(events.StoreBack(round(away_s, 3)))
         self.lost_at = None
-        self.back.set()
+        self.available.set()
 
-    def failed(self, kind: str, reason: str, now: float) -> None:
+    def record_failure(self, kind: str, reason: str, now: float) -> None:
         """Notes a call without an answer; other waiting calls begin anew.
 
         A call that waits on a connection gone silent would notice much later.
@@ -96,57 +96,57 @@
             return
         self.lost_at = now
         events.emit(events.StoreLost(kind, reason))
-        self.back.clear()
+        self.available.clear()
         self.on_lost()
         for watcher in self.watchers:
-            if watcher.kind != kind:
-                watcher.begin_anew.set()
+            if watcher.object_kind != kind:
+                watcher.restart.set()
 
     def may_have_lapsed(self, now: float) -> bool:
         """Tells whether an object may be missing because of an outage."""
         return self.lost_at is not None or now < self.lapsed_until
 
 
-class Follower:
+class StoreWatcher:
     """Lists a kind once and then reads its changes.
 
     Attributes:
-        kind: Kind of the objects.
-        pace: How often it is read. The first follower tries a lost store; the
+        object_kind: Kind of the objects.
+        timing: How often it is read. The first follower tries a lost store; the
             others wait for its return, since each call is paid for.
         version: Version up to which all changes were seen, or empty.
-        begin_anew: Set to end a call that waits.
+        restart: Set to end a call that waits.
         pause_s: Pause after the next failure, in seconds.
     """
 
     def __init__(
         self,
         store: interface.ObjectReader,
-        kind: str,
+        object_kind: str,
         handlers: Handlers,
-        pace: Pace,
-        health: StoreHealth,
+        timing: WatchTiming,
+        store_health: StoreHealth,
         rng: random.Random,
     ) -> None:
         self.store = store
-        self.kind = kind
+        self.object_kind = object_kind
         self.handlers = handlers
-        self.pace = pace
-        self.health = health
+        self.timing = timing
+        self.store_health = store_health
         self.random = rng
         self.loop = asyncio.get_running_loop()
         self.version = ""
-        self.begin_anew = asyncio.Event()
+        self.restart = asyncio.Event()
         self.pause_s = FIRST_PAUSE_S
-        self.leads = not health.watchers
-        health.watchers.append(self)
+        self.leads = not store_health.watchers
+        store_health.watchers.append(self)
 
     async def run(self) -> None:
         """Follows until cancelled."""
         while True:
-            self.begin_anew.clear()
+            self.restart.clear()
             step = asyncio.ensure_future(self._step())
-            ended = asyncio.ensure_future(self.begin_anew.wait())
+            ended = asyncio.ensure_future(self.restart.wait())
             both = {step, ended}
             try:
                 await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
@@ -163,15 +163,17 @@
             return
         while True:
             began = self.loop.time()
-            lost = self.health.lost_at is not None
-            wait_s = 0.0 if lost else self.pace.wait_s
-            found = await self.store.changes(self.kind, self.version, wait_s)
+            lost = self.store_health.lost_at is not None
+            wait_s = 0.0 if lost else self.timing.wait_s
+            found = await self.store.changes(
+                self.object_kind, self.version, wait_s
+            )
             if isinstance(found, interface.Unavailable):
                 await self._failed(found)
                 return
             self._answered()
             if isinstance(found, interface.Gone):
-                events.emit(events.HistoryGone(self.kind))
+                events.emit(events.HistoryLost(self.object_kind))
                 self.version = ""
                 return
             self.version = found.version
@@ -179,34 +181,36 @@
                 self._take(event)
             if found.events and not found.second_hand:
                 await asyncio.sleep(
-                    began + self.pace.period_s - self.loop.time()
+                    began + self.timing.period_s - self.loop.time()
                 )
 
     async def _list(self) -> bool:
-        found = await self.store.list(self.kind)
+        found = await self.store.list(self.object_kind)
         if isinstance(found, interface.Unavailable):
             await self._failed(found)
             return False
         if not found.second_hand:
             self._answered()
-        self.handlers.listed(found.items)
+        self.handlers.on_listed(found.items)
         self.version = found.version
         return True
 
     def _take(self, event: interface.Changed | interface.Deleted) -> None:
         if isinstance(event, interface.Changed):
-            self.handlers.changed(event.item)
+            self.handlers.on_changed(event.item)
         else:
-            self.handlers.deleted(event.item)
+            self.handlers.on_deleted(event.item)
 
     def _answered(self) -> None:
         self.pause_s = FIRST_PAUSE_S
-        self.health.answered(self.loop.time())
+        self.store_health.record_response(self.loop.time())
 
     async def _failed(self, found: interface.Unavailable) -> None:
-        self.health.failed(self.kind, found.reason, self.loop.time())
+        self.store_health.record_failure(
+            self.object_kind, found.reason, self.loop.time()
+        )
         pause_s = self.pause_s * self.random.uniform(0.5, 1.0)
-        self.pause_s = min(self.pause_s * 2, LONGEST_PAUSE_S)
+        self.pause_s = min(self.pause_s * 2, MAX_PAUSE_S)
         await asyncio.sleep(min(pause_s, found.again_s))
         if not self.leads:
-            await self.health.back.wait()
+            await self.store_health.available.wait()
--- a/banyantiller/gateway/tallies.py
+++ b/banyantiller/gateway/tallies.py
@@ -17,10 +17,10 @@
         calls: Finished calls by service, route and status.
         errors: Calls ended by a failure of this program's, by service and
             kind.
-        repeats: Repeated sends by service.
+        retries: Repeated sends by service.
         latency: Calls by service and upper end of the latency bucket.
         seconds: Total time of calls by service, in seconds.
-        tries: Tries that failed, by service and kind.
+        failed_attempts: Tries that failed, by service and kind.
         opened: New connections to servers by reason.
         documents: Documents by outcome: "in_force" or "unreadable".
         registrations: Registrations by outcome: "read" or "unreadable".
@@ -33,17 +33,19 @@
         self.errors: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
-        self.repeats: collections.Counter[str] = collections.Counter()
+        self.retries: collections.Counter[str] = collections.Counter()
         self.latency: collections.Counter[tuple[str, float]] = (
             collections.Counter()
         )
         self.seconds: collections.Counter[str] = collections.Counter()
-        self.tries: collections.Counter[tuple[str, str]] = collections.Counter()
+        self.failed_attempts: collections.Counter[tuple[str, str]] = (
+            collections.Counter()
+        )
         self.opened: collections.Counter[str] = collections.Counter()
         self.documents: collections.Counter[str] = collections.Counter()
         self.registrations: collections.Counter[str] = collections.Counter()
 
-    def finished(
+    def record_call(
         self,
         service: str,
         route: str,
@@ -57,7 +59,7 @@
         if error is not None:
             self.errors[service, error.value] += 1
         if sends > 1:
-            self.repeats[service] += sends - 1
+            self.retries[service] += sends - 1
         bucket = next(end for end in BUCKETS_S if duration_s <= end)
         self.latency[service, bucket] += 1
         self.seconds[service] += duration_s
--- a/banyantiller/gateway/lean.py
+++ b/banyantiller/gateway/tls_imports.py
@@ -10,7 +10,7 @@
 LIBRARIES = ("ssl", "_hashlib")
 
 
-def forgo_tls() -> None:
+def block_tls() -> None:
     """Makes imports of the library fail, which its users here cope with.
 
     Has to be called before asyncio is imported.
--- a/banyantiller/gateway/types.py
+++ b/banyantiller/gateway/types.py
@@ -7,7 +7,7 @@
 from banyantiller.store import interface
 
 
-class Part(NamedTuple):
+class WeightedService(NamedTuple):
     """One service that takes a share of a route's requests.
 
     Attributes:
@@ -31,7 +31,7 @@
         objective_s: Latency objective, in seconds.
         priority: Rank; 0 is the most urgent.
         max_attempts: Most servers that one request may be sent to.
-        parts: Services and their shares; at least one.
+        weighted_services: Services and their shares; at least one.
     """
 
     name: str
@@ -42,7 +42,7 @@
     objective_s: float
     priority: int
     max_attempts: int
-    parts: tuple[Part, ...]
+    weighted_services: tuple[WeightedService, ...]
 
 
 class Service(NamedTuple):
--- a/banyantiller/platform/documents.py
+++ b/banyantiller/platform/documents.py
@@ -117,14 +117,16 @@
         )
     except KeyError as error:
         raise ValueError(f"{place}: {error} is missing") from error
-    for part in route.parts:
+    for part in route.weighted_services:
         if part.service not in services:
             raise ValueError(f"{place}: no service is named '{part.service}'")
     return route
 
 
-def _parts(fields: RouteFields) -> tuple[types.Part, ...]:
+def _parts(fields: RouteFields) -> tuple[types.WeightedService, ...]:
     split = fields.get("trafficSplit")
     if split:
-        return tuple(types.Part(p["service"], p["weight"]) for p in split)
-    return (types.Part(fields["service"], 1.0),)
+        return tuple(
+            types.WeightedService(p["service"], p["weight"]) for p in split
+        )
+    return (types.WeightedService(fields["service"], 1.0),)
