--- a/banyantiller/replay/selector_inputs.py
+++ b/banyantiller/replay/selector_inputs.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from banyantiller.gateway import asking, servers, types
+from banyantiller.gateway import probing, servers, types
 from banyantiller.gateway.decisions import selection
 from banyantiller.replay import recording, traces
 
@@ -131,7 +131,7 @@
 
     def __init__(
         self,
-        selector: selection.Selector,
+        selector: selection.ServerSelector,
         lines: recording.Recording,
         clock: Callable[[], float],
     ) -> None:
@@ -139,51 +139,53 @@
         self.recording = lines
         self.clock = clock
         self.count = 0
-        self.rounds: list[tuple[selection.Round, int]] = []
+        self.rounds: list[tuple[selection.ProbePlan, int]] = []
 
-    def first(
+    def first_probes(
         self,
         service: str,
-        usable: list[servers.Entry],
+        usable: list[servers.ServerEntry],
         connected: selection.Connected = selection.UNCONNECTED,
-    ) -> selection.Round:
-        """See `Selector.first`."""
-        found = self.selector.first(service, usable, connected)
+    ) -> selection.ProbePlan:
+        """See `ServerSelector.first_probes`."""
+        found = self.selector.first_probes(service, usable, connected)
         self.count += 1
         self.rounds.append((found, self.count))
-        asked = _names(found.asked)
+        asked = _names(found.probed)
         idle, busy = map(tuple, map(sorted, connected))
         self._note(
             First(self.count, service, _names(usable), asked, idle, busy)
         )
         return found
 
-    def more(
+    def more_probes(
         self,
         service: str,
-        usable: list[servers.Entry],
-        before: selection.Round,
-        found: list[asking.Candidate],
-    ) -> list[servers.Entry]:
-        """See `Selector.more`."""
+        usable: list[servers.ServerEntry],
+        before: selection.ProbePlan,
+        found: list[probing.Candidate],
+    ) -> list[servers.ServerEntry]:
+        """See `ServerSelector.more_probes`."""
         (place,) = [n for n, (r, _) in enumerate(self.rounds) if r is before]
         _, number = self.rounds.pop(place)
-        asked = self.selector.more(service, usable, before, found)
+        asked = self.selector.more_probes(service, usable, before, found)
         self._note(More(number, _told(found, self.clock()), _names(asked)))
         return asked
 
-    def pick(
+    def pick_candidate(
         self,
-        found: list[asking.Candidate],
-        most_score: float,
+        found: list[probing.Candidate],
+        max_score: float,
         now: float,
-        spare: bool = False,
-    ) -> asking.Candidate | None:
-        """See `Selector.pick`."""
-        best = self.selector.pick(found, most_score, now, spare)
+        keep_last_slot: bool = False,
+    ) -> probing.Candidate | None:
+        """See `ServerSelector.pick_candidate`."""
+        best = self.selector.pick_candidate(
+            found, max_score, now, keep_last_slot
+        )
         chosen = best.entry.server.instance if best else ""
-        limit = 0.0 if most_score == ANY_SCORE else most_score
-        self._note(Pick(_told(found, now), limit, spare, chosen))
+        limit = 0.0 if max_score == ANY_SCORE else max_score
+        self._note(Pick(_told(found, now), limit, keep_last_slot, chosen))
         return best
 
     def _note(self, item: First | More | Pick) -> None:
@@ -203,7 +205,7 @@
     )
 
 
-def entry_of(fields: ServerFields) -> servers.Entry:
+def entry_of(fields: ServerFields) -> servers.ServerEntry:
     """Returns a server as a daemon believes it at first."""
     server = types.Server(
         instance=fields.instance,
@@ -215,19 +217,19 @@
         leaving=False,
         warmup_s=0.0,
     )
-    return servers.Entry(server, 0.0)
+    return servers.ServerEntry(server, 0.0)
 
 
-def _names(entries: list[servers.Entry]) -> tuple[str, ...]:
+def _names(entries: list[servers.ServerEntry]) -> tuple[str, ...]:
     return tuple(entry.server.instance for entry in entries)
 
 
-def _told(found: list[asking.Candidate], now: float) -> tuple[Told, ...]:
+def _told(found: list[probing.Candidate], now: float) -> tuple[Told, ...]:
     return tuple(
         Told(
             one.entry.server.instance,
             one.score,
-            one.fit,
+            one.healthy,
             tuple(map(float, one.load)) if one.load else (),
             one.entry.in_flight,
             one.entry.usable(now),
--- a/banyantiller/replay/selector_player.py
+++ b/banyantiller/replay/selector_player.py
@@ -5,7 +5,7 @@
 import random
 from typing import NamedTuple
 
-from banyantiller.gateway import asking, servers, types
+from banyantiller.gateway import probing, servers, types
 from banyantiller.gateway.decisions import selection
 from banyantiller.replay import selector_inputs as inputs
 from banyantiller.replay import traces
@@ -103,12 +103,12 @@
 
     def __init__(self, header: inputs.Header) -> None:
         self.log = SelectorLog()
-        self.selector = selection.Selector(
+        self.selector = selection.ServerSelector(
             header.daemon, header.zone, random.Random(header.seed)
         )
         self.entries = {s.instance: inputs.entry_of(s) for s in header.servers}
         self.rounds: dict[
-            int, tuple[str, list[servers.Entry], selection.Round]
+            int, tuple[str, list[servers.ServerEntry], selection.ProbePlan]
         ] = {}
 
     def take(self, line: traces.Line, item: tuple) -> None:
@@ -129,10 +129,10 @@
         connected = selection.Connected(
             frozenset(item.idle), frozenset(item.busy)
         )
-        found = self.selector.first(item.service, usable, connected)
+        found = self.selector.first_probes(item.service, usable, connected)
         self.rounds[item.round] = (item.service, usable, found)
-        self.log.asked[item.round] += len(found.asked)
-        self._compare(line, item.asked, _names(found.asked))
+        self.log.asked[item.round] += len(found.probed)
+        self._compare(line, item.asked, _names(found.probed))
 
     def _more(self, line: traces.Line, item: inputs.More) -> None:
         if item.round not in self.rounds:
@@ -141,35 +141,35 @@
             )
         service, usable, before = self.rounds.pop(item.round)
         found = self._candidates(line, item.found)
-        asked = self.selector.more(service, usable, before, found)
+        asked = self.selector.more_probes(service, usable, before, found)
         self.log.asked[item.round] += len(asked)
         self._compare(line, item.asked, _names(asked))
 
     def _pick(self, line: traces.Line, item: inputs.Pick) -> None:
         found = self._candidates(line, item.found)
         limit = item.most_score or math.inf
-        best = self.selector.pick(found, limit, line.at, item.spare)
+        best = self.selector.pick_candidate(found, limit, line.at, item.spare)
         chosen = best.entry.server.instance if best else ""
         self.log.chosen[chosen] += 1
         self._compare(line, (item.chosen,), (chosen,))
 
     def _candidates(
         self, line: traces.Line, found: tuple[inputs.Told, ...]
-    ) -> list[asking.Candidate]:
+    ) -> list[probing.Candidate]:
         return [self._candidate(line, told) for told in found]
 
     def _candidate(
         self, line: traces.Line, told: inputs.Told
-    ) -> asking.Candidate:
+    ) -> probing.Candidate:
         entry = self._known(line, told.server)
         entry.in_flight = told.in_flight
         entry.lapses_at = None if told.usable else line.at
         load = types.Load(*told.load) if told.load else None
-        return asking.Candidate(
+        return probing.Candidate(
             entry, None, load, line.at, told.fit, told.score
         )
 
-    def _known(self, line: traces.Line, name: str) -> servers.Entry:
+    def _known(self, line: traces.Line, name: str) -> servers.ServerEntry:
         if name not in self.entries:
             raise traces.TraceError(
                 f"Line {line.number}: there is no server '{name}'."
@@ -189,5 +189,5 @@
             )
 
 
-def _names(entries: list[servers.Entry]) -> tuple[str, ...]:
+def _names(entries: list[servers.ServerEntry]) -> tuple[str, ...]:
     return tuple(entry.server.instance for entry in entries)
--- a/banyantiller/tests/fuzz/test_gateway.py
+++ b/banyantiller/tests/fuzz/test_gateway.py
@@ -17,7 +17,7 @@
     pieces,
     read_answers,
 )
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 REQUESTS = (
     b"GET /read/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a1\r\n"
@@ -77,9 +77,9 @@
         self.statuses = set()
 
     async def talk(self, data, cuts, ends):
-        async with world.World() as place:
+        async with harness.GatewayHarness() as place:
             reader, writer = await asyncio.open_connection(
-                world.ADDRESS, place.port
+                harness.ADDRESS, place.port
             )
             for piece in pieces(data, cuts):
                 writer.write(piece)
@@ -94,9 +94,9 @@
                 # It sent more after the gateway had answered and closed.
                 pass
             writer.close()
-            after = await place.ask("after")
+            after = await place.request("after")
             await asyncio.sleep(1)
-            self.assertEqual(0, place.gateway.body_bytes)
+            self.assertEqual(0, place.gateway.buffered_body_bytes)
             self.assertEqual(set(), place.gateway.connections)
             self.assertEqual((200, 1), (after.status, place.ran("after")))
             return got
@@ -143,19 +143,19 @@
             finally:
                 writer.close()
 
-        raw = await asyncio.start_server(serve, world.ADDRESS, 0)
+        raw = await asyncio.start_server(serve, harness.ADDRESS, 0)
         port = raw.sockets[0].getsockname()[1]
-        async with world.World() as place:
+        async with harness.GatewayHarness() as place:
             for name in list(place.servers):
                 place.store.remove("servers", name)
                 place.servers.pop(name).stop()
-            place.servers["raw"] = world.registered_server.RegisteredServer(
+            place.servers["raw"] = harness.registered_server.RegisteredServer(
                 "raw"
             )
             place.register("raw", port=port)
             await asyncio.sleep(2)
             path = "/read/x" if method == "GET" else "/file/x"
-            found = await place.ask("a1", path, method)
+            found = await place.request("a1", path, method)
         raw.close()
         return found, len(sent)
 
--- a/banyantiller/tests/fuzz/test_platform_store.py
+++ b/banyantiller/tests/fuzz/test_platform_store.py
@@ -54,7 +54,7 @@
                 await self.call(store, peer)
         finally:
             await store.close()
-            await peer.user.close()
+            await peer.client.close()
             listener.close()
 
     async def call(self, store, peer):
@@ -64,10 +64,10 @@
         kinds = interface.Changes | interface.Gone | interface.Unavailable
         self.assertIsInstance(found, kinds)
         told = await peer.changes("config", "7", WAIT_S)
-        kinds = interface.Changes | interface.Gone | peers.Refused
+        kinds = interface.Changes | interface.Gone | peers.PeerRefusal
         self.assertIsInstance(told, kinds)
         told_list = await peer.list("config")
-        self.assertIsInstance(told_list, peers.ToldList | peers.Refused)
+        self.assertIsInstance(told_list, peers.PeerList | peers.PeerRefusal)
         self.seen |= {type(one) for one in (listed, found, told, told_list)}
 
     def check(self, data, cuts, closes):
@@ -80,7 +80,7 @@
             interface.Listed,
             interface.Changes,
             interface.Unavailable,
-            peers.ToldList,
+            peers.PeerList,
         }
         self.assertEqual(set(), wanted - self.seen)
 
--- a/banyantiller/tests/gateway/change_world.py
+++ b/banyantiller/tests/gateway/change_harness.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 from banyantiller.store import interface
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 PORTS = (7001, 7002, 7003)
-SEEDS = tuple(f"{world.ADDRESS}:{port}" for port in PORTS)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
 OTHERS = 4
 SETTLE_S = 4.0
 # A change each of these, for the time that a play lasts.
@@ -17,7 +17,7 @@
 STEP_S = 0.02
 
 
-class Disturbed:
+class FaultyDaemon:
     """A daemon that others ask, disturbed by one fault.
 
     Attributes:
@@ -31,19 +31,19 @@
         self.until = until
         self.late_s = late_s
         self.loop = asyncio.get_running_loop()
-        self.handler = daemon.known.mirror.handle
-        store = daemon.known.reader.store
+        self.handler = daemon.store_view.mirror.handle
+        store = daemon.store_view.reader.store
         self.read_changes = store.changes
         self.read_list = store.list
         # Connections that are open already keep their server's handler.
-        daemon.known.mirror.handle = self.answer
+        daemon.store_view.mirror.handle = self.answer
         store.changes = self.changes
         store.list = self.list
 
     async def answer(self, request):
         """Answers another daemon."""
         if self._is("silent"):
-            await asyncio.sleep(world.NEVER_S)
+            await asyncio.sleep(harness.NEVER_S)
         if self._is("refusing"):
             raise OSError
         if self._is("frozen"):
@@ -120,7 +120,7 @@
 async def play(seed, faults=None, duration_s=(1.0, 6.0)):
     """Returns the longest lag of daemons that are not disturbed."""
     rng = random.Random(seed)
-    async with world.World(seed) as place:
+    async with harness.GatewayHarness(seed) as place:
         alone = place.gateway
         asked, others = [], []
         for number, port in enumerate(PORTS):
@@ -162,14 +162,14 @@
             starts.remove(one)
             _, daemon, name, ends, late_s = one
             if name != "none":
-                Disturbed(daemon, name, ends, late_s)
+                FaultyDaemon(daemon, name, ends, late_s)
         if now >= next_put:
             next_put += CHANGE_GAP_S
             place.put_document()
             puts.append((now, place.version))
         for one in calm:
             missing = [
-                at for at, version in puts if version > one.known.version
+                at for at, version in puts if version > one.store_view.version
             ]
             if missing and now - missing[0] > worst.lag_s:
                 worst = Lag(now - missing[0], one.settings.daemon, chosen)
--- a/banyantiller/tests/gateway/decisions/test_cold.py
+++ b/banyantiller/tests/gateway/decisions/test_cold_start.py
@@ -3,7 +3,7 @@
 import itertools
 import random
 
-from banyantiller.gateway.decisions import cold
+from banyantiller.gateway.decisions import cold_start
 from banyantiller.tests import base
 
 DAEMONS = 112
@@ -28,7 +28,7 @@
     """
     times = []
     for daemon, share in shares.items():
-        part = cold.part(daemon, start, PER_S, share)
+        part = cold_start.cold_allowance(daemon, start, PER_S, share)
         at = rng.uniform(0, 0.05)
         while part.allowed and at < COLD_S:
             times.append(at)
@@ -73,17 +73,20 @@
         self.assertLess(mean_per_s, 1.1 * TOLERANCE * PER_S)
 
     def test_lone_daemon_sends_at_the_stated_rate(self):
-        part = cold.part("d", "s", PER_S, 1.0)
+        part = cold_start.cold_allowance("d", "s", PER_S, 1.0)
         self.assertEqual((True, 1 / PER_S), part)
 
     def test_daemon_without_a_share_sends_nothing(self):
         parts = [
-            cold.part(f"d{d}", f"s{s}", PER_S, 0.0)
+            cold_start.cold_allowance(f"d{d}", f"s{s}", PER_S, 0.0)
             for d, s in itertools.product(range(20), range(20))
         ]
         self.assertFalse(any(part.allowed for part in parts))
 
     def test_draw_is_another_one_for_each_start(self):
-        parts = [cold.part("d", f"s{s}", PER_S, 0.2) for s in range(200)]
+        parts = [
+            cold_start.cold_allowance("d", f"s{s}", PER_S, 0.2)
+            for s in range(200)
+        ]
         drawn = sum(part.allowed for part in parts)
         self.assertTrue(60 < drawn < 110, drawn)
--- a/banyantiller/tests/gateway/decisions/test_kept_connections.py
+++ b/banyantiller/tests/gateway/decisions/test_kept_connections.py
@@ -6,7 +6,7 @@
 from banyantiller.gateway import servers
 from banyantiller.gateway.decisions import selection
 from banyantiller.tests import base
-from banyantiller.tests.gateway.decisions.test_beliefs import server
+from banyantiller.tests.gateway.decisions.test_server_health import server
 
 IDLE_S = 8.0
 LASTS_S = 60.0
@@ -14,8 +14,8 @@
 
 def entries(near, far):
     """Returns servers of the own zone and of another one."""
-    return [servers.Entry(server(f"n{n}"), 0.0) for n in range(near)] + [
-        servers.Entry(server(f"f{n}")._replace(zone="zone-b"), 0.0)
+    return [servers.ServerEntry(server(f"n{n}"), 0.0) for n in range(near)] + [
+        servers.ServerEntry(server(f"f{n}")._replace(zone="zone-b"), 0.0)
         for n in range(far)
     ]
 
@@ -32,7 +32,7 @@
         self.random = random.Random(seed)
         self.rate = rate
         self.known = known
-        self.selector = selection.Selector(f"d{seed}", "z", self.random)
+        self.selector = selection.ServerSelector(f"d{seed}", "z", self.random)
         self.expires = {}
         self.opened = 0
         self.requests = 0
@@ -49,10 +49,10 @@
             now += self.random.expovariate(self.rate)
             kept = frozenset(n for n, e in self.expires.items() if e > now)
             connected = selection.Connected(kept)
-            first = self.selector.first("s", self.known, connected)
-            asked = list(first.asked)
+            first = self.selector.first_probes("s", self.known, connected)
+            asked = list(first.probed)
             if self.random.random() > near_enough:
-                asked += self.selector.more("s", self.known, first, [])
+                asked += self.selector.more_probes("s", self.known, first, [])
             self.requests += 1
             for entry in asked:
                 name = entry.server.instance
@@ -100,11 +100,12 @@
             busy = selection.Connected(frozenset(names[:4]), frozenset(names))
             found = []
             for connected in (selection.UNCONNECTED, busy):
-                selector = selection.Selector("d1", "z", random.Random(3))
+                selector = selection.ServerSelector("d1", "z", random.Random(3))
                 rounds = [
-                    selector.first("s", known, connected) for _ in range(50)
+                    selector.first_probes("s", known, connected)
+                    for _ in range(50)
                 ]
-                found.append([one.asked for one in rounds])
+                found.append([one.probed for one in rounds])
             return found
 
         without, same = self.run_paused(body())
@@ -124,14 +125,14 @@
                 frozenset(one.server.instance for one in known[::2]),
                 frozenset(one.server.instance for one in known[:20]),
             ):
-                selector = selection.Selector("d1", "z", random.Random(7))
+                selector = selection.ServerSelector("d1", "z", random.Random(7))
                 far = 0
                 for _ in range(4000):
                     connected = selection.Connected(kept)
-                    first = selector.first("s", known, connected)
-                    rest = selector.more("s", known, first, [])
-                    selector.near_enough["s"] = 1.0
-                    asked = (*first.asked, *rest)
+                    first = selector.first_probes("s", known, connected)
+                    rest = selector.more_probes("s", known, first, [])
+                    selector.local_zone_success["s"] = 1.0
+                    asked = (*first.probed, *rest)
                     far += sum(one.server.zone != "z" for one in asked)
                 counts.append(far / 4000)
             return counts
--- a/banyantiller/tests/gateway/decisions/test_scarce_budget.py
+++ b/banyantiller/tests/gateway/decisions/test_scarce_budget.py
@@ -53,10 +53,10 @@
         number = self.random.randrange(DAEMONS)
         kept, now = self.budgets[number], request.at
         self.requests.append(now)
-        kept.request(now)
+        kept.record_request(now)
         if not self.turned_away(now):
             return True
-        if not kept.take(now):
+        if not kept.try_spend(now):
             return False
         self.repeats.append(now)
         return not self.turned_away(now)
--- a/banyantiller/tests/gateway/decisions/test_beliefs.py
+++ b/banyantiller/tests/gateway/decisions/test_server_health.py
@@ -5,10 +5,10 @@
 
 from banyantiller.gateway import servers, types
 from banyantiller.gateway.decisions import (
-    beliefs,
     budget,
     scoring,
     selection,
+    server_health,
 )
 from banyantiller.tests import base
 
@@ -21,29 +21,29 @@
 
 class BeliefTest(base.TestCase):
     def test_silence_grows_and_one_answer_ends_it(self):
-        belief = beliefs.Belief()
+        belief = server_health.ServerHealth()
         lengths = []
         for _ in range(6):
-            belief.no_answer(10.0)
-            lengths.append(belief.silent_until - 10.0)
+            belief.record_no_response(10.0)
+            lengths.append(belief.unresponsive_until - 10.0)
         self.assertEqual([0.5, 1.0, 2.0, 4.0, 4.0, 4.0], lengths)
-        self.assertTrue(belief.silent(13.9))
-        self.assertTrue(belief.answered())
-        self.assertFalse(belief.silent(10.1))
+        self.assertTrue(belief.is_unresponsive(13.9))
+        self.assertTrue(belief.record_response())
+        self.assertFalse(belief.is_unresponsive(10.1))
 
     def test_failures_fade_by_half_in_their_half_life(self):
-        belief = beliefs.Belief()
+        belief = server_health.ServerHealth()
         for _ in range(20):
-            belief.result(False, 5.0)
-        full = belief.failures(5.0)
-        later = belief.failures(5.0 + beliefs.FAILURE_HALF_LIFE_S)
+            belief.record_result(False, 5.0)
+        full = belief.failure_rate_at(5.0)
+        later = belief.failure_rate_at(5.0 + server_health.FAILURE_HALF_LIFE_S)
         self.assertGreater(full, 0.99)
         self.assertAlmostEqual(full / 2, later)
 
     def test_clock_that_does_not_move_is_no_error(self):
-        belief = beliefs.Belief()
-        belief.result(False, 5.0)
-        self.assertEqual(belief.failure_rate, belief.failures(4.0))
+        belief = server_health.ServerHealth()
+        belief.record_result(False, 5.0)
+        self.assertEqual(belief.failure_rate, belief.failure_rate_at(4.0))
 
 
 class ScoreTest(base.TestCase):
@@ -80,8 +80,8 @@
         taken = []
         for tick in range(600):
             now = tick / 10
-            kept.request(now)
-            if kept.take(now):
+            kept.record_request(now)
+            if kept.try_spend(now):
                 taken.append(now)
         for begin in range(50):
             inside = [t for t in taken if begin < t <= begin + 10]
@@ -90,50 +90,52 @@
 
     def test_part_of_the_budget_is_kept(self):
         kept = budget.RetryBudget(10.0, 0.0, 10.0)
-        first = sum(kept.take(1.0, 0.6) for _ in range(20))
-        rest = sum(kept.take(1.0) for _ in range(20))
+        first = sum(kept.try_spend(1.0, 0.6) for _ in range(20))
+        rest = sum(kept.try_spend(1.0) for _ in range(20))
         self.assertEqual((6, 4), (first, rest))
 
 
 class LeastPartTest(base.TestCase):
     def test_nothing_is_held_until_a_window_after_the_start(self):
-        part = budget.LeastPart(10.0, 100.0)
-        part.note(0.5, 101.0)
-        part.note(0.5, 108.0)
-        self.assertEqual(0.0, part.least(110.9))
-        self.assertEqual(0.5, part.least(111.0))
+        part = budget.MinShare(10.0, 100.0)
+        part.record(0.5, 101.0)
+        part.record(0.5, 108.0)
+        self.assertEqual(0.0, part.minimum(110.9))
+        self.assertEqual(0.5, part.minimum(111.0))
 
     def test_a_greater_part_counts_after_a_window_and_a_smaller_at_once(self):
-        part = budget.LeastPart(10.0, 0.0)
-        part.note(0.25, 1.0)
-        self.assertEqual(0.25, part.least(20.0))
-        part.note(0.5, 20.0)
-        part.note(0.4, 22.0)
-        self.assertEqual(0.25, part.least(30.0))
-        self.assertEqual(0.4, part.least(32.0))
-        part.note(0.1, 33.0)
-        self.assertEqual(0.1, part.least(33.0))
+        part = budget.MinShare(10.0, 0.0)
+        part.record(0.25, 1.0)
+        self.assertEqual(0.25, part.minimum(20.0))
+        part.record(0.5, 20.0)
+        part.record(0.4, 22.0)
+        self.assertEqual(0.25, part.minimum(30.0))
+        self.assertEqual(0.4, part.minimum(32.0))
+        part.record(0.1, 33.0)
+        self.assertEqual(0.1, part.minimum(33.0))
 
     def test_it_is_the_least_of_all_in_the_window(self):
         rng = random.Random(4)
         for _ in range(200):
-            part = budget.LeastPart(10.0, 0.0)
+            part = budget.MinShare(10.0, 0.0)
             held = [(0.0, 0.0)]
             for at in sorted(rng.uniform(0, 60) for _ in range(25)):
                 held.append((at, rng.choice((0.1, 0.2, 0.3, 0.5))))
-                part.note(held[-1][1], at)
+                part.record(held[-1][1], at)
                 begin = [p for t, p in held if t <= at - 10.0][-1:]
                 inside = [p for t, p in held if at - 10.0 < t <= at]
-                self.assertLessEqual(part.least(at), min(begin + inside))
+                self.assertLessEqual(part.minimum(at), min(begin + inside))
 
 
 class PreferenceTest(base.TestCase):
     def test_daemon_prefers_the_same_few_servers_and_fleets_reach_all(self):
         async def body():
-            entries = [servers.Entry(server(f"i{n}"), 0.0) for n in range(40)]
+            entries = [
+                servers.ServerEntry(server(f"i{n}"), 0.0) for n in range(40)
+            ]
             reached = set()
             for number in range(30):
-                selector = selection.Selector(
+                selector = selection.ServerSelector(
                     f"d{number}", "zone-a", random.Random(number)
                 )
                 rounds = [
@@ -150,21 +152,21 @@
 
     def test_few_servers_of_other_zones_are_asked_too(self):
         """New connections to any of 126 cost a fleet what a tenth of VMs do."""
-        near = [servers.Entry(server(f"n{n}"), 0.0) for n in range(40)]
+        near = [servers.ServerEntry(server(f"n{n}"), 0.0) for n in range(40)]
         far = [
-            servers.Entry(server(f"f{n}")._replace(zone="zone-b"), 0.0)
+            servers.ServerEntry(server(f"f{n}")._replace(zone="zone-b"), 0.0)
             for n in range(126)
         ]
         for rate in (0.0, 1.0):
-            selector = selection.Selector("d1", "z", random.Random(5))
+            selector = selection.ServerSelector("d1", "z", random.Random(5))
             asked = collections.Counter()
             for _ in range(200):
-                selector.near_enough["s"] = rate
-                first = selector.first("s", near + far)
-                rest = selector.more("s", near + far, first, [])
-                asked.update(e.server.instance for e in (*first.asked, *rest))
+                selector.local_zone_success["s"] = rate
+                first = selector.first_probes("s", near + far)
+                rest = selector.more_probes("s", near + far, first, [])
+                asked.update(e.server.instance for e in (*first.probed, *rest))
             common = [name for name, count in asked.items() if count > 15]
-            self.assertLessEqual(len(common), 2 * selection.KEPT)
+            self.assertLessEqual(len(common), 2 * selection.PREFERRED_SERVERS)
             share = sum(asked[name] for name in common) / asked.total()
             self.assertGreater(share, 0.75)
             self.assertGreater(len(asked), 60)
@@ -173,7 +175,7 @@
 class ServerTableTest(base.TestCase):
     def test_instance_that_left_stays_out(self):
         table = servers.ServerTable()
-        table.evacuate(frozenset())
+        table.set_evacuated_zones(frozenset())
         table.put(server(leaving=True), 0.0)
         table.put(server(leaving=False), 1.0)
         self.assertEqual([], table.usable("one", 1.0))
@@ -183,7 +185,7 @@
 
     def test_lapsed_server_serves_for_a_moment_and_then_is_gone(self):
         table = servers.ServerTable()
-        table.evacuate(frozenset())
+        table.set_evacuated_zones(frozenset())
         table.put(server(), 0.0)
         table.lapse("i", 1.0)
         self.assertEqual(1, len(table.usable("one", 2.7)))
@@ -193,7 +195,7 @@
 
     def test_lapsed_server_that_comes_back_stays(self):
         table = servers.ServerTable()
-        table.evacuate(frozenset())
+        table.set_evacuated_zones(frozenset())
         table.put(server(), 0.0)
         table.lapse("i", 1.0)
         table.put(server(), 2.0)
@@ -202,7 +204,7 @@
 
     def test_server_may_change_its_service(self):
         table = servers.ServerTable()
-        table.evacuate(frozenset())
+        table.set_evacuated_zones(frozenset())
         table.put(server(), 0.0)
         table.put(server(service="two"), 1.0)
         self.assertEqual([], table.usable("one", 1.0))
--- a/banyantiller/tests/gateway/decisions/test_turns.py
+++ b/banyantiller/tests/gateway/decisions/test_turns.py
@@ -10,7 +10,7 @@
 WINDOW_S = 4.0
 TOLERANCE = 1.5
 SLACK = 5
-ALONE = turns.Place(0, 1)
+ALONE = turns.FleetPosition(0, 1)
 PLAYED_S = 160.0
 STEP_S = 0.1
 GROUPS = 3
@@ -66,7 +66,7 @@
             for number in range(size)
         ]
         self.ahead_s = [self.random.uniform(0, 100) for _ in range(GROUPS)]
-        self.used = [turns.Used(0.0) for _ in self.daemons]
+        self.used = [turns.TurnUsage(0.0) for _ in self.daemons]
         self.times = []
 
     def place(self, number):
@@ -77,7 +77,7 @@
         ]
         count = math.ceil(len(members) * self.counted)
         rank = members.index(number) % count
-        return turns.Place(rank, count, GROUPS, self.ahead_s[group])
+        return turns.FleetPosition(rank, count, GROUPS, self.ahead_s[group])
 
     def play(self):
         """Sends for a while; returns the times of what was sent."""
@@ -87,7 +87,7 @@
             if self.restarts and step % 40 == 0:
                 number = self.random.randrange(len(self.daemons))
                 # One that starts is told the limit half a second later.
-                self.used[number] = turns.Used(now + 0.5)
+                self.used[number] = turns.TurnUsage(now + 0.5)
             for number, one in enumerate(self.daemons):
                 if self.random.random() < one.per_s * STEP_S:
                     self._send(number, places[number], now)
@@ -131,7 +131,7 @@
         self.check(times, 20.0, 0.9, "few")
 
     def test_turn_that_was_not_used_in_time_is_lost(self):
-        used = turns.Used(0.0)
+        used = turns.TurnUsage(0.0)
         turn = turns.next_turn(ALONE, "server", 0.2, used, 100.0)
         late = turns.next_turn(
             ALONE, "server", 0.2, used, turn + turns.VALID_S + 0.1
@@ -141,10 +141,14 @@
     def test_turn_is_used_once_also_if_the_place_changes_a_little(self):
         rng = random.Random(5)
         for _ in range(200):
-            place = turns.Place(rng.randrange(30), 30, 3, rng.uniform(0, 9))
+            place = turns.FleetPosition(
+                rng.randrange(30), 30, 3, rng.uniform(0, 9)
+            )
             moved = place._replace(ahead_s=place.ahead_s + rng.uniform(-1, 1))
-            first = turns.next_turn(place, "s", 1.3, turns.Used(0.0), 500.0)
-            used = turns.Used(0.0, first)
+            first = turns.next_turn(
+                place, "s", 1.3, turns.TurnUsage(0.0), 500.0
+            )
+            used = turns.TurnUsage(0.0, first)
             again = turns.next_turn(moved, "s", 1.3, used, first)
             self.assertGreater(again, first + turns.VALID_S)
 
--- a/banyantiller/tests/gateway/decisions/test_waiting.py
+++ b/banyantiller/tests/gateway/decisions/test_waiting.py
@@ -14,7 +14,7 @@
     known = durations.Durations()
     rng = random.Random(seed)
     for _ in range(answers):
-        known.learn("r", usual_s * rng.lognormvariate(0.0, 0.3))
+        known.record_duration("r", usual_s * rng.lognormvariate(0.0, 0.3))
     return known
 
 
@@ -31,29 +31,33 @@
     def test_one_answer_that_was_held_up_says_little(self):
         known = learned(0.2)
         before = known.usual_s("r", 0.6)
-        known.learn("r", 6.0)
+        known.record_duration("r", 6.0)
         self.assertLess(known.usual_s("r", 0.6), 1.25 * before)
 
     def test_work_that_changes_is_learned_anew(self):
         known = learned(0.2)
         for _ in range(60):
-            known.learn("r", 1.0)
+            known.record_duration("r", 1.0)
         self.assertGreater(known.usual_s("r", 0.6), 0.9)
 
     def test_routes_that_are_gone_are_forgotten(self):
         known = learned(0.2)
-        known.learn("s", 0.1)
-        known.keep(frozenset({"s"}))
+        known.record_duration("s", 0.1)
+        known.retain_routes(frozenset({"s"}))
         self.assertEqual({"s"}, set(known.usual))
         self.assertAlmostEqual(0.24, known.usual_s("r", 0.6))
 
 
 class LimitTest(base.TestCase):
     def wait(self, usual_s, objective_s, urgent=False):
-        return waiting.limits(objective_s, usual_s, urgent, 0.0).any
+        return waiting.wait_limits(
+            objective_s, usual_s, urgent, 0.0
+        ).any_server_until
 
     def spare(self, usual_s, objective_s):
-        return waiting.limits(objective_s, usual_s, False, 0.0).spare
+        return waiting.wait_limits(
+            objective_s, usual_s, False, 0.0
+        ).keep_last_slot_until
 
     def test_slot_to_spare_is_waited_for_as_long_as_that_can_gain(self):
         for usual_s, objective_s in SHAPES:
@@ -68,7 +72,7 @@
             wait_s = self.wait(usual_s, objective_s)
             left_s = objective_s - wait_s
             self.assertTrue(
-                left_s > usual_s or wait_s <= waiting.LEAST_S + 1e-9,
+                left_s > usual_s or wait_s <= waiting.MIN_WAIT_S + 1e-9,
                 (usual_s, objective_s, wait_s),
             )
 
@@ -78,7 +82,7 @@
     def test_narrow_objective_allows_a_short_wait(self):
         for usual_s in (0.31, 0.6, 6.0):
             self.assertAlmostEqual(0.042, self.wait(usual_s, 0.6))
-        self.assertAlmostEqual(waiting.LEAST_S, self.wait(0.1, 0.2))
+        self.assertAlmostEqual(waiting.MIN_WAIT_S, self.wait(0.1, 0.2))
 
     def test_urgent_request_waits_longer(self):
         usual = self.wait(0.06, 0.2)
--- a/banyantiller/tests/gateway/world.py
+++ b/banyantiller/tests/gateway/harness.py
@@ -21,7 +21,7 @@
 NEVER_S = 3600.0
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """What a caller got."""
 
     status: int
@@ -90,14 +90,14 @@
                     n.decode(): v.decode("latin-1") for n, v in head.headers
                 }
                 took_s = loop.time() - began
-                return Answer(head.status_code, headers, body, took_s)
+                return Response(head.status_code, headers, body, took_s)
 
     def close(self):
         """Leaves."""
         self.writer.transport.abort()
 
 
-class World:
+class GatewayHarness:
     """A gateway between callers and servers.
 
     Attributes:
@@ -105,8 +105,8 @@
         servers: Stand-ins of servers by instance.
         gateway: The gateway.
         port: Where it listens for callers.
-        silent: Machines of other daemons that are not there yet and answer
-            nothing, by the port at which the daemon will be asked.
+        unresponsive: Machines of other daemons that are not there yet and
+            answer nothing, by the port at which the daemon will be asked.
     """
 
     def __init__(self, seed=1):
@@ -116,7 +116,7 @@
         self.version = 0
         self.tasks = []
         self.controls = []
-        self.silent = {}
+        self.unresponsive = {}
 
     async def __aenter__(self):
         """Starts everything, with a first document and three servers."""
@@ -160,28 +160,28 @@
         adapter = plugin.create(Endpoint(ADDRESS, self.bound.port))
         rng = random.Random(self.seed)
         self.gateway = gateways.Gateway(settings, adapter, rng)
-        bodies = [one.run() for one in self.gateway.known.followers()]
-        bodies.append(self.gateway.keep_house())
-        bodies.append(self.gateway.spreader.run())
+        bodies = [one.run() for one in self.gateway.store_view.store_watchers()]
+        bodies.append(self.gateway.run_housekeeping())
+        bodies.append(self.gateway.quarantine_sync.run())
         self.tasks += [asyncio.ensure_future(body) for body in bodies]
         bound = await self.gateway.start(Endpoint(ADDRESS, 0))
         self.port = bound.port
-        handle = self.gateway.answer_daemon
-        if control_port in self.silent:
-            self.silent.pop(control_port).handler = handle
+        handle = self.gateway.handle_peer
+        if control_port in self.unresponsive:
+            self.unresponsive.pop(control_port).handler = handle
             return
         control = server.HttpServer(handle)
         self.control = await control.start(ADDRESS, control_port)
         self.controls.append(control)
 
-    async def be_silent(self, control_port):
+    async def make_unresponsive(self, control_port):
         """Lets questions to a daemon go unanswered until it starts.
 
         As with a machine without power, those from before stay unanswered.
         """
         machine = server.HttpServer(_answer_nothing)
         await machine.start(ADDRESS, control_port)
-        self.silent[control_port] = machine
+        self.unresponsive[control_port] = machine
         self.controls.append(machine)
 
     def put_document(
@@ -247,7 +247,7 @@
             | more,
         )
 
-    async def ask(self, request_id, *arguments, **more):
+    async def request(self, request_id, *arguments, **more):
         """Sends one request on a connection of its own."""
         caller = await Caller.connect(self)
         caller.send(request_id, *arguments, **more)
@@ -273,7 +273,7 @@
         """Runs `body(world)` in a world of its own."""
 
         async def whole():
-            async with World(**more) as place:
+            async with GatewayHarness(**more) as place:
                 return await body(place)
 
         return self.run_paused(whole())
--- a/banyantiller/tests/gateway/limits_world.py
+++ b/banyantiller/tests/gateway/limits_harness.py
@@ -4,10 +4,10 @@
 import random
 from typing import NamedTuple
 
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 PORTS = (7001, 7002, 7003)
-SEEDS = tuple(f"{world.ADDRESS}:{port}" for port in PORTS)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
 OTHERS = 3
 SERVERS = 6
 CALLERS = 12
@@ -23,7 +23,7 @@
 KNOWN_S = 3.0
 
 
-class Got(NamedTuple):
+class PlayResult(NamedTuple):
     """What came of a play.
 
     Attributes:
@@ -35,9 +35,9 @@
 
     arrivals: dict[str, list[float]]
     statuses: list[int]
-    answers: list[tuple[float, world.Answer]]
+    answers: list[tuple[float, harness.Response]]
 
-    def most(self, instance, since_s, until_s=world.NEVER_S):
+    def max_in_window(self, instance, since_s, until_s=harness.NEVER_S):
         """Returns the most requests of any window in a span of time."""
         times = [t for t in self.arrivals[instance] if since_s <= t < until_s]
         return max(
@@ -53,7 +53,7 @@
 
 async def play(script, seconds=20.0, seed=1, others=OTHERS):
     """Sends requests through a fleet while `script(place, fleet)` runs."""
-    async with world.World(seed) as place:
+    async with harness.GatewayHarness(seed) as place:
         alone = place.gateway
         fleet = []
         for number in range(len(PORTS) + others):
@@ -81,7 +81,7 @@
                 for name, server in place.servers.items()
             }
             told = [(at - began, answer) for at, answer in answers]
-            return Got(arrivals, [a.status for _, a in told], told)
+            return PlayResult(arrivals, [a.status for _, a in told], told)
         finally:
             place.gateway = alone
             for one in fleet:
@@ -99,7 +99,7 @@
         if not daemon.listener.is_serving():
             continue
         place.port = daemon.listener.sockets[0].getsockname()[1]
-        answer = await place.ask(f"{number}-{count}")
+        answer = await place.request(f"{number}-{count}")
         count += 1
         if answer is not None:
             answers.append((loop.time(), answer))
--- a/banyantiller/tests/gateway/test_limits.py
+++ b/banyantiller/tests/gateway/test_caller_limits.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from banyantiller.gateway import types
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 LARGE_HEAD_BYTES = 24000
 PART_BYTES = 20000
@@ -13,7 +13,7 @@
 async def send_large_head(caller, request_id):
     """Sends a head in two parts, the first one over the usual limit."""
     head = (
-        f"GET /read/x HTTP/1.1\r\nhost: {world.HOST}\r\n"
+        f"GET /read/x HTTP/1.1\r\nhost: {harness.HOST}\r\n"
         f"attempt-id: {request_id}\r\ndeadline-ms: 1000\r\n"
         f"note: {'x' * LARGE_HEAD_BYTES}\r\n\r\n"
     ).encode()
@@ -22,7 +22,7 @@
     caller.writer.write(head[PART_BYTES:])
 
 
-class LimitsTest(world.TestCase):
+class LimitsTest(harness.TestCase):
     def test_large_head_before_the_first_document_is_not_refused_for_good(self):
         """A daemon that just started refuses a head by a limit of its own.
 
@@ -36,7 +36,7 @@
             place.put_document(maxHeaderBytes=65536)
             place.store.faults.silent = True
             await place.start_gateway()
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             await send_large_head(caller, "a")
             answer = await caller.read()
             return answer.status, answer.headers["request-ran"]
@@ -57,8 +57,8 @@
             place.store.faults.silent = True
             await place.start_gateway()
             default = types.CallerLimits()._replace(body_bytes=100000)
-            place.gateway.known.limits = default
-            answer = await place.ask("a", "/file/x", "POST", LARGE_BODY)
+            place.gateway.store_view.caller_limits = default
+            answer = await place.request("a", "/file/x", "POST", LARGE_BODY)
             return answer.status, answer.headers["request-ran"]
 
         self.assertEqual((503, "no"), self.play(body))
@@ -74,8 +74,8 @@
         """
 
         async def body(place):
-            unused = await world.Caller.connect(place)
-            used = await world.Caller.connect(place)
+            unused = await harness.Caller.connect(place)
+            used = await harness.Caller.connect(place)
             used.send("a")
             await used.read()
             place.put_document(maxHeaderBytes=65536)
@@ -98,7 +98,7 @@
         async def body(place):
             place.put_document(maxHeaderBytes=65536)
             await asyncio.sleep(1)
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             place.put_document(maxHeaderBytes=16384)
             await asyncio.sleep(1)
             await send_large_head(caller, "a")
@@ -116,12 +116,12 @@
         """
 
         async def body(place):
-            await place.ask("a")
+            await place.request("a")
             place.store.faults.silent = True
             place.put_document(maxBodyBytes=200000, maxHeaderBytes=65536)
             await asyncio.sleep(13)
-            filed = await place.ask("b", "/file/x", "POST", LARGE_BODY)
-            caller = await world.Caller.connect(place)
+            filed = await place.request("b", "/file/x", "POST", LARGE_BODY)
+            caller = await harness.Caller.connect(place)
             await send_large_head(caller, "c")
             read = await caller.read()
             return [
--- a/banyantiller/tests/gateway/test_callers.py
+++ b/banyantiller/tests/gateway/test_callers.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from banyantiller.gateway import caller as caller_module
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 
-class CallersTest(world.TestCase):
+class CallersTest(harness.TestCase):
     def test_pipelined_reads_run_at_once_and_are_answered_in_order(self):
         async def body(place):
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             for name in ("a", "b", "c"):
                 caller.send(name)
             answers = [await caller.read() for _ in range(3)]
@@ -32,7 +32,7 @@
                 read_on(connection)
 
         async def body(place):
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.writer.write(b"GET /read/x HTTP/1.1\r\nHost: desk")
             await asyncio.sleep(0.5)
             caller.writer.write(b".example\r\nAttempt-Id: a\r\n\r\nGET /re")
@@ -51,7 +51,7 @@
 
     def test_unrepeatable_request_behind_another_waits_for_its_turn(self):
         async def body(place):
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a")
             caller.send("b", "/file/x", "POST", b"deposit")
             await asyncio.sleep(0.03)
@@ -64,7 +64,7 @@
 
     def test_caller_that_leaves_ends_the_work(self):
         async def body(place):
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a")
             await asyncio.sleep(0.03)
             caller.close()
@@ -75,7 +75,7 @@
 
     def test_too_large_body_is_answered_while_it_is_still_sent(self):
         async def body(place):
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.writer.write(
                 b"POST /file/x HTTP/1.1\r\nhost: desk.example\r\n"
                 b"content-length: 200000\r\n\r\n"
@@ -85,28 +85,31 @@
                 await asyncio.sleep(0.01)
             answer = await caller.read()
             await asyncio.sleep(1.5)
-            left = len(place.gateway.connections), place.gateway.body_bytes
+            left = (
+                len(place.gateway.connections),
+                place.gateway.buffered_body_bytes,
+            )
             return answer.status, left
 
         self.assertEqual((413, (0, 0)), self.play(body))
 
     def test_bodies_without_room_are_refused_as_not_run(self):
         async def body(place):
-            place.gateway.body_bytes = caller_module.MOST_BODY_BYTES
-            answer = await place.ask("a", "/file/x", "POST", b"deposit")
+            place.gateway.buffered_body_bytes = caller_module.MAX_BODY_BYTES
+            answer = await place.request("a", "/file/x", "POST", b"deposit")
             return answer.status, answer.headers["request-ran"]
 
         self.assertEqual((503, "no"), self.play(body))
 
     def test_path_without_a_route_is_told_so(self):
         async def body(place):
-            return (await place.ask("a", "/none/")).status
+            return (await place.request("a", "/none/")).status
 
         self.assertEqual(404, self.play(body))
 
     def test_ambiguous_length_is_refused_and_nothing_is_sent(self):
         async def body(place):
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.writer.write(
                 b"POST /file/x HTTP/1.1\r\nhost: desk.example\r\n"
                 b"content-length: 5\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -121,7 +124,7 @@
 
     def test_chunked_body_arrives_whole(self):
         async def body(place):
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.writer.write(
                 b"POST /file/x HTTP/1.1\r\nhost: desk.example\r\n"
                 b"attempt-id: a\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -136,7 +139,7 @@
 
     def test_idle_connection_ends_after_the_limit_and_not_before(self):
         async def body(place):
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a")
             await caller.read()
             await asyncio.sleep(14)
--- a/banyantiller/tests/gateway/test_history.py
+++ b/banyantiller/tests/gateway/test_change_history.py
@@ -2,7 +2,7 @@
 
 import random
 
-from banyantiller.gateway import histories
+from banyantiller.gateway import change_history
 from banyantiller.store import interface
 from banyantiller.tests import base
 
@@ -69,17 +69,17 @@
     def follow(self, rng):
         """Reads at random moments; returns how often another was asked."""
         store = Store(rng)
-        history = histories.History(store.listed())
+        history = change_history.ChangeHistory(store.listed())
         version, view, answers = 0, {}, 0
         for _ in range(CHANGES):
             store.change()
             chance = rng.random()
             if chance < 0.4:
                 if chance < 0.3:
-                    history.add(store.since(history.version))
+                    history.add_changes(store.since(history.version))
                 else:
                     # The store lost its history.
-                    history.relist(store.listed())
+                    history.apply_list(store.listed())
                 self.assertEqual(
                     store.contents[history.version],
                     {n: int(i.version) for n, i in history.items.items()},
@@ -87,8 +87,8 @@
             if rng.random() < 0.1:
                 version = len(store.events)
                 view = dict(store.contents[version])
-            if rng.random() < 0.3 and history.knows_since(version):
-                view = apply(view, history.after(version))
+            if rng.random() < 0.3 and history.is_complete_since(version):
+                view = apply(view, history.changes_after(version))
                 version = max(version, history.version)
                 answers += 1
                 self.assertEqual(store.contents[version], view)
@@ -97,15 +97,15 @@
     def test_difference_of_lists_is_told_to_those_that_know_no_part_of_it(self):
         async def body():
             store = Store(random.Random(1))
-            history = histories.History(store.listed())
+            history = change_history.ChangeHistory(store.listed())
             for _ in range(3):
                 store.change()
-            history.relist(store.listed())
-            empty = histories.History(store.listed())
-            empty.relist(store.listed())
+            history.apply_list(store.listed())
+            empty = change_history.ChangeHistory(store.listed())
+            empty.apply_list(store.listed())
             return (
-                [history.knows_since(version) for version in range(5)],
-                empty.knows_since(3),
+                [history.is_complete_since(version) for version in range(5)],
+                empty.is_complete_since(3),
             )
 
         wanted = ([True, False, False, True, True], True)
@@ -114,13 +114,15 @@
     def test_dropped_batches_are_not_told_as_known(self):
         async def body():
             store = Store(random.Random(1))
-            history = histories.History(store.listed())
-            for _ in range(histories.MOST_BATCHES + 5):
+            history = change_history.ChangeHistory(store.listed())
+            for _ in range(change_history.MAX_BATCHES + 5):
                 store.change()
-                history.add(store.since(history.version))
-            return history.oldest, len(history.batches)
+                history.add_changes(store.since(history.version))
+            return history.oldest_version, len(history.batches)
 
-        self.assertEqual((5, histories.MOST_BATCHES), self.run_paused(body()))
+        self.assertEqual(
+            (5, change_history.MAX_BATCHES), self.run_paused(body())
+        )
 
 
 class Follower:
@@ -145,16 +147,16 @@
         self.view = {one.name: int(one.version) for one in listed.items}
         self.version = int(listed.version)
         if self.history is None:
-            self.history = histories.History(listed)
+            self.history = change_history.ChangeHistory(listed)
         else:
-            self.history.relist(listed)
+            self.history.apply_list(listed)
 
     def take_changes(self, events, version):
         """Takes what the store or another daemon told."""
         self.view = apply(self.view, events)
         self.version = version
         found = interface.Changes(tuple(events), str(version))
-        self.history.add(found)
+        self.history.add_changes(found)
 
     def tell_list(self):
         """Returns all objects, as another daemon is told them."""
@@ -209,9 +211,11 @@
         """Lets a daemon ask another; tells whether it was told something."""
         if other.history is None:
             return False
-        if one.history is None or not other.history.knows_since(one.version):
+        if one.history is None or not other.history.is_complete_since(
+            one.version
+        ):
             one.take_list(other.tell_list())
             return True
         version = max(one.version, other.history.version)
-        one.take_changes(other.history.after(one.version), version)
+        one.take_changes(other.history.changes_after(one.version), version)
         return True
--- a/banyantiller/tests/gateway/test_change_in_force.py
+++ b/banyantiller/tests/gateway/test_change_in_force.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from banyantiller.tests import base
-from banyantiller.tests.gateway import change_world, world
+from banyantiller.tests.gateway import change_harness, harness
 
 # Time in which a change has to be in force at daemons that reach the store.
 BOUND_S = 2.0
@@ -14,11 +14,11 @@
 class ChangeTest(base.TestCase):
     def check(self, seed, **more):
         """Checks that no daemon that reaches the store is late."""
-        lag = self.run_paused(change_world.play(seed, **more))
+        lag = self.run_paused(change_harness.play(seed, **more))
         self.assertLessEqual(lag.lag_s, BOUND_S, (seed, lag))
 
     def test_one_disturbed_daemon_makes_no_other_late(self):
-        for fault in change_world.FAULTS:
+        for fault in change_harness.FAULTS:
             self.check(1, faults=(fault, "none", "none"))
 
     def test_several_disturbed_daemons_make_no_other_late(self):
@@ -31,7 +31,7 @@
                 self.check(seed, faults=(fault,) * 3, duration_s=(9.0, 9.0))
 
 
-class FreshnessTest(world.TestCase):
+class FreshnessTest(harness.TestCase):
     """What is known is never taken for fresher than it is."""
 
     LATE_S = 0.3
@@ -46,7 +46,7 @@
         """
         now = asyncio.get_running_loop().time()
         arrived = [fresh_at for at, fresh_at in said if at <= now]
-        times = daemon.known.mirror.freshness.times
+        times = daemon.store_view.mirror.freshness.times
         self.assertLessEqual(times["config"], max(arrived))
 
     def test_late_answer_of_a_daemon_counts_from_when_it_was_composed(self):
@@ -59,18 +59,20 @@
             async def late(request):
                 found = await handle(request)
                 now = asyncio.get_running_loop().time()
-                fresh_at = first.known.mirror.freshness.confirmed_at("config")
+                fresh_at = first.store_view.mirror.freshness.confirmed_at(
+                    "config"
+                )
                 said.append((now + self.LATE_S, fresh_at))
                 await asyncio.sleep(self.LATE_S)
                 return found
 
             await asyncio.sleep(5)
             control.handler = late
-            seed = f"{world.ADDRESS}:{place.control.port}"
+            seed = f"{harness.ADDRESS}:{place.control.port}"
             await place.start_gateway(seeds=(seed,))
             for _ in range(30):
                 await asyncio.sleep(0.1)
-                if place.gateway.known.reader.questions["answered"]:
+                if place.gateway.store_view.reader.query_outcomes["answered"]:
                     self.check(place.gateway, said)
             first.listener.close()
             await first.close()
@@ -79,7 +81,7 @@
 
     def test_late_answer_of_the_store_counts_from_when_it_was_composed(self):
         async def body(place):
-            store = place.gateway.known.reader.store
+            store = place.gateway.store_view.reader.store
             read = store.changes
             said = []
 
--- a/banyantiller/tests/gateway/test_cold_servers.py
+++ b/banyantiller/tests/gateway/test_cold_servers.py
@@ -4,10 +4,10 @@
 import random
 
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 PORTS = (7001, 7002, 7003)
-SEEDS = tuple(f"{world.ADDRESS}:{port}" for port in PORTS)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
 OTHERS = 7
 PER_S = 2.1
 # What ends a cold server: half as much again as it states and eight more.
@@ -26,14 +26,14 @@
     )
 
 
-class OneDaemonTest(world.TestCase):
+class OneDaemonTest(harness.TestCase):
     """A daemon that can't count others takes a small part."""
 
     def play(self, body, share=1 / 24):
         async def cold(place):
             place.put_document(cold_per_s=PER_S)
             place.gateway.share = lambda: share
-            place.gateway.least_share = place.gateway.share
+            place.gateway.min_recent_share = place.gateway.share
             await asyncio.sleep(0.2)
             return await body(place)
 
@@ -47,7 +47,7 @@
         """Sends requests; returns their statuses."""
         tasks = []
         for number in range(count):
-            tasks.append(asyncio.ensure_future(place.ask(f"r{number}")))
+            tasks.append(asyncio.ensure_future(place.request(f"r{number}")))
             await asyncio.sleep(gap_s)
         return [(await task).status for task in tasks]
 
@@ -79,14 +79,14 @@
             place.servers["s0"].cool_down(WARMUP_S)
             for name in ("s1", "s2"):
                 place.servers[name].running = 9
-            await place.ask("first")
+            await place.request("first")
             for number in range(3, 12):
                 one = await place.add_server(f"s{number}")
                 one.running = 9
             await asyncio.sleep(1)
-            before = place.gateway.asker.asked
-            answer = await place.ask("r")
-            return answer.status, place.gateway.asker.asked - before
+            before = place.gateway.prober.probe_count
+            answer = await place.request("r")
+            return answer.status, place.gateway.prober.probe_count - before
 
         status, asked = self.play(body, share=1.0)
         self.assertEqual(200, status)
@@ -132,7 +132,7 @@
         """Returns when requests reached each server of the zone."""
 
         async def whole():
-            async with world.World(seed) as place:
+            async with harness.GatewayHarness(seed) as place:
                 place.put_document(cold_per_s=PER_S)
                 daemons = [place.gateway]
                 for number in range(OTHERS + len(PORTS)):
@@ -178,7 +178,7 @@
         await asyncio.sleep(rng.uniform(0, 0.02))
         while loop.time() < ends:
             place.port = port
-            await place.ask(f"{port}-{number}-{loop.time()}")
+            await place.request(f"{port}-{number}-{loop.time()}")
             await asyncio.sleep(0.05)
 
     def test_fleet_that_waits_does_not_end_a_cold_server(self):
--- a/banyantiller/tests/gateway/test_servers_that_end.py
+++ b/banyantiller/tests/gateway/test_crash_detection.py
@@ -24,7 +24,7 @@
 from banyantiller.http import messages
 from banyantiller.quarantine import table
 from banyantiller.tests import base
-from banyantiller.tests.gateway import ending_world, world
+from banyantiller.tests.gateway import crash_harness, harness
 
 # It is known to all within this time of the third server that ended under it.
 KNOWN_WITHIN_S = 3.0
@@ -42,13 +42,13 @@
 class EndingTest(base.TestCase):
     """Plays fleets in which a request ends servers."""
 
-    def play(self, body, ended_by=ending_world.DEADLY):
+    def play(self, body, ended_by=crash_harness.DEADLY):
         """Runs `body(fleet)` in a fleet of its own."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 alone = place.gateway
-                fleet = ending_world.Fleet(place, ended_by)
+                fleet = crash_harness.Fleet(place, ended_by)
                 try:
                     await fleet.start()
                     return await body(fleet)
@@ -84,7 +84,7 @@
 
     def check_later(self, fleet, target):
         """Checks what reached servers once all daemons have to know."""
-        since = fleet.ends[2].at + KNOWN_WITHIN_S
+        since = fleet.crashes[2].at + KNOWN_WITHIN_S
         self.assertLessEqual(fleet.arrivals(target, since), MOST_LATER)
 
 
@@ -93,10 +93,10 @@
 
     def test_it_reaches_servers_three_times_more_at_most(self):
         async def body(fleet):
-            deadly = fleet.begin(self.repeat(fleet, ending_world.DEADLY))
+            deadly = fleet.begin(self.repeat(fleet, crash_harness.DEADLY))
             statuses = await self.others(fleet)
             await deadly
-            self.check_later(fleet, ending_world.DEADLY)
+            self.check_later(fleet, crash_harness.DEADLY)
             served = statuses.count(200) / len(statuses)
             self.assertGreaterEqual(served, SERVED)
 
@@ -104,11 +104,11 @@
 
     def test_it_is_refused_as_not_run(self):
         async def body(fleet):
-            await self.repeat(fleet, ending_world.DEADLY, for_s=6.0)
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=6.0)
             # With servers free, so that it is not refused for want of one.
-            await asyncio.sleep(ending_world.LAPSE_S)
+            await asyncio.sleep(crash_harness.LAPSE_S)
             daemon = fleet.daemons[0]
-            answer = await fleet.ask(daemon, ending_world.DEADLY)
+            answer = await fleet.ask(daemon, crash_harness.DEADLY)
             self.assertEqual(503, answer.status)
             self.assertEqual(b"quarantined\n", answer.body)
             self.assertEqual("no", answer.headers["request-ran"])
@@ -118,22 +118,22 @@
         self.play(body)
 
     def test_one_with_a_body_that_may_not_run_twice(self):
-        arguments = (ending_world.DEADLY_POST, "POST", b"deadly" * 5000)
+        arguments = (crash_harness.DEADLY_POST, "POST", b"deadly" * 5000)
 
         async def body(fleet):
             await self.repeat(fleet, *arguments)
-            self.check_later(fleet, ending_world.DEADLY_POST)
+            self.check_later(fleet, crash_harness.DEADLY_POST)
 
-        self.play(body, ending_world.DEADLY_POST)
+        self.play(body, crash_harness.DEADLY_POST)
 
     def test_a_daemon_that_starts_later_knows(self):
         async def body(fleet):
-            await self.repeat(fleet, ending_world.DEADLY, for_s=4.0)
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=4.0)
             late = await fleet.add_daemon()
             await asyncio.sleep(KNOWN_WITHIN_S)
-            ended = len(fleet.ends)
-            await fleet.ask(late, ending_world.DEADLY)
-            self.assertEqual(ended, len(fleet.ends))
+            ended = len(fleet.crashes)
+            await fleet.ask(late, crash_harness.DEADLY)
+            self.assertEqual(ended, len(fleet.crashes))
 
         self.play(body)
 
@@ -143,16 +143,16 @@
         async def body(fleet):
             teller = await fleet.add_daemon()
             for _ in range(3):
-                await fleet.ask(teller, ending_world.DEADLY)
+                await fleet.ask(teller, crash_harness.DEADLY)
             await asyncio.sleep(0.2)
             fleet.daemons.remove(teller)
             teller.listener.close()
             await teller.close()
-            ended = len(fleet.ends)
-            await asyncio.sleep(ending_world.LAPSE_S)
-            await self.repeat(fleet, ending_world.DEADLY, for_s=3.0)
+            ended = len(fleet.crashes)
+            await asyncio.sleep(crash_harness.LAPSE_S)
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=3.0)
             self.assertEqual(3, ended)
-            self.assertEqual(ended, len(fleet.ends))
+            self.assertEqual(ended, len(fleet.crashes))
 
         self.play(body)
 
@@ -160,13 +160,13 @@
         """One after the other; each learns it anew from the next."""
 
         async def body(fleet):
-            await self.repeat(fleet, ending_world.DEADLY, for_s=3.0)
-            ended = len(fleet.ends)
-            for number, port in enumerate(ending_world.PORTS):
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=3.0)
+            ended = len(fleet.crashes)
+            for number, port in enumerate(crash_harness.PORTS):
                 await fleet.restart(number, port)
                 await asyncio.sleep(KNOWN_WITHIN_S)
-            await self.repeat(fleet, ending_world.DEADLY, for_s=5.0)
-            self.assertEqual(ended, len(fleet.ends))
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=5.0)
+            self.assertEqual(ended, len(fleet.crashes))
 
         self.play(body)
 
@@ -174,31 +174,31 @@
         """Nobody is left to ask; those that know remind them."""
 
         async def body(fleet):
-            await self.repeat(fleet, ending_world.DEADLY, for_s=3.0)
-            ended = len(fleet.ends)
-            for number, port in enumerate(ending_world.PORTS):
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=3.0)
+            ended = len(fleet.crashes)
+            for number, port in enumerate(crash_harness.PORTS):
                 await fleet.restart(number, port)
             await asyncio.sleep(KNOWN_WITHIN_S)
             await fleet.add_daemon()
             await asyncio.sleep(KNOWN_WITHIN_S)
-            await self.repeat(fleet, ending_world.DEADLY, for_s=5.0)
-            self.assertEqual(ended, len(fleet.ends))
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=5.0)
+            self.assertEqual(ended, len(fleet.crashes))
 
         self.play(body)
 
     def test_requests_sent_ahead_on_one_connection(self):
         async def body(fleet):
-            await self.repeat(fleet, ending_world.DEADLY, for_s=3.0)
-            ended = len(fleet.ends)
-            await asyncio.sleep(ending_world.LAPSE_S)
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=3.0)
+            ended = len(fleet.crashes)
+            await asyncio.sleep(crash_harness.LAPSE_S)
             caller = await fleet.connect(fleet.daemons[0])
-            paths = ["/read/a", ending_world.DEADLY, "/read/b"]
+            paths = ["/read/a", crash_harness.DEADLY, "/read/b"]
             for path in paths:
                 caller.send(path, path)
             answers = [await caller.read() for _ in paths]
             caller.close()
             self.assertEqual([200, 503, 200], [a.status for a in answers])
-            self.assertEqual(ended, len(fleet.ends))
+            self.assertEqual(ended, len(fleet.crashes))
 
         self.play(body)
 
@@ -213,7 +213,7 @@
     def test_those_beside_the_one_that_ends_servers(self):
         async def body(fleet):
             popular = fleet.begin(self.repeat(fleet, "/read/popular"))
-            await self.repeat(fleet, ending_world.DEADLY)
+            await self.repeat(fleet, crash_harness.DEADLY)
             answers = await popular
             self.assertEqual(0, self.quarantined(answers))
             self.assertEqual({200}, {answer.status for answer in answers[-40:]})
@@ -228,9 +228,9 @@
             for _ in range(3):
                 await asyncio.sleep(5.0)
                 for server in fleet.running()[1:]:
-                    fleet.end(server)
+                    fleet.crash(server)
             answers = await popular
-            self.assertGreater(len(fleet.ends), 12)
+            self.assertGreater(len(fleet.crashes), 12)
             self.assertEqual(0, self.quarantined(answers))
 
         self.play(body)
@@ -252,49 +252,51 @@
 
     def test_the_same_of_another_caller(self):
         async def body(fleet):
-            await self.repeat(fleet, ending_world.DEADLY, for_s=3.0)
-            await asyncio.sleep(ending_world.LAPSE_S)
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=3.0)
+            await asyncio.sleep(crash_harness.LAPSE_S)
             for server in fleet.running():
                 server.faults.ended_by = ""
             more = {"credential": "another"}
             daemon = fleet.daemons[0]
-            answer = await fleet.ask(daemon, ending_world.DEADLY, **more)
+            answer = await fleet.ask(daemon, crash_harness.DEADLY, **more)
             self.assertEqual(200, answer.status)
-            answer = await fleet.ask(daemon, ending_world.DEADLY)
+            answer = await fleet.ask(daemon, crash_harness.DEADLY)
             self.assertEqual(503, answer.status)
 
         self.play(body)
 
     def test_a_quarantine_can_be_lifted(self):
         async def body(fleet):
-            await self.repeat(fleet, ending_world.DEADLY, for_s=3.0)
-            await asyncio.sleep(ending_world.LAPSE_S)
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=3.0)
+            await asyncio.sleep(crash_harness.LAPSE_S)
             for server in fleet.running():
                 # The operators have mended the servers.
                 server.faults.ended_by = ""
-            (record,) = fleet.daemons[-1].endings.watch.table.records.values()
+            (record,) = fleet.daemons[
+                -1
+            ].crash_detector.watch.table.records.values()
             target = f"/quarantine/lift?fingerprint={record.fingerprint}"
-            response = await fleet.daemons[0].answer_daemon(
+            response = await fleet.daemons[0].handle_peer(
                 messages.Request("POST", target)
             )
             self.assertEqual(204, response.status)
             await asyncio.sleep(KNOWN_WITHIN_S)
             for daemon in fleet.daemons:
-                answer = await fleet.ask(daemon, ending_world.DEADLY)
+                answer = await fleet.ask(daemon, crash_harness.DEADLY)
                 self.assertEqual(200, answer.status)
 
         self.play(body)
 
     def test_it_ends_by_itself(self):
         async def body(fleet):
-            await self.repeat(fleet, ending_world.DEADLY, for_s=3.0)
+            await self.repeat(fleet, crash_harness.DEADLY, for_s=3.0)
             for server in fleet.running():
                 server.faults.ended_by = ""
             period_s = fleet.daemons[0].settings.quarantine_s
             await asyncio.sleep(period_s * (1 + table.SPREAD))
             for server in fleet.running():
                 server.faults.ended_by = ""
-            answer = await fleet.ask(fleet.daemons[0], ending_world.DEADLY)
+            answer = await fleet.ask(fleet.daemons[0], crash_harness.DEADLY)
             self.assertEqual(200, answer.status)
 
         self.play(body)
--- a/banyantiller/tests/gateway/test_draining.py
+++ b/banyantiller/tests/gateway/test_draining.py
@@ -3,17 +3,17 @@
 import asyncio
 
 from banyantiller.gateway import gateway as gateways
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 GRACE_S = 6.0
 
 
-class DrainingTest(world.TestCase):
+class DrainingTest(harness.TestCase):
     def test_call_that_began_after_all_others_left_is_not_cut(self):
         async def body(place):
             for one in place.servers.values():
                 one.work_s = 0.5
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("before")
             await caller.read()
             ending = asyncio.ensure_future(place.gateway.drain(GRACE_S))
@@ -22,7 +22,7 @@
             # the time in which new ones are taken.
             caller.close()
             await asyncio.sleep(gateways.LISTEN_ON_S - 0.2)
-            answer = asyncio.ensure_future(place.ask("late"))
+            answer = asyncio.ensure_future(place.request("late"))
             cut = await ending
             return cut, await answer
 
@@ -34,8 +34,8 @@
         async def body(place):
             for one in place.servers.values():
                 one.work_s = 0.5
-            idle = await world.Caller.connect(place)
-            busy = await world.Caller.connect(place)
+            idle = await harness.Caller.connect(place)
+            busy = await harness.Caller.connect(place)
             ending = asyncio.ensure_future(place.gateway.drain(GRACE_S))
             await asyncio.sleep(gateways.LISTEN_ON_S - 0.1)
             busy.send("a")
@@ -51,11 +51,11 @@
 
     def test_call_that_never_ends_is_counted_as_cut(self):
         async def body(place):
-            route = world.route("file", "unsafe", "/file/", timeoutS=60)
+            route = harness.route("file", "unsafe", "/file/", timeoutS=60)
             place.put_document([route])
             await asyncio.sleep(0.1)
             place.fault(mute=True)
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a", "/file/x", "POST", deadline_ms=60000)
             await asyncio.sleep(0.1)
             return await place.gateway.drain(GRACE_S)
--- a/banyantiller/tests/gateway/test_early.py
+++ b/banyantiller/tests/gateway/test_early_listening.py
@@ -5,9 +5,9 @@
 import socket
 
 from banyantiller.config.defaults import Endpoint
-from banyantiller.gateway import early
+from banyantiller.gateway import early_listening
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 ADDRESS = "127.0.0.1"
 
@@ -30,8 +30,11 @@
 
 def listen(own, others):
     """Listens early, if at all."""
-    return early.listen(
-        {early.LISTEN_VARIABLE: own, early.OTHERS_VARIABLE: others}
+    return early_listening.listen(
+        {
+            early_listening.LISTEN_VARIABLE: own,
+            early_listening.OTHERS_VARIABLE: others,
+        }
     )
 
 
@@ -64,10 +67,10 @@
             self.assertIsNone(listen(own, dead))
 
 
-class StartTest(world.TestCase):
+class StartTest(harness.TestCase):
     def test_gateway_takes_the_listening_socket_if_it_is_its_own(self):
         async def starts(listener, endpoint):
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 place.gateway.listener.close()
                 return await place.gateway.start(endpoint, listener)
 
@@ -88,7 +91,7 @@
     def test_call_before_the_first_document_waits_for_it(self):
         async def body(place):
             await place.start_gateway()
-            return (await place.ask("a")).status
+            return (await place.request("a")).status
 
         self.assertEqual(200, self.play(body))
 
@@ -98,10 +101,10 @@
             await place.start_gateway()
             loop = asyncio.get_running_loop()
             began = loop.time()
-            first = await place.ask("a")
+            first = await place.request("a")
             waited_s = loop.time() - began
             began = loop.time()
-            second = await place.ask("b")
+            second = await place.request("b")
             return first.status, waited_s, second.status, loop.time() - began
 
         first, waited_s, second, at_once_s = self.play(body)
--- a/banyantiller/tests/gateway/test_evacuations.py
+++ b/banyantiller/tests/gateway/test_evacuations.py
@@ -3,11 +3,11 @@
 import asyncio
 
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 KIND = "evacuations"
 PORTS = (7001, 7002, 7003)
-SEEDS = tuple(f"{world.ADDRESS}:{port}" for port in PORTS)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
 OTHERS = 4
 # Time after the store's answer in which an evacuation has to be in force.
 BOUND_S = 5.0
@@ -27,7 +27,7 @@
     }
 
 
-class EvacuationTest(world.TestCase):
+class EvacuationTest(harness.TestCase):
     def play(self, body, **more):
         async def in_zones(place):
             put_zones(place, s0="zone-a", s1="zone-a", s2="zone-b")
@@ -39,7 +39,7 @@
     async def ask_often(self, place, count=30, **more):
         """Returns the statuses of requests that are sent one by one."""
         answers = [
-            await place.ask(f"r{place.seed}-{number}", **more)
+            await place.request(f"r{place.seed}-{number}", **more)
             for number in range(count)
         ]
         return {answer.status for answer in answers}
@@ -91,7 +91,7 @@
                 place.store.put(KIND, zone, {})
             await asyncio.sleep(0.2)
             before = counted(place)
-            answer = await place.ask("r", "/file/x", "POST")
+            answer = await place.request("r", "/file/x", "POST")
             late = answer.took_s > 0.03
             return (
                 answer.status,
@@ -109,7 +109,9 @@
             place.servers["s2"].slots = 0
             for name in ("s0", "s1"):
                 place.servers[name].running = 9
-            waiting = asyncio.ensure_future(place.ask("r", "/file/x", "POST"))
+            waiting = asyncio.ensure_future(
+                place.request("r", "/file/x", "POST")
+            )
             await asyncio.sleep(0.01)
             place.store.put(KIND, "zone-a", {})
             await asyncio.sleep(0.02)
@@ -141,7 +143,7 @@
             place.store.put(KIND, "zone-b", {})
             await asyncio.sleep(0.2)
             place.fault(lose=True)
-            running = asyncio.ensure_future(place.ask("r"))
+            running = asyncio.ensure_future(place.request("r"))
             await asyncio.sleep(0.05)
             place.store.put(KIND, "zone-a", {})
             await asyncio.sleep(0.02)
@@ -163,11 +165,13 @@
             # Connections to these are not opened by a question before.
             for one in place.servers.values():
                 one.tells_load = False
-            await place.ask("before")
-            for entry in place.gateway.known.table.entries.values():
+            await place.request("before")
+            for entry in place.gateway.store_view.table.entries.values():
                 home = place.gateway.pool_of(entry.server)
                 home.acquire = lambda fresh=False, home=home: slow(home)
-            running = asyncio.ensure_future(place.ask("r", "/file/x", "POST"))
+            running = asyncio.ensure_future(
+                place.request("r", "/file/x", "POST")
+            )
             await asyncio.sleep(0.05)
             for zone in ("zone-a", "zone-b"):
                 place.store.put(KIND, zone, {})
@@ -179,7 +183,7 @@
         async def body(place):
             for one in place.servers.values():
                 one.work_s = 0.3
-            running = asyncio.ensure_future(place.ask("r"))
+            running = asyncio.ensure_future(place.request("r"))
             await asyncio.sleep(0.1)
             for zone in ("zone-a", "zone-b"):
                 place.store.put(KIND, zone, {})
@@ -193,7 +197,7 @@
             place.store.put(KIND, "zone-c", {"unknown": [1]})
             place.store.put(KIND, "", None)
             await asyncio.sleep(0.2)
-            return sorted(place.gateway.known.zones.evacuated), (
+            return sorted(place.gateway.store_view.evacuations.evacuated), (
                 await self.ask_often(place, 5)
             )
 
@@ -243,7 +247,7 @@
             place.http.handler = without_zones
             await place.start_gateway(name="d2")
             before = counted(place)
-            answer = await place.ask("r", "/file/x", "POST")
+            answer = await place.request("r", "/file/x", "POST")
             ready = place.gateway.not_ready()
             return answer.status, counted(place) == before, ready
 
@@ -257,7 +261,7 @@
         """Runs `body(world, asked, others)`."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 daemons = [place.gateway]
                 for number, port in enumerate(PORTS):
                     await place.start_gateway(SEEDS, f"seed{number}", port)
@@ -279,7 +283,9 @@
         async def body(place, asked, others):
             place.store.put(KIND, "zone-a", {})
             await asyncio.sleep(0.5)
-            return [one.known.zones.evacuated for one in asked + others]
+            return [
+                one.store_view.evacuations.evacuated for one in asked + others
+            ]
 
         wanted = [frozenset({"zone-a"})] * (len(PORTS) + OTHERS)
         self.assertEqual(wanted, self.play(body))
@@ -292,7 +298,10 @@
             place.controls[1].handler = frozen
             place.store.put(KIND, "zone-a", {})
             await asyncio.sleep(BOUND_S - 1.5)
-            return [one.known.zones.evacuated for one in asked[1:] + others]
+            return [
+                one.store_view.evacuations.evacuated
+                for one in asked[1:] + others
+            ]
 
         wanted = [frozenset({"zone-a"})] * (len(PORTS) - 1 + OTHERS)
         self.assertEqual(wanted, self.play(body))
@@ -306,17 +315,17 @@
             late = place.gateway
             others.append(late)
             await asyncio.sleep(2)
-            return late.known.zones.evacuated, late.not_ready()
+            return late.store_view.evacuations.evacuated, late.not_ready()
 
         self.assertEqual((frozenset({"zone-a"}), ""), self.play(body))
 
     def test_zones_add_calls_of_one_reader_only(self):
         async def body(place, asked, others):
-            calls = [one.known.reader.calls.total() for one in others]
+            calls = [one.store_view.reader.calls.total() for one in others]
             place.store.put(KIND, "zone-a", {})
             await asyncio.sleep(10)
             return [
-                one.known.reader.calls.total() - count
+                one.store_view.reader.calls.total() - count
                 for one, count in zip(others, calls, strict=True)
             ]
 
--- a/banyantiller/tests/gateway/test_events.py
+++ b/banyantiller/tests/gateway/test_events.py
@@ -13,7 +13,7 @@
 from banyantiller.http import messages
 from banyantiller.telemetry import events as log_events
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 DECLARED = {
     kind: declared
@@ -35,13 +35,13 @@
 
 @shows(events.ServerJoined, events.DocumentInForce, call_events.CallEnded)
 async def good_call(place):
-    await place.ask("a")
+    await place.request("a")
 
 
-@shows(call_events.TryFailed)
+@shows(call_events.AttemptFailed)
 async def reset_by_servers(place):
     place.fault(reset=True)
-    await place.ask("a")
+    await place.request("a")
 
 
 @shows(events.ServerLimited, events.ServerUnlimited, events.LimitUnreadable)
@@ -50,12 +50,12 @@
         for one in place.servers.values():
             one.limit = limit
         for number in range(9):
-            await place.ask(f"{limit}{number}")
+            await place.request(f"{limit}{number}")
             await asyncio.sleep(0.2)
 
 
 @shows(
-    call_events.ServerEnded,
+    call_events.ServerCrashed,
     call_events.RequestQuarantined,
     call_events.QuarantineLifted,
 )
@@ -63,10 +63,10 @@
     for one in place.servers.values():
         one.faults.ended_by = "/file/deadly"
     for _ in place.servers.copy():
-        await place.ask("a", "/file/deadly", "POST")
+        await place.request("a", "/file/deadly", "POST")
     await asyncio.sleep(0.1)
-    (record,) = place.gateway.endings.watch.table.records
-    place.gateway.endings.watch.lift(record, place.gateway.loop.time())
+    (record,) = place.gateway.crash_detector.watch.table.records
+    place.gateway.crash_detector.watch.lift(record, place.gateway.loop.time())
 
 
 @shows(events.ZoneEvacuated, events.ZoneGivenBack)
@@ -77,33 +77,33 @@
     await asyncio.sleep(0.1)
 
 
-@shows(events.ServerDoubted)
+@shows(events.ServerReportedFailing)
 async def server_fails_other_daemons(place):
     await place.add_server("s3")
     await asyncio.sleep(0.1)
     now = place.gateway.loop.time()
-    place.gateway.known.table.doubt(["s0"], now + 1, now)
+    place.gateway.store_view.table.mark_failing(["s0"], now + 1, now)
 
 
 @shows(call_events.NoConnection)
 async def connecting_fails(place):
     for one in place.servers.values():
         one.tells_load = False
-    await place.ask("warm")
+    await place.request("warm")
 
     async def refuse(fresh):
         raise ConnectionRefusedError("refused")
 
     for kept in place.gateway.pools.values():
         kept.acquire = refuse
-    await place.ask("a")
+    await place.request("a")
 
 
 @shows(call_events.ServerSuspected)
 async def server_falls_silent_at_work(place):
     for one in place.servers.values():
         one.work_s = 0.5
-    asked = asyncio.ensure_future(place.ask("a"))
+    asked = asyncio.ensure_future(place.request("a"))
     await asyncio.sleep(0.03)
     place.fault(silent=True)
     await asked
@@ -115,22 +115,22 @@
         retry_extra=0.0, retry_ratio=0.0
     )
     place.fault(reset=True)
-    await place.ask("a")
+    await place.request("a")
 
 
-@shows(events.ServerSilent, events.ServerAnswers)
+@shows(events.ServerUnresponsive, events.ServerResponsive)
 async def server_is_silent_for_a_while(place):
     place.fault(silent=True)
-    await place.ask("a")
+    await place.request("a")
     await asyncio.sleep(5)
     for one in list(place.servers.values()):
         one.faults.silent = False
-    await place.ask("b")
+    await place.request("b")
 
 
 @shows(events.KeptConnectionLost)
 async def kept_connections_end(place):
-    await place.ask("a")
+    await place.request("a")
 
     async def reset():
         raise ConnectionResetError("reset by the server")
@@ -138,17 +138,17 @@
     for kept in place.gateway.pools.values():
         for link in kept.idle:
             link.connection.read_head = reset
-    await place.ask("b")
+    await place.request("b")
 
 
-@shows(events.ServiceMute)
+@shows(events.ServiceWithoutLoad)
 async def servers_tell_no_load(place):
     for one in place.servers.values():
         one.tells_load = False
-    await place.ask("a")
+    await place.request("a")
 
 
-@shows(events.ServerLeaves, events.ServerGone)
+@shows(events.ServerLeaves, events.ServerRemoved)
 async def server_leaves(place):
     place.register("s0", state="draining")
     await asyncio.sleep(2)
@@ -172,7 +172,7 @@
     await asyncio.sleep(2)
 
 
-@shows(events.HistoryGone)
+@shows(events.HistoryLost)
 async def history_is_forgotten(place):
     place.store.faults.down = True
     await asyncio.sleep(2)
@@ -197,7 +197,7 @@
 
 @shows(call_events.RequestRejected)
 async def request_is_no_request(place):
-    _, writer = await asyncio.open_connection(world.ADDRESS, place.port)
+    _, writer = await asyncio.open_connection(harness.ADDRESS, place.port)
     writer.write(b"what is this\r\n\r\n")
     await asyncio.sleep(1)
 
@@ -207,8 +207,8 @@
     def fail(route):
         raise ZeroDivisionError
 
-    place.gateway.known.routes.choose_service = fail
-    await place.ask("a")
+    place.gateway.store_view.routes.choose_service = fail
+    await place.request("a")
 
 
 @shows(call_events.CallsNotLogged)
@@ -216,25 +216,25 @@
     for one in place.servers.values():
         one.work_s = 0.001
     for number in range(150):
-        await place.ask(f"a{number}")
+        await place.request(f"a{number}")
     await asyncio.sleep(1.1)
-    await place.ask("last")
+    await place.request("last")
 
 
 @shows(events.CallsCut)
 async def time_to_end_is_over(place):
     place.fault(mute=True)
-    asked = asyncio.ensure_future(place.ask("a", deadline_ms=60000))
+    asked = asyncio.ensure_future(place.request("a", deadline_ms=60000))
     await asyncio.sleep(0.1)
     place.gateway.default_timeout_s = 60.0
     await place.gateway.drain(0.9)
     asked.cancel()
 
 
-@shows(events.ReadsThrough, events.ReadsForOthers, events.PeerLost)
+@shows(events.ReadsThroughRelay, events.ReadsForSubscribers, events.PeerLost)
 async def other_daemon_is_asked(place):
     first = place.gateway
-    seed = f"{world.ADDRESS}:{place.control.port}"
+    seed = f"{harness.ADDRESS}:{place.control.port}"
     await place.start_gateway(seeds=(seed,), name="d2")
     await asyncio.sleep(3)
     place.controls[0].handler = None
@@ -244,11 +244,11 @@
     await first.close()
 
 
-@shows(events.ListTold)
+@shows(events.PeerListReceived)
 async def started_while_the_store_is_away(place):
     first = place.gateway
     place.store.faults.down = True
-    seed = f"{world.ADDRESS}:{place.control.port}"
+    seed = f"{harness.ADDRESS}:{place.control.port}"
     await place.start_gateway(seeds=(seed,), name="d2")
     await asyncio.sleep(3)
     first.listener.close()
@@ -263,7 +263,7 @@
         return messages.Response(200, (), b"[")
 
     place.controls[0].handler = nonsense
-    seed = f"{world.ADDRESS}:{place.control.port}"
+    seed = f"{harness.ADDRESS}:{place.control.port}"
     await place.start_gateway(seeds=(seed,), name="d2")
     await asyncio.sleep(3)
     first.listener.close()
@@ -275,8 +275,8 @@
     events.ReadinessChanged,
     events.SettingsReloaded,
     events.SettingsRefused,
-    events.Ending,
-    events.Ended,
+    events.ShuttingDown,
+    events.Stopped,
 )
 async def life_of_a_daemon(place):
     with tempfile.TemporaryDirectory() as folder:
@@ -285,9 +285,9 @@
             {
                 "daemon": "d9",
                 "zone": "zone-a",
-                "callers": f"{world.ADDRESS}:40001",
-                "ready": f"{world.ADDRESS}:40002",
-                "store": f"{world.ADDRESS}:{place.bound.port}",
+                "callers": f"{harness.ADDRESS}:40001",
+                "ready": f"{harness.ADDRESS}:40002",
+                "store": f"{harness.ADDRESS}:{place.bound.port}",
                 "metrics_port": 0,
             }
         )
@@ -299,7 +299,7 @@
         daemon.reload()
         path.write_text("zone: [")
         daemon.reload()
-        daemon.ending.set()
+        daemon.shutdown_requested.set()
         await running
 
 
@@ -308,7 +308,7 @@
         """Plays a scenario in a world and returns the log lines."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 await scenario(place)
 
         with structlog.testing.capture_logs() as lines:
@@ -353,16 +353,16 @@
         async def before_the_first(place):
             place.store.faults.silent = True
             await place.start_gateway(name="d2")
-            await place.ask("a")
+            await place.request("a")
 
         async def in_time(place):
             await asyncio.sleep(20)
-            await place.ask("a")
+            await place.request("a")
 
         async def silent(place):
             place.store.faults.silent = True
             await asyncio.sleep(20)
-            await place.ask("a")
+            await place.request("a")
 
         ages = [
             line["known_ms"]
--- a/banyantiller/tests/gateway/test_failing_servers.py
+++ b/banyantiller/tests/gateway/test_failing_servers.py
@@ -3,13 +3,13 @@
 import asyncio
 import random
 
-from banyantiller.gateway.decisions import failing
+from banyantiller.gateway.decisions import failure_reports
 from banyantiller.http import messages
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 PORTS = (7001, 7002)
-SEEDS = tuple(f"{world.ADDRESS}:{port}" for port in PORTS)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
 DAEMONS = 12
 SECONDS = 8.0
 # Requests a second at each daemon: too few to learn from its own alone.
@@ -21,34 +21,36 @@
 
 class ReportsTest(base.TestCase):
     def test_servers_that_failed_several_daemons_are_doubted_for_a_while(self):
-        reports = failing.Reports()
-        reports.take("d1", ["s1", "s2"], 1.0)
-        reports.take("d2", ["s1"], 2.0)
-        self.assertEqual(["s1"], reports.doubted(2.0))
-        self.assertEqual([], reports.doubted(1.0 + failing.RECENT_S))
+        reports = failure_reports.FailureReports()
+        reports.receive("d1", ["s1", "s2"], 1.0)
+        reports.receive("d2", ["s1"], 2.0)
+        self.assertEqual(["s1"], reports.failing_servers(2.0))
+        self.assertEqual(
+            [], reports.failing_servers(1.0 + failure_reports.RECENT_S)
+        )
 
     def test_one_daemon_alone_changes_nothing(self):
-        reports = failing.Reports()
+        reports = failure_reports.FailureReports()
         for number in range(20):
-            reports.take("d1", ["s1", "s2"], 0.1 * number)
-        self.assertEqual([], reports.doubted(2.0))
+            reports.receive("d1", ["s1", "s2"], 0.1 * number)
+        self.assertEqual([], reports.failing_servers(2.0))
 
     def test_message_is_bounded(self):
-        own = failing.OwnFailures()
+        own = failure_reports.LocalFailures()
         for number in range(100):
-            own.failed(f"s{number}", 1.0)
-        self.assertEqual(failing.MOST_NAMED, len(own.recent(1.5)))
-        self.assertEqual([], own.recent(1.0 + failing.RECENT_S))
+            own.record_failure(f"s{number}", 1.0)
+        self.assertEqual(failure_reports.MAX_NAMED, len(own.recent(1.5)))
+        self.assertEqual([], own.recent(1.0 + failure_reports.RECENT_S))
 
 
-class TableTest(world.TestCase):
+class TableTest(harness.TestCase):
     def test_questions_that_name_no_server_put_none_in_doubt(self):
         async def body(place):
-            since = place.gateway.known.mirror.histories["config"].version
+            since = place.gateway.store_view.mirror.histories["config"].version
             for name in ("d1", "d2", "d3"):
                 target = f"/mirror/config?since={since}&wait_ms=0&name={name}"
                 request = messages.Request("GET", target, ())
-                answer = await place.gateway.answer_daemon(request)
+                answer = await place.gateway.handle_peer(request)
             return answer.status, b"doubted" in answer.body
 
         self.assertEqual((200, False), self.play(body))
@@ -57,12 +59,16 @@
         async def body(place):
             await place.add_server("s3")
             await asyncio.sleep(0.1)
-            table = place.gateway.known.table
+            table = place.gateway.store_view.table
             now = place.gateway.loop.time()
-            table.doubt(["s0", "s1", "gone"], now + 8, now)
-            some = [e.belief.failures(now) for e in table.entries.values()]
-            table.doubt(["s0"], now + 8, now)
-            one = [e.belief.failures(now) for e in table.entries.values()]
+            table.mark_failing(["s0", "s1", "gone"], now + 8, now)
+            some = [
+                e.health.failure_rate_at(now) for e in table.entries.values()
+            ]
+            table.mark_failing(["s0"], now + 8, now)
+            one = [
+                e.health.failure_rate_at(now) for e in table.entries.values()
+            ]
             return sum(some), sum(rate > 0 for rate in one)
 
         self.assertEqual((0.0, 1), self.play(body))
@@ -73,7 +79,7 @@
         """Returns when requests reached the servers that fail."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 for number in range(3, 8):
                     await place.add_server(f"s{number}", slots=3)
                 daemons = [place.gateway]
@@ -104,7 +110,7 @@
             one = rng.choice(daemons)
             place.port = one.listener.sockets[0].getsockname()[1]
             name = f"r{len(tasks)}"
-            work = place.ask(name, "/file/x", "POST")
+            work = place.request(name, "/file/x", "POST")
             tasks.append(asyncio.ensure_future(work))
             await asyncio.sleep(rng.expovariate(RATE_PER_S * DAEMONS))
         began = ends - SECONDS
--- a/banyantiller/tests/gateway/test_common_start.py
+++ b/banyantiller/tests/gateway/test_fleet_start.py
@@ -4,10 +4,10 @@
 from typing import NamedTuple
 
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 PORTS = (7001, 7002, 7003)
-SEEDS = tuple(f"{world.ADDRESS}:{port}" for port in PORTS)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
 # Daemons besides those that are asked, in a small and in a larger fleet.
 FEW = 4
 MANY = 12
@@ -81,8 +81,8 @@
         await asyncio.sleep(PLAYED_S - self.start.late_s)
         answers = await asyncio.gather(*self.callers)
         return Outcome(
-            sum(one.known.reader.calls.total() for one in self._all()),
-            sum(one.known.reader.calls["watch"] for one in self.others),
+            sum(one.store_view.reader.calls.total() for one in self._all()),
+            sum(one.store_view.reader.calls["watch"] for one in self.others),
             {answer.status for answer in answers},
         )
 
@@ -98,7 +98,7 @@
             self.place.register(instance)
         if self.start.silent:
             for port in PORTS:
-                await self.place.be_silent(port)
+                await self.place.make_unresponsive(port)
 
     async def _add(self, daemons, name, port=0):
         # Each asks the others in an order of its own.
@@ -108,7 +108,7 @@
         )
         daemons.append(self.place.gateway)
         if self.start.callers:
-            answer = asyncio.ensure_future(self.place.ask(name))
+            answer = asyncio.ensure_future(self.place.request(name))
             self.callers.append(answer)
             # Its connection is opened before the next daemon starts.
             await asyncio.sleep(0)
@@ -128,7 +128,7 @@
         """Plays the start of a fleet and returns its outcome."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 alone = place.gateway
                 fleet = Fleet(place, start)
                 try:
--- a/banyantiller/tests/gateway/test_limit_telling.py
+++ b/banyantiller/tests/gateway/test_limit_reports.py
@@ -7,7 +7,7 @@
 
 from banyantiller.platform import headers
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 UNREADABLE = ("", "many", "-1", "nan", "inf", "1e9", "1,5", "9" * 10, "٣")
 
@@ -27,7 +27,7 @@
         self.assertRaises(ValueError, headers.read_limit, ["2", "3"])
 
 
-class TellingTest(world.TestCase):
+class TellingTest(harness.TestCase):
     def lines(self, body):
         """Returns the events that a play logs on limits."""
         with structlog.testing.capture_logs() as found:
@@ -40,7 +40,7 @@
 
     async def ask(self, place, count=8):
         for _ in range(count):
-            await place.ask(f"{random.getrandbits(32)}")
+            await place.request(f"{random.getrandbits(32)}")
 
     def test_each_change_of_a_limit_is_one_line(self):
         async def body(place):
@@ -61,7 +61,7 @@
             place.servers["s0"].limit = "many"
             await self.ask(place, 20)
             self.assertGreater(len(place.servers["s0"].arrivals), 1)
-            status = (await place.ask("last")).status
+            status = (await place.request("last")).status
             self.assertEqual(200, status)
 
         self.assertEqual(["limit is unreadable."], self.lines(body))
@@ -71,14 +71,14 @@
             place.fault(shed=True)
             place.servers["s0"].limit = "5"
             await self.ask(place)
-            return place.gateway.limits.count()
+            return place.gateway.server_limits.count_limited()
 
         self.assertEqual(1, self.play(body))
 
     def test_answer_to_an_earlier_request_neither_lifts_nor_lowers(self):
         async def body(place):
-            server = place.gateway.known.table.entries["s0"].server
-            limits = place.gateway.limits
+            server = place.gateway.store_view.table.entries["s0"].server
+            limits = place.gateway.server_limits
             now = asyncio.get_running_loop().time()
             said = []
             for text, sent_at in (
@@ -90,8 +90,8 @@
                 ("2", now + 0.1),
             ):
                 fields = (("server-limit", text),) if text else ()
-                limits.note_answer(server, fields, sent_at)
-                (known,) = limits.known.values()
+                limits.record_response(server, fields, sent_at)
+                (known,) = limits.by_incarnation.values()
                 said.append(known.per_s)
             return said
 
@@ -102,12 +102,12 @@
         async def body(place):
             place.servers["s0"].limit = "5"
             await self.ask(place)
-            asked = place.gateway.asker.asked
-            entries = [place.gateway.known.table.entries["s0"]]
-            found = await place.gateway.asker.ask(entries, "/health")
-            place.gateway.asker.give_back(found)
-            self.assertGreater(place.gateway.asker.asked, asked)
-            return place.gateway.limits.count()
+            asked = place.gateway.prober.probe_count
+            entries = [place.gateway.store_view.table.entries["s0"]]
+            found = await place.gateway.prober.probe(entries, "/health")
+            place.gateway.prober.release(found)
+            self.assertGreater(place.gateway.prober.probe_count, asked)
+            return place.gateway.server_limits.count_limited()
 
         self.assertEqual(1, self.play(body))
 
@@ -119,9 +119,9 @@
             await place.add_server("s0")
             place.register("s0", born=1)
             await asyncio.sleep(1)
-            server = place.gateway.known.table.entries["s0"].server
-            before = place.gateway.limits.is_limited(server)
+            server = place.gateway.store_view.table.entries["s0"].server
+            before = place.gateway.server_limits.is_limited(server)
             await asyncio.sleep(12)
-            return before, len(place.gateway.limits.known)
+            return before, len(place.gateway.server_limits.by_incarnation)
 
         self.assertEqual((False, 0), self.play(body))
--- a/banyantiller/tests/gateway/test_telling.py
+++ b/banyantiller/tests/gateway/test_log_and_metrics.py
@@ -7,7 +7,7 @@
 
 from banyantiller.gateway import metrics, sampling
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 
 class TellingTest(base.TestCase):
@@ -15,7 +15,7 @@
         """Runs `body(world)` and returns its result and the log lines."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 return await body(place)
 
         with structlog.testing.capture_logs() as lines:
@@ -23,7 +23,7 @@
 
     def test_each_call_has_one_line_with_what_decided_it(self):
         async def body(place):
-            await place.ask("a")
+            await place.request("a")
 
         _, lines = self.play(body)
         (line,) = [one for one in lines if one.get("id") == "a"]
@@ -35,7 +35,7 @@
     def test_each_failed_try_has_a_line(self):
         async def body(place):
             place.fault(reset=True)
-            await place.ask("a")
+            await place.request("a")
 
         _, lines = self.play(body)
         events = [one["event"] for one in lines if one.get("id") == "a"]
@@ -58,17 +58,17 @@
 
     def test_good_calls_are_sampled_and_failures_are_not(self):
         sampler = sampling.CallSampler()
-        sampler.turn(1.0)
-        good = sum(sampler.take(True) for _ in range(100))
-        bad = sum(sampler.take(False) for _ in range(100))
+        sampler.begin_second(1.0)
+        good = sum(sampler.should_log(True) for _ in range(100))
+        bad = sum(sampler.should_log(False) for _ in range(100))
         self.assertEqual((sampling.GOOD_LINES_S, 100), (good, bad))
-        self.assertEqual((60, 0), sampler.turn(2.0))
-        self.assertIsNone(sampler.turn(3.0))
+        self.assertEqual((60, 0), sampler.begin_second(2.0))
+        self.assertIsNone(sampler.begin_second(3.0))
 
     def test_metrics_page_has_counters_and_a_histogram(self):
         async def body(place):
-            await place.ask("a")
-            await place.ask("b", "/none/")
+            await place.request("a")
+            await place.request("b", "/none/")
             page = metrics.Page(place.gateway)
             text = page.text().decode()
             page.instruments.close()
@@ -92,7 +92,7 @@
     def test_metrics_count_requests_by_server(self):
         async def body(place):
             for number in range(5):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             page = metrics.Page(place.gateway)
             text = page.text().decode()
             page.instruments.close()
--- a/banyantiller/tests/gateway/test_mirror.py
+++ b/banyantiller/tests/gateway/test_mirror.py
@@ -6,9 +6,9 @@
 
 from banyantiller.http import messages
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
-NEW = [world.route("new", "safe", "/new/")]
+NEW = [harness.route("new", "safe", "/new/")]
 
 
 class MirrorTest(base.TestCase):
@@ -16,9 +16,9 @@
         """Runs `body(world, first)`: a daemon that learns from `first`."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 first = place.gateway
-                seed = f"{world.ADDRESS}:{place.control.port}"
+                seed = f"{harness.ADDRESS}:{place.control.port}"
                 place.first_seed = seed
                 await place.start_gateway(seeds=(seed,))
                 await asyncio.sleep(0.2)
@@ -33,13 +33,13 @@
     def test_changes_come_from_the_other_daemon(self):
         async def body(place, first):
             await asyncio.sleep(5)
-            before = dict(place.gateway.known.reader.calls)
+            before = dict(place.gateway.store_view.reader.calls)
             place.put_document(NEW)
             place.store.remove("servers", "s0")
             await asyncio.sleep(1)
-            status = (await place.ask("a", "/new/x")).status
-            same = dict(place.gateway.known.reader.calls) == before
-            return status, same, sorted(place.gateway.known.table.entries)
+            status = (await place.request("a", "/new/x")).status
+            same = dict(place.gateway.store_view.reader.calls) == before
+            return status, same, sorted(place.gateway.store_view.table.entries)
 
         self.assertEqual((200, True, ["s1", "s2"]), self.play(body))
 
@@ -63,9 +63,9 @@
     def test_calls_to_the_store_hardly_grow_with_daemons(self):
         async def body(place, first):
             await asyncio.sleep(10)
-            before = dict(place.gateway.known.reader.calls)
+            before = dict(place.gateway.store_view.reader.calls)
             await asyncio.sleep(30)
-            return place.gateway.known.reader.calls["watch"] - before.get(
+            return place.gateway.store_view.reader.calls["watch"] - before.get(
                 "watch", 0
             )
 
@@ -85,7 +85,7 @@
                 place.controls[0].handler = handler
                 place.put_document(NEW)
                 await asyncio.sleep(1.6)
-                return (await place.ask("a", "/new/x")).status
+                return (await place.request("a", "/new/x")).status
 
             self.assertEqual(200, self.play(body), name)
 
@@ -105,7 +105,7 @@
             user.request = silent
             place.put_document(NEW)
             await asyncio.sleep(1.9)
-            return (await place.ask("a", "/new/x")).status
+            return (await place.request("a", "/new/x")).status
 
         self.assertEqual(200, self.play(body))
 
@@ -113,26 +113,28 @@
         async def body(place, first):
             await asyncio.sleep(5)
             first.draining = True
-            first.known.end()
+            first.store_view.begin_shutdown()
             place.put_document(NEW)
             await asyncio.sleep(0.1)
-            return (await place.ask("a", "/new/x")).status
+            return (await place.request("a", "/new/x")).status
 
         self.assertEqual(200, self.play(body))
 
     def test_large_document_takes_few_bytes_between_daemons(self):
         # 30 versions of 480 routes once took 32 MB between 14 daemons.
-        many = [world.route(f"r{n}", "safe", f"/p{n}/") for n in range(480)]
+        many = [harness.route(f"r{n}", "safe", f"/p{n}/") for n in range(480)]
 
         async def body(place, first):
             await asyncio.sleep(5)
-            since = first.known.mirror.histories["config"].version
+            since = first.store_view.mirror.histories["config"].version
             place.put_document(many)
             await asyncio.sleep(0.2)
             target = f"/mirror/config?since={since}&wait_ms=0&name=x"
             request = messages.Request("GET", target)
-            answer = await first.known.mirror.handle(request)
-            return len(answer.body), (await place.ask("a", "/p479/x")).status
+            answer = await first.store_view.mirror.handle(request)
+            return len(answer.body), (
+                await place.request("a", "/p479/x")
+            ).status
 
         size, status = self.play(body)
         self.assertLess(size, 12_000)
@@ -142,8 +144,8 @@
         async def body(place, first):
             await asyncio.sleep(5)
             return (
-                first.known.mirror.demanded(),
-                place.gateway.known.mirror.demanded(),
+                first.store_view.mirror.has_subscribers(),
+                place.gateway.store_view.mirror.has_subscribers(),
             )
 
         self.assertEqual((True, False), self.play(body))
@@ -158,12 +160,12 @@
             await place.start_gateway(seeds=(seed,))
             await asyncio.sleep(1)
             ready = place.gateway.not_ready()
-            status = (await place.ask("a")).status
-            lost = place.gateway.known.health.lost_at is not None
+            status = (await place.request("a")).status
+            lost = place.gateway.store_view.store_health.lost_at is not None
             place.store.faults.down = False
             place.put_document(NEW)
             await asyncio.sleep(2.5)
-            after = (await place.ask("b", "/new/x")).status
+            after = (await place.request("b", "/new/x")).status
             second.listener.close()
             await second.close()
             return ready, status, lost, after
@@ -178,7 +180,9 @@
                 await place.start_gateway(seeds, f"more-{number}")
                 others.append(place.gateway)
             await asyncio.sleep(6)
-            shares = [one.known.reader.share for one in [first, *others]]
+            shares = [
+                one.store_view.reader.budget_share for one in [first, *others]
+            ]
             for one in others[:-1]:
                 one.listener.close()
                 await one.close()
@@ -206,11 +210,11 @@
         async def body(place, first):
             await asyncio.sleep(15)
             used = place.gateway.budget_of("orders")
-            while used.take(0.0):
+            while used.try_spend(0.0):
                 pass
             fresh = place.gateway.settings._replace(retry_ratio=0.1)
             place.gateway.settings = fresh
-            return place.gateway.budget_of("orders").take(0.0)
+            return place.gateway.budget_of("orders").try_spend(0.0)
 
         self.assertFalse(self.play(body))
 
@@ -231,14 +235,16 @@
 
                 async def body(place, first, fault=fault, away_s=tenths / 10):
                     await asyncio.sleep(5)
-                    before = place.gateway.known.reader.calls.total()
+                    before = place.gateway.store_view.reader.calls.total()
                     setattr(place.store.faults, fault, True)
                     await asyncio.sleep(away_s)
-                    calls = place.gateway.known.reader.calls.total() - before
+                    calls = (
+                        place.gateway.store_view.reader.calls.total() - before
+                    )
                     setattr(place.store.faults, fault, False)
                     place.put_document(NEW)
                     await asyncio.sleep(2.6)
-                    return calls, (await place.ask("a", "/new/x")).status
+                    return calls, (await place.request("a", "/new/x")).status
 
                 calls, status = self.play(body)
                 self.assertEqual(200, status, (fault, tenths))
@@ -254,7 +260,9 @@
             )
             for target in targets:
                 request = messages.Request("GET", target)
-                found.append((await first.known.mirror.handle(request)).status)
+                found.append(
+                    (await first.store_view.mirror.handle(request)).status
+                )
             return found
 
         self.assertEqual([503, 400, 503], self.play(body))
--- a/banyantiller/tests/gateway/test_load_telling.py
+++ b/banyantiller/tests/gateway/test_missing_load.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 
-class LoadTellingTest(world.TestCase):
+class LoadTellingTest(harness.TestCase):
     def test_one_answer_without_a_load_does_not_blind_a_service(self):
         """A whole service is served without its load after one bare answer.
 
@@ -17,13 +17,13 @@
 
         async def body(place):
             place.servers["s0"].tells_load = False
-            asker = place.gateway.asker
-            entry = place.gateway.known.table.entries["s0"]
-            asker.give_back(await asker.ask([entry], "/health"))
+            asker = place.gateway.prober
+            entry = place.gateway.store_view.table.entries["s0"]
+            asker.release(await asker.probe([entry], "/health"))
             place.servers["s0"].tells_load = True
             before = sum(one.asked for one in place.servers.values())
             for number in range(10):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             after = sum(one.asked for one in place.servers.values())
             return after - before
 
@@ -40,14 +40,14 @@
         async def body(place):
             for one in place.servers.values():
                 one.tells_load = False
-            await place.ask("first")
+            await place.request("first")
             for one in place.servers.values():
                 one.tells_load = True
             for number in range(10):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             before = sum(one.asked for one in place.servers.values())
             for number in range(10):
-                await place.ask(f"b{number}")
+                await place.request(f"b{number}")
             after = sum(one.asked for one in place.servers.values())
             return after - before
 
@@ -64,10 +64,10 @@
         async def body(place):
             place.servers["s0"].tells_load = False
             for number in range(20):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             before = {name: one.asked for name, one in place.servers.items()}
             for number in range(20):
-                await place.ask(f"b{number}")
+                await place.request(f"b{number}")
             return {
                 name: one.asked > before[name]
                 for name, one in place.servers.items()
@@ -77,13 +77,13 @@
 
     def test_servers_that_stop_to_tell_their_load_are_not_asked(self):
         async def body(place):
-            await place.ask("first")
+            await place.request("first")
             for one in place.servers.values():
                 one.tells_load = False
             for number in range(10):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             before = sum(one.asked for one in place.servers.values())
-            calls = [place.ask(f"b{number}") for number in range(6)]
+            calls = [place.request(f"b{number}") for number in range(6)]
             found = await asyncio.gather(*calls)
             after = sum(one.asked for one in place.servers.values())
             return [answer.status for answer in found], after - before
--- a/banyantiller/tests/gateway/test_moved.py
+++ b/banyantiller/tests/gateway/test_moved_servers.py
@@ -2,17 +2,17 @@
 
 import asyncio
 
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 
 def usable(place):
     """Returns the servers that may get requests, by instance."""
     now = place.gateway.loop.time()
-    found = place.gateway.known.table.usable(world.SERVICE, now)
+    found = place.gateway.store_view.table.usable(harness.SERVICE, now)
     return sorted(entry.server.instance for entry in found)
 
 
-class MovedTest(world.TestCase):
+class MovedTest(harness.TestCase):
     def test_late_answer_of_an_earlier_address_takes_nobody_out(self):
         """A live server is left out until it registers something else.
 
@@ -24,20 +24,20 @@
         """
 
         async def body(place):
-            entry = place.gateway.known.table.entries["s0"]
+            entry = place.gateway.store_view.table.entries["s0"]
             earlier = place.servers["s0"]
             earlier.instance = "x9"
             earlier.tells_load = False
             earlier.running = earlier.slots
             asked = asyncio.ensure_future(
-                place.gateway.asker.ask([entry], "/health")
+                place.gateway.prober.probe([entry], "/health")
             )
             await asyncio.sleep(0.02)
             await place.add_server("s0")
             await asyncio.sleep(0.05)
             earlier.running = 0
             earlier.freed.set()
-            place.gateway.asker.give_back(await asked)
+            place.gateway.prober.release(await asked)
             await asyncio.sleep(5)
             earlier.stop()
             return usable(place)
@@ -57,14 +57,16 @@
 
         async def body(place):
             for number in range(6):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             earlier = place.servers["s0"]
             earlier.instance = "x9"
             again = await place.add_server("s0")
             for name in ("s1", "s2"):
                 place.store.remove("servers", name)
             await asyncio.sleep(1)
-            answers = [await place.ask(f"b{number}") for number in range(12)]
+            answers = [
+                await place.request(f"b{number}") for number in range(12)
+            ]
             earlier.stop()
             statuses = [answer.status for answer in answers]
             return statuses, usable(place), sum(again.ran.values())
@@ -82,13 +84,13 @@
         """
 
         async def body(place):
-            known = place.gateway.known
+            known = place.gateway.store_view
             entry = known.table.entries["s0"]
-            found = await place.gateway.asker.ask([entry], "/health")
+            found = await place.gateway.prober.probe([entry], "/health")
             earlier = place.servers["s0"]
             again = await place.add_server("s0")
             await asyncio.sleep(1)
-            place.gateway.asker.give_back(found)
+            place.gateway.prober.release(found)
             earlier.stop()
             home = place.gateway.pool_of(known.table.entries["s0"].server)
             return len(home.idle), home.server.port == again.port
--- a/banyantiller/tests/gateway/test_program.py
+++ b/banyantiller/tests/gateway/test_program.py
@@ -16,11 +16,11 @@
 LONGEST_S = 30.0
 LOADS_NO_TLS = """
 import sys
-from banyantiller.gateway import lean
-lean.forgo_tls()
+from banyantiller.gateway import tls_imports
+tls_imports.block_tls()
 import banyantiller.gateway.run, banyantiller.platform.plugin
 assert "_ssl" not in sys.modules
-lean.allow_tls()
+tls_imports.allow_tls()
 import banyantiller.gateway.metrics
 assert "_ssl" in sys.modules
 """
--- a/banyantiller/tests/gateway/test_spreading.py
+++ b/banyantiller/tests/gateway/test_quarantine_sync.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from banyantiller.config.defaults import Endpoint
-from banyantiller.gateway import endings, mirror, peers, spreading
+from banyantiller.gateway import crash_detection, mirror, peers, quarantine_sync
 from banyantiller.http import messages, server
 from banyantiller.quarantine import table
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 PORT = 7501
 
@@ -19,38 +19,40 @@
 class Daemon(NamedTuple):
     """What one daemon knows, and how it tells it."""
 
-    known: endings.Endings
-    spreader: spreading.Spreader
+    crash_detector: crash_detection.CrashDetector
+    quarantine_sync: quarantine_sync.QuarantineSync
 
 
 def make(others=(), asked_itself=False, seed=1):
     rng = random.Random(seed)
-    known = endings.Endings(
+    known = crash_detection.CrashDetector(
         table.Table(100.0, rng), lambda server: None, lambda server: True
     )
-    spreader = spreading.Spreader(known, list(others), asked_itself, rng)
+    spreader = quarantine_sync.QuarantineSync(
+        known, list(others), asked_itself, rng
+    )
     return Daemon(known, spreader)
 
 
 def peer(port=PORT):
-    return peers.Peer(Endpoint(world.ADDRESS, port), "d1", True, 2.0)
+    return peers.Peer(Endpoint(harness.ADDRESS, port), "d1", True, 2.0)
 
 
 def end(daemon, request="a", *servers):
     now = asyncio.get_running_loop().time()
     for number, name in enumerate(servers):
         sent_at = now + number * 0.2
-        daemon.known.watch.table.ended(
+        daemon.crash_detector.watch.table.ended(
             request, name, table.End(sent_at, sent_at + 0.1)
         )
 
 
 async def listen(daemon, port=PORT):
     async def handle(request):
-        return daemon.spreader.handle(request)
+        return daemon.quarantine_sync.handle(request)
 
     listener = server.HttpServer(handle)
-    await listener.start(world.ADDRESS, port)
+    await listener.start(harness.ADDRESS, port)
     return listener
 
 
@@ -59,14 +61,14 @@
         async def body():
             teller = make([peer()])
             end(teller, "a", "s1")
-            teller.spreader.tell(["a"])
+            teller.quarantine_sync.publish(["a"])
             await asyncio.sleep(1.0)
             asked = make(seed=2)
             listener = await listen(asked)
             await asyncio.sleep(1.0)
-            self.assertTrue(asked.known.watch.is_suspect("a"))
+            self.assertTrue(asked.crash_detector.watch.is_suspect("a"))
             await listener.close()
-            teller.spreader.close()
+            teller.quarantine_sync.close()
 
         self.run_paused(body())
 
@@ -77,12 +79,12 @@
             listener = await listen(asked)
             for number in range(20):
                 end(teller, f"r{number}", "s1")
-                teller.spreader.tell([f"r{number}"])
+                teller.quarantine_sync.publish([f"r{number}"])
                 await asyncio.sleep(0.003 * number)
             await asyncio.sleep(1.0)
-            self.assertEqual(20, len(asked.known.watch.table.records))
+            self.assertEqual(20, len(asked.crash_detector.watch.table.records))
             await listener.close()
-            teller.spreader.close()
+            teller.quarantine_sync.close()
 
         self.run_paused(body())
 
@@ -90,13 +92,13 @@
         async def body():
             asked = make(asked_itself=True)
             end(asked, "a", "s1")
-            asked.spreader.tell(["a"])
+            asked.quarantine_sync.publish(["a"])
             await asyncio.sleep(0.1)
-            self.assertEqual("", asked.spreader.mark())
+            self.assertEqual("", asked.quarantine_sync.mark())
             end(asked, "a", "s2")
-            asked.spreader.tell(["a"])
+            asked.quarantine_sync.publish(["a"])
             await asyncio.sleep(0.1)
-            self.assertNotEqual("", asked.spreader.mark())
+            self.assertNotEqual("", asked.quarantine_sync.mark())
 
         self.run_paused(body())
 
@@ -104,14 +106,14 @@
         async def body():
             asked = make()
             end(asked, "a", "s1", "s2")
-            asked.spreader.tell(["a"])
+            asked.quarantine_sync.publish(["a"])
             await asyncio.sleep(0.1)
-            mark = asked.spreader.mark()
+            mark = asked.quarantine_sync.mark()
             for since, told in (("", 1), (mark, 0), ("0badcafe-9", 1)):
-                target = f"{spreading.PATH}?since={since}"
+                target = f"{quarantine_sync.PATH}?since={since}"
                 request = messages.Request("GET", target)
-                body = asked.spreader.handle(request).body
-                reply = msgspec.json.decode(body, type=spreading.Message)
+                body = asked.quarantine_sync.handle(request).body
+                reply = msgspec.json.decode(body, type=quarantine_sync.Message)
                 self.assertEqual(told, len(reply["records"]), since)
 
         self.run_paused(body())
@@ -120,9 +122,13 @@
         async def body():
             asked = make()
             for content in (b"", b"[", b'{"mark": "", "records": [1]}'):
-                request = messages.Request("POST", spreading.PATH, (), content)
-                self.assertEqual(400, asked.spreader.handle(request).status)
-            self.assertEqual({}, asked.known.watch.table.records)
+                request = messages.Request(
+                    "POST", quarantine_sync.PATH, (), content
+                )
+                self.assertEqual(
+                    400, asked.quarantine_sync.handle(request).status
+                )
+            self.assertEqual({}, asked.crash_detector.watch.table.records)
             for mark in ("nonsense", "0badcafe", "-", "0badcafe-x"):
                 seen = []
                 other = peer()
@@ -137,9 +143,11 @@
         async def body():
             asked = make()
             end(asked, "a", "s1", "s2", "s3")
-            target = f"{spreading.LIFT}?fingerprint=a"
+            target = f"{quarantine_sync.LIFT}?fingerprint=a"
             for method, status in (("GET", 405), ("POST", 204), ("POST", 404)):
                 request = messages.Request(method, target)
-                self.assertEqual(status, asked.spreader.handle(request).status)
+                self.assertEqual(
+                    status, asked.quarantine_sync.handle(request).status
+                )
 
         self.run_paused(body())
--- a/banyantiller/tests/gateway/test_order_of_reading.py
+++ b/banyantiller/tests/gateway/test_read_order.py
@@ -4,11 +4,11 @@
 
 from banyantiller.http import server
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 PORTS = (7001, 7002, 7003)
-SEEDS = tuple(f"{world.ADDRESS}:{port}" for port in PORTS)
-NEW = [world.route("new", "safe", "/new/")]
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
+NEW = [harness.route("new", "safe", "/new/")]
 
 
 class OrderOfReadingTest(base.TestCase):
@@ -16,7 +16,7 @@
         """Runs `body(world, daemons)`: three that are asked, and four more."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 daemons = [place.gateway]
                 for number, port in enumerate(PORTS):
                     # Settings may list them in any order.
@@ -38,11 +38,11 @@
 
     def test_only_the_first_reads_the_store(self):
         async def body(place, daemons):
-            before = [one.known.reader.calls.total() for one in daemons]
+            before = [one.store_view.reader.calls.total() for one in daemons]
             place.put_document(NEW)
             await asyncio.sleep(10)
             return [
-                one.known.reader.calls.total() - count
+                one.store_view.reader.calls.total() - count
                 for one, count in zip(daemons, before, strict=True)
             ]
 
@@ -59,7 +59,7 @@
                 place.register("s2", port=5000 + number)
                 await asyncio.sleep(0.13)
             await asyncio.sleep(0.9 - 0.13)
-            tables = [one.known.table for one in daemons]
+            tables = [one.store_view.table for one in daemons]
             return [table.entries["s1"].server.leaving for table in tables]
 
         self.assertEqual([True] * 7, self.play(body))
@@ -72,7 +72,7 @@
             place.controls[1].handler = frozen
             place.put_document(NEW)
             await asyncio.sleep(1.6)
-            return [one.known.version for one in daemons[1:]]
+            return [one.store_view.version for one in daemons[1:]]
 
         self.assertEqual([4] * 6, self.play(body))
 
@@ -91,13 +91,13 @@
             user.request = silent
             place.put_document(NEW)
             await asyncio.sleep(1.9)
-            return [one.known.version for one in daemons[1:]]
+            return [one.store_view.version for one in daemons[1:]]
 
         self.assertEqual([4] * 6, self.play(body))
 
     def test_parts_of_the_budget_add_up(self):
         async def body(place, daemons):
-            return [one.known.reader.share for one in daemons]
+            return [one.store_view.reader.budget_share for one in daemons]
 
         shares = self.play(body)
         self.assertAlmostEqual(1.0, sum(shares))
@@ -105,7 +105,7 @@
 
     def test_start_a_moment_before_the_others_takes_no_call(self):
         async def body(place, daemons):
-            seed = f"{world.ADDRESS}:7101"
+            seed = f"{harness.ADDRESS}:7101"
             await place.start_gateway((seed,), "early")
             early = place.gateway
             await asyncio.sleep(0.5)
@@ -113,8 +113,8 @@
             late = place.gateway
             await asyncio.sleep(2)
             place.gateway = daemons[-1]
-            calls = dict(early.known.reader.calls)
-            told = early.known.reader.questions["answered"] > 0
+            calls = dict(early.store_view.reader.calls)
+            told = early.store_view.reader.query_outcomes["answered"] > 0
             for one in (early, late):
                 one.listener.close()
                 await one.close()
@@ -126,13 +126,13 @@
         """One call lists, and one waits for changes."""
 
         async def body(place, daemons):
-            nobody = tuple(f"{world.ADDRESS}:{port}" for port in (7101, 7102))
+            nobody = tuple(f"{harness.ADDRESS}:{port}" for port in (7101, 7102))
             await place.start_gateway(nobody, "early")
             # Zones are read again when what is known of them is 3.5 s old.
             await asyncio.sleep(5)
             early = place.gateway
             place.gateway = daemons[-1]
-            calls = dict(early.known.reader.calls)
+            calls = dict(early.store_view.reader.calls)
             early.listener.close()
             await early.close()
             return calls
@@ -143,11 +143,11 @@
         """Each knows the other under an address before its own."""
 
         async def body(place, daemons):
-            address = world.ADDRESS
+            address = harness.ADDRESS
             first = (f"{address}:7203", f"{address}:7202")
             await place.start_gateway(first, "x", 7203)
             x = place.gateway
-            alias = server.HttpServer(x.known.mirror.handle)
+            alias = server.HttpServer(x.store_view.mirror.handle)
             await alias.start(address, 7201)
             place.controls.append(alias)
             second = (f"{address}:7202", f"{address}:7201")
@@ -159,7 +159,9 @@
                 await asyncio.sleep(2.3)
                 place.put_document(NEW)
                 await asyncio.sleep(1.95)
-                seen += [one.known.version == place.version for one in (x, y)]
+                seen += [
+                    one.store_view.version == place.version for one in (x, y)
+                ]
             for one in (x, y):
                 one.listener.close()
                 await one.close()
--- a/banyantiller/tests/gateway/test_registrations.py
+++ b/banyantiller/tests/gateway/test_registrations.py
@@ -4,7 +4,7 @@
 
 from banyantiller.gateway import servers, types
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 
 def server(started_ms, **more):
@@ -17,7 +17,7 @@
     def setUp(self):
         super().setUp()
         self.table = servers.ServerTable()
-        self.table.evacuate(frozenset())
+        self.table.set_evacuated_zones(frozenset())
 
     def usable(self, now=1.0):
         return [
@@ -27,14 +27,14 @@
     def test_nothing_of_the_earlier_start_is_believed(self):
         self.table.put(server(100), 0.0)
         before = self.table.entries["s0"]
-        before.belief.no_answer(0.0)
-        before.belief.result(False, 0.0)
+        before.health.record_no_response(0.0)
+        before.health.record_result(False, 0.0)
         gone = self.table.put(server(200), 1.0)
         after = self.table.entries["s0"]
         self.assertEqual(100, gone.started_ms)
         self.assertIsNot(before, after)
-        self.assertFalse(after.belief.silent(1.0))
-        self.assertEqual(0.0, after.belief.failures(1.0))
+        self.assertFalse(after.health.is_unresponsive(1.0))
+        self.assertEqual(0.0, after.health.failure_rate_at(1.0))
 
     def test_start_after_leaving_is_used(self):
         self.table.put(server(100, leaving=True), 0.0)
@@ -63,30 +63,30 @@
         self.assertEqual([0], self.usable())
 
 
-class RegistrationsTest(world.TestCase):
+class RegistrationsTest(harness.TestCase):
     def test_server_that_starts_again_after_leaving_serves(self):
         async def body(place):
             for name in place.servers:
                 place.register(name, state="draining", born=1000)
             await asyncio.sleep(1)
-            before = (await place.ask("a")).status
+            before = (await place.request("a")).status
             for name in place.servers:
                 place.register(name, born=2000)
             await asyncio.sleep(1)
-            return before, (await place.ask("b")).status
+            return before, (await place.request("b")).status
 
         self.assertEqual((503, 200), self.play(body))
 
     def test_connections_of_the_earlier_start_are_not_used(self):
         async def body(place):
-            await place.ask("a")
+            await place.request("a")
             place.servers["s0"].stop()
             again = await place.add_server("s0", slots=2)
             place.register("s0", born=2000)
             for name in ("s1", "s2"):
                 place.store.remove("servers", name)
             await asyncio.sleep(1)
-            answers = [await place.ask(f"b{n}") for n in range(4)]
+            answers = [await place.request(f"b{n}") for n in range(4)]
             return [one.status for one in answers], sum(again.ran.values())
 
         self.assertEqual(([200] * 4, 4), self.play(body))
@@ -96,19 +96,19 @@
             None,
             [],
             "\udcff",
-            {"service": world.SERVICE},
-            {"service": world.SERVICE, "state": "ready", "address": 7},
+            {"service": harness.SERVICE},
+            {"service": harness.SERVICE, "state": "ready", "address": 7},
         ):
 
             async def body(place, spoilt=spoilt):
                 place.store.put("servers", "s0", spoilt)
                 place.store.put("servers", "x1", spoilt)
                 await asyncio.sleep(2)
-                known = sorted(place.gateway.known.table.entries)
+                known = sorted(place.gateway.store_view.table.entries)
                 counted = place.gateway.tallies.registrations["unreadable"]
                 place.register("s0")
                 await asyncio.sleep(2)
-                back = sorted(place.gateway.known.table.entries)
+                back = sorted(place.gateway.store_view.table.entries)
                 return known, counted, back
 
             self.assertEqual(
@@ -122,6 +122,6 @@
             place.store.put("servers", "a0", "\udcff")
             await place.start_gateway()
             await asyncio.sleep(1)
-            return sorted(place.gateway.known.table.entries)
+            return sorted(place.gateway.store_view.table.entries)
 
         self.assertEqual(["s0", "s1", "s2"], self.play(body))
--- a/banyantiller/tests/gateway/test_routes.py
+++ b/banyantiller/tests/gateway/test_routes.py
@@ -8,7 +8,9 @@
 
 
 def route(name="r", prefix="/a/", parts=(("one", 1.0),), host="x.example"):
-    split = tuple(types.Part(service, weight) for service, weight in parts)
+    split = tuple(
+        types.WeightedService(service, weight) for service, weight in parts
+    )
     return types.Route(name, host, prefix, True, 1.0, 0.5, 1, 2, split)
 
 
--- a/banyantiller/tests/gateway/test_named_limits.py
+++ b/banyantiller/tests/gateway/test_server_limits.py
@@ -3,14 +3,14 @@
 import asyncio
 
 from banyantiller.tests import base
-from banyantiller.tests.gateway import limits_world
+from banyantiller.tests.gateway import limits_harness
 
 PER_S = 1.5
 
 
 class NamedLimitTest(base.TestCase):
     def play(self, script, **more):
-        return self.run_paused(limits_world.play(script, **more))
+        return self.run_paused(limits_harness.play(script, **more))
 
     def test_fleet_keeps_the_limit_that_one_server_names(self):
         async def script(place, fleet):
@@ -19,10 +19,13 @@
         got = self.play(script)
         self.assertEqual({200}, set(got.statuses))
         self.assertLessEqual(
-            got.most("s0", limits_world.KNOWN_S), limits_world.allowed(PER_S)
+            got.max_in_window("s0", limits_harness.KNOWN_S),
+            limits_harness.allowed(PER_S),
         )
         # What may be used is.
-        times = [at for at in got.arrivals["s0"] if at >= limits_world.KNOWN_S]
+        times = [
+            at for at in got.arrivals["s0"] if at >= limits_harness.KNOWN_S
+        ]
         self.assertGreater(len(times) / 17, 0.5 * PER_S)
 
     def test_fleet_keeps_the_limits_that_all_servers_name(self):
@@ -33,7 +36,8 @@
         got = self.play(script, seconds=10.0)
         for name in got.arrivals:
             self.assertLessEqual(
-                got.most(name, limits_world.KNOWN_S), limits_world.allowed(4)
+                got.max_in_window(name, limits_harness.KNOWN_S),
+                limits_harness.allowed(4),
             )
 
     def test_limit_that_falls_is_kept(self):
@@ -44,8 +48,8 @@
 
         got = self.play(script)
         self.assertLessEqual(
-            got.most("s0", 8 + limits_world.KNOWN_S),
-            limits_world.allowed(PER_S),
+            got.max_in_window("s0", 8 + limits_harness.KNOWN_S),
+            limits_harness.allowed(PER_S),
         )
 
     def test_limit_is_kept_while_daemons_are_started_again(self):
@@ -56,13 +60,14 @@
                 fleet[number].listener.close()
                 await fleet[number].close()
                 place.seed += 1
-                await place.start_gateway(limits_world.SEEDS, f"d{number}")
+                await place.start_gateway(limits_harness.SEEDS, f"d{number}")
                 fleet[number] = place.gateway
                 await asyncio.sleep(2)
 
         got = self.play(script)
         self.assertLessEqual(
-            got.most("s0", limits_world.KNOWN_S), limits_world.allowed(PER_S)
+            got.max_in_window("s0", limits_harness.KNOWN_S),
+            limits_harness.allowed(PER_S),
         )
 
     def test_server_gets_its_share_again_when_its_limit_ends(self):
@@ -85,7 +90,7 @@
         refused = [
             answer
             for at, answer in got.answers
-            if answer.status == 503 and at >= limits_world.KNOWN_S
+            if answer.status == 503 and at >= limits_harness.KNOWN_S
         ]
         self.assertGreater(len(refused), 100)
         arrived = sum(len(times) for times in got.arrivals.values())
@@ -104,11 +109,11 @@
             place.servers["s0"].limit = str(PER_S)
             await asyncio.sleep(6)
             place.seed += 1
-            await place.start_gateway(limits_world.SEEDS, "more")
+            await place.start_gateway(limits_harness.SEEDS, "more")
             fleet.append(place.gateway)
             place.gateway.listener.close()
             await asyncio.sleep(1)
-            known.append(place.gateway.limits.count())
+            known.append(place.gateway.server_limits.count_limited())
 
         self.play(script, seconds=8.0)
         self.assertEqual([1], known)
@@ -119,7 +124,7 @@
         async def script(place, fleet):
             place.servers["s0"].limit = str(PER_S)
             await asyncio.sleep(2.5)
-            known.extend(one.limits.count() for one in fleet)
+            known.extend(one.server_limits.count_limited() for one in fleet)
 
         self.play(script, seconds=4.0, others=8)
         self.assertEqual([1] * 11, known)
--- a/banyantiller/tests/gateway/test_serving.py
+++ b/banyantiller/tests/gateway/test_serving.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 
-class ServingTest(world.TestCase):
+class ServingTest(harness.TestCase):
     def test_answer_is_the_servers_own(self):
         async def body(place):
-            return await place.ask("a1")
+            return await place.request("a1")
 
         answer = self.play(body)
         self.assertEqual(200, answer.status)
@@ -17,7 +17,7 @@
 
     def test_server_gets_what_is_left_of_the_time_and_its_name(self):
         async def body(place):
-            await place.ask("a1", deadline_ms=500)
+            await place.request("a1", deadline_ms=500)
             return [h for s in place.servers.values() for h in s.seen]
 
         (head,) = self.play(body)
@@ -29,8 +29,8 @@
 
         async def body(place):
             place.fault(silent_503=True)
-            filed = await place.ask("a", "/file/x", "POST", b"deposit")
-            read = await place.ask("b")
+            filed = await place.request("a", "/file/x", "POST", b"deposit")
+            read = await place.request("b")
             return filed, place.ran("a"), read
 
         filed, ran, read = self.play(body)
@@ -45,7 +45,7 @@
             async def body(place, fault=fault):
                 place.fault(**{fault: True})
                 setattr(place.servers["s1"].faults, fault, False)
-                found = [await place.ask(f"a{n}") for n in range(6)]
+                found = [await place.request(f"a{n}") for n in range(6)]
                 return [answer.status for answer in found]
 
             self.assertEqual([200] * 6, self.play(body), fault)
@@ -55,7 +55,7 @@
 
             async def body(place, fault=fault):
                 place.fault(**{fault: True})
-                answer = await place.ask("a", "/file/x", "POST", b"deposit")
+                answer = await place.request("a", "/file/x", "POST", b"deposit")
                 return answer.status, place.ran("a")
 
             status, ran = self.play(body)
@@ -65,7 +65,7 @@
     def test_refused_by_all_is_told_as_not_run_with_a_time(self):
         async def body(place):
             place.fault(shed=True)
-            answer = await place.ask("a", "/file/x", "POST", b"deposit")
+            answer = await place.request("a", "/file/x", "POST", b"deposit")
             return answer, place.ran("a")
 
         answer, ran = self.play(body)
@@ -78,7 +78,7 @@
             for one in place.servers.values():
                 one.running = one.slots
             began = asyncio.get_running_loop().time()
-            answer = await place.ask("a")
+            answer = await place.request("a")
             return answer.status, asyncio.get_running_loop().time() - began
 
         status, took_s = self.play(body)
@@ -88,8 +88,8 @@
     def test_urgent_request_waits_longer_for_a_free_server(self):
         async def body(place):
             routes = [
-                world.route("read", "safe", "/read/", priority=2),
-                world.route("file", "unsafe", "/file/", priority=1),
+                harness.route("read", "safe", "/read/", priority=2),
+                harness.route("file", "unsafe", "/file/", priority=1),
             ]
             place.put_document(routes)
             await asyncio.sleep(0.05)
@@ -99,7 +99,7 @@
                 0.04, lambda: setattr(place.servers["s2"], "running", 0)
             )
             found = await asyncio.gather(
-                place.ask("a"), place.ask("b", "/file/x", "POST", b"x")
+                place.request("a"), place.request("b", "/file/x", "POST", b"x")
             )
             return [answer.status for answer in found]
 
@@ -112,16 +112,16 @@
             asyncio.get_running_loop().call_later(
                 0.012, lambda: setattr(place.servers["s2"], "running", 0)
             )
-            return (await place.ask("a")).status
+            return (await place.request("a")).status
 
         self.assertEqual(200, self.play(body))
 
     def test_late_second_answer_is_given_to_nobody_else(self):
         async def body(place):
             place.fault(twice=True, twice_after=0.0)
-            found = [await place.ask(f"a{n}") for n in range(8)]
+            found = [await place.request(f"a{n}") for n in range(8)]
             place.fault(twice_after=0.004)
-            found += [await place.ask(f"b{n}") for n in range(8)]
+            found += [await place.request(f"b{n}") for n in range(8)]
             return [answer.body.split()[0] for answer in found]
 
         wanted = [f"{name}{n}".encode() for name in "ab" for n in range(8)]
@@ -130,7 +130,7 @@
     def test_answer_that_ends_with_its_connection_is_whole(self):
         async def body(place):
             place.fault(unframed=True)
-            return await place.ask("a")
+            return await place.request("a")
 
         answer = self.play(body)
         self.assertEqual(200, answer.status)
@@ -140,7 +140,7 @@
         async def body(place):
             place.fault(mute=True)
             began = asyncio.get_running_loop().time()
-            answer = await place.ask(
+            answer = await place.request(
                 "a", "/file/x", "POST", b"x", deadline_ms=5000
             )
             took_s = asyncio.get_running_loop().time() - began
@@ -157,7 +157,7 @@
     def test_server_that_falls_silent_is_left_for_reads(self):
         async def body(place):
             asyncio.get_running_loop().call_later(0.03, place.fault)
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a")
             await asyncio.sleep(0.03)
             (busy,) = [s for s in place.servers.values() if s.running]
@@ -178,7 +178,7 @@
         async def body(place):
             for one in place.servers.values():
                 one.work_s = 0.3
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a")
             await asyncio.sleep(0.03)
             place.fault(silent=True)
@@ -192,9 +192,9 @@
         async def body(place):
             for one in place.servers.values():
                 one.tells_load = False
-            await place.ask("first")
+            await place.request("first")
             asked = sum(one.asked for one in place.servers.values())
-            calls = [place.ask(f"a{number}") for number in range(6)]
+            calls = [place.request(f"a{number}") for number in range(6)]
             found = await asyncio.gather(*calls)
             after = sum(one.asked for one in place.servers.values())
             each = sorted(len(one.seen) for one in place.servers.values())
@@ -209,7 +209,7 @@
         # whose first server had lost it.
         async def body(place):
             place.fault(mute=True)
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a")
             await asyncio.sleep(0.05)
             place.fault(mute=False)
@@ -227,7 +227,7 @@
     def test_lost_answer_of_a_read_is_made_up_by_another_server(self):
         async def body(place):
             place.fault(lose=True)
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a")
             await asyncio.sleep(0.05)
             place.fault(lose=False)
@@ -243,7 +243,7 @@
         async def body(place):
             for one in place.servers.values():
                 one.work_s = 0.17
-            await place.ask("a")
+            await place.request("a")
             return place.ran("a")
 
         self.assertEqual(1, self.play(body))
@@ -251,7 +251,7 @@
     def test_servers_that_all_call_themselves_unfit_are_used(self):
         async def body(place):
             place.fault(ill=True)
-            return (await place.ask("a")).status
+            return (await place.request("a")).status
 
         self.assertEqual(200, self.play(body))
 
@@ -259,7 +259,7 @@
         async def body(place):
             place.servers["s0"].faults.ill = True
             for number in range(12):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             return len(place.servers["s0"].seen)
 
         self.assertEqual(0, self.play(body))
--- a/banyantiller/tests/gateway/test_calls_to_the_store.py
+++ b/banyantiller/tests/gateway/test_store_calls.py
@@ -5,10 +5,10 @@
 from banyantiller.gateway import peers
 from banyantiller.store import interface
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 PORTS = (7001, 7002, 7003)
-SEEDS = tuple(f"{world.ADDRESS}:{port}" for port in PORTS)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
 OTHERS = 8
 # Kinds of objects that are followed; each may call a silent store once.
 KINDS = ("config", "servers", "evacuations")
@@ -16,12 +16,12 @@
 TRIES_OF_LOST_STORE = 5
 # A call of each kind each 1.4 s, the age up to which others are relied on.
 CALLS_IN_9_S = 7
-NEW = [world.route("new", "safe", "/new/")]
+NEW = [harness.route("new", "safe", "/new/")]
 
 
 def calls(daemons):
     """Returns the calls of each daemon so far."""
-    return [one.known.reader.calls.total() for one in daemons]
+    return [one.store_view.reader.calls.total() for one in daemons]
 
 
 def cut_connections(place):
@@ -50,8 +50,8 @@
     async def unavailable(*arguments):
         return interface.Unavailable("cut off")
 
-    daemon.known.reader.store.changes = unavailable
-    daemon.known.reader.store.list = unavailable
+    daemon.store_view.reader.store.changes = unavailable
+    daemon.store_view.reader.store.list = unavailable
 
 
 class CallsTest(base.TestCase):
@@ -59,7 +59,7 @@
         """Runs `body(world, asked, others)` on a fleet that just started."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 alone = place.gateway
                 asked, others = [], []
                 for number in range(OTHERS):
@@ -85,16 +85,16 @@
 
     def test_start_of_a_fleet_is_read_by_those_that_are_asked(self):
         async def body(place, asked, others):
-            known = [one.known.complete.is_set() for one in others]
+            known = [one.store_view.complete.is_set() for one in others]
             return calls(others), all(known)
 
         self.assertEqual(([0] * OTHERS, True), self.play(body, settle_s=1))
 
     def test_caller_that_waits_is_not_kept_waiting_for_other_daemons(self):
         async def body(place, asked, others):
-            nobody = tuple(f"{world.ADDRESS}:{port}" for port in (7101, 7102))
+            nobody = tuple(f"{harness.ADDRESS}:{port}" for port in (7101, 7102))
             await place.start_gateway(nobody, "alone")
-            answer = await place.ask("a")
+            answer = await place.request("a")
             asked.append(place.gateway)
             return answer.status, answer.took_s < 0.25
 
@@ -109,7 +109,7 @@
             began = asyncio.get_running_loop().time()
             await place.start_gateway(SEEDS, "again")
             asked.append(place.gateway)
-            status = (await place.ask("a")).status
+            status = (await place.request("a")).status
             return status, asyncio.get_running_loop().time() - began < 0.25
 
         self.assertEqual((200, True), self.play(body))
@@ -118,7 +118,7 @@
         async def body(place, asked, others):
             for control in place.controls[-len(PORTS) :]:
                 control.handler = silent
-            own = f"{world.ADDRESS}:7101"
+            own = f"{harness.ADDRESS}:7101"
             await place.start_gateway((*SEEDS, own), "seed", 7101)
             asked.append(place.gateway)
             await asyncio.sleep(0.1)
@@ -130,7 +130,8 @@
         async def body(place, asked, others):
             await asyncio.sleep(40)
             given_up = [
-                one.known.reader.questions["given_up"] for one in others
+                one.store_view.reader.query_outcomes["given_up"]
+                for one in others
             ]
             return calls(others), given_up
 
@@ -141,15 +142,15 @@
         async def body(place, asked, others):
             before = (
                 calls(others),
-                sum(one.known.reader.calls["list"] for one in asked),
+                sum(one.store_view.reader.calls["list"] for one in asked),
             )
             await silent_for(place, 0.9)
             place.put_document(NEW)
             place.store.remove("servers", "s0")
             await asyncio.sleep(2)
-            lists = sum(one.known.reader.calls["list"] for one in asked)
-            versions = {one.known.version for one in asked + others}
-            tables = {tuple(one.known.table.entries) for one in others}
+            lists = sum(one.store_view.reader.calls["list"] for one in asked)
+            versions = {one.store_view.version for one in asked + others}
+            tables = {tuple(one.store_view.table.entries) for one in others}
             return (
                 calls(others) == before[0],
                 lists - before[1],
@@ -185,7 +186,7 @@
             await asyncio.sleep(1)
             place.put_document(NEW)
             await asyncio.sleep(1.9)
-            known = {one.known.version for one in others}
+            known = {one.store_view.version for one in others}
             return calls(others) == before, known
 
         self.assertEqual((True, {4}), self.play(body))
@@ -199,7 +200,7 @@
                 cut_connections(place)
                 place.put_document(NEW)
                 await asyncio.sleep(bound_s - 0.05)
-                return {one.known.version for one in others}
+                return {one.store_view.version for one in others}
 
             found = self.play(body, apply_s=bound_s, leave_s=bound_s)
             self.assertEqual({4}, found, bound_s)
@@ -215,9 +216,11 @@
             place.store.put("evacuations", "zone-b", {})
             await asyncio.sleep(1.95)
             now = asyncio.get_running_loop().time()
-            left = [one.known.table.entries["s0"].usable(now) for one in others]
+            left = [
+                one.store_view.table.entries["s0"].usable(now) for one in others
+            ]
             await asyncio.sleep(3)
-            zones = {one.known.zones.evacuated for one in others}
+            zones = {one.store_view.evacuations.evacuated for one in others}
             return left, zones
 
         wanted = ([False] * OTHERS, {frozenset({"zone-b"})})
@@ -253,7 +256,7 @@
             place.store.faults.silent = False
             place.put_document(NEW)
             await asyncio.sleep(2.6)
-            return max(spent), {one.known.version for one in others}
+            return max(spent), {one.store_view.version for one in others}
 
         most, known = self.play(body)
         self.assertLessEqual(most, len(KINDS) + TRIES_OF_LOST_STORE)
@@ -261,11 +264,11 @@
 
     def test_list_of_another_daemon_never_goes_back(self):
         async def body(place, asked, others):
-            reader = others[0].known.reader
+            reader = others[0].store_view.reader
             listed = await reader.list("config")
-            reader.least["config"] = int(listed.version) + 1
+            reader.min_versions["config"] = int(listed.version) + 1
             for one in asked:
-                one.known.mirror.fresh_at = 1e9
+                one.store_view.mirror.fresh_at = 1e9
             before = calls(others)[0]
             again = await reader.list("config")
             return again.second_hand, calls(others)[0] - before
@@ -274,25 +277,25 @@
 
     def test_list_that_is_too_old_is_taken_only_if_the_store_is_away(self):
         async def body(place, asked, others):
-            reader = others[0].known.reader
+            reader = others[0].store_view.reader
             place.store.faults.down = True
             await asyncio.sleep(4)
             old = await reader.list("config")
             place.store.faults.down = False
             for one in asked:
-                one.known.mirror.fresh_at = -100.0
+                one.store_view.mirror.fresh_at = -100.0
             return old.second_hand, (await reader.list("config")).second_hand
 
         self.assertEqual((True, False), self.play(body))
 
     def test_refusals_tell_a_lost_store_from_a_daemon_that_ends(self):
         async def body(place, asked, others):
-            peer = others[0].known.reader.others[0]
+            peer = others[0].store_view.reader.relays[0]
             index = SEEDS.index(peer.address)
             place.store.faults.down = True
             await asyncio.sleep(3)
             lost = await peer.changes("config", "1", 0.0)
-            asked[index].known.end()
+            asked[index].store_view.begin_shutdown()
             ending = await peer.changes("config", "1", 0.0)
             place.store.faults.down = False
             return lost.kind, ending.kind
--- a/banyantiller/tests/gateway/test_following.py
+++ b/banyantiller/tests/gateway/test_store_watching.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from banyantiller.tests import base
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 
 class FollowingTest(base.TestCase):
@@ -11,17 +11,17 @@
         """Runs `body(world)` in a world on the paused clock."""
 
         async def whole():
-            async with world.World() as place:
+            async with harness.GatewayHarness() as place:
                 return await body(place)
 
         return self.run_paused(whole())
 
     def test_new_document_is_in_force_at_once(self):
         async def body(place):
-            place.put_document([world.route("new", "safe", "/new/")])
+            place.put_document([harness.route("new", "safe", "/new/")])
             await asyncio.sleep(0.05)
             return [
-                (await place.ask("a", path)).status
+                (await place.request("a", path)).status
                 for path in ("/new/x", "/read/x")
             ]
 
@@ -30,9 +30,9 @@
     def test_older_document_is_never_taken(self):
         async def body(place):
             place.version = -2
-            place.put_document([world.route("old", "safe", "/old/")])
+            place.put_document([harness.route("old", "safe", "/old/")])
             await asyncio.sleep(0.05)
-            return (await place.ask("a", "/read/x")).status
+            return (await place.request("a", "/read/x")).status
 
         self.assertEqual(200, self.play(body))
 
@@ -41,7 +41,7 @@
             place.put_document([{"name": "half", "routeType": "safe"}])
             await asyncio.sleep(0.05)
             counted = place.gateway.tallies.documents["unreadable"]
-            return (await place.ask("a")).status, counted
+            return (await place.request("a")).status, counted
 
         self.assertEqual((200, 1), self.play(body))
 
@@ -52,10 +52,10 @@
                 setattr(place.store.faults, fault, True)
                 await asyncio.sleep(7)
                 setattr(place.store.faults, fault, False)
-                place.put_document([world.route("new", "safe", "/new/")])
+                place.put_document([harness.route("new", "safe", "/new/")])
                 # A change has 3 s of calm store and 2 s more; half of it.
                 await asyncio.sleep(2.5)
-                return (await place.ask("a", "/new/x")).status
+                return (await place.request("a", "/new/x")).status
 
             self.assertEqual(200, self.play(body), fault)
 
@@ -68,9 +68,9 @@
                 place.store.faults.silent = True
                 await asyncio.sleep(away_s)
                 place.store.faults.silent = False
-                place.put_document([world.route("new", "safe", "/new/")])
+                place.put_document([harness.route("new", "safe", "/new/")])
                 await asyncio.sleep(2.2)
-                return (await place.ask("a", "/new/x")).status
+                return (await place.request("a", "/new/x")).status
 
             self.assertEqual(200, self.play(body), tenths)
 
@@ -78,13 +78,13 @@
         async def body(place):
             place.store.faults.down = True
             await asyncio.sleep(0.5)
-            place.put_document([world.route("new", "safe", "/new/")])
+            place.put_document([harness.route("new", "safe", "/new/")])
             place.store.remove("servers", "s0")
             place.store.forget()
             place.store.faults.down = False
             await asyncio.sleep(6)
-            return (await place.ask("a", "/new/x")).status, sorted(
-                place.gateway.known.table.entries
+            return (await place.request("a", "/new/x")).status, sorted(
+                place.gateway.store_view.table.entries
             )
 
         self.assertEqual((200, ["s1", "s2"]), self.play(body))
@@ -95,7 +95,7 @@
             await place.add_server("s3")
             place.store.forget()
             await asyncio.sleep(4)
-            return sorted(place.gateway.known.table.entries)
+            return sorted(place.gateway.store_view.table.entries)
 
         self.assertEqual(["s0", "s1", "s2", "s3"], self.play(body))
 
@@ -107,7 +107,7 @@
             await asyncio.sleep(1)
             before = len(place.servers["s0"].seen)
             for number in range(12):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             return len(place.servers["s0"].seen) - before
 
         self.assertEqual(0, self.play(body))
@@ -117,7 +117,7 @@
             place.store.remove("servers", "s0")
             await asyncio.sleep(1)
             for number in range(12):
-                await place.ask(f"a{number}")
+                await place.request(f"a{number}")
             return len(place.servers["s0"].seen)
 
         self.assertEqual(0, self.play(body))
@@ -132,10 +132,10 @@
                 place.store.remove("servers", name)
             place.store.faults.down = False
             await asyncio.sleep(1.5)
-            first = (await place.ask("a")).status
+            first = (await place.request("a")).status
             place.register("s0")
             await asyncio.sleep(3)
-            return first, sorted(place.gateway.known.table.entries)
+            return first, sorted(place.gateway.store_view.table.entries)
 
         self.assertEqual((200, ["s0"]), self.play(body))
 
@@ -143,14 +143,14 @@
         async def body(place):
             stranger = await place.add_server("x9", "other")
             place.servers["s0"].stop()
-            place.gateway.known.table.entries[
+            place.gateway.store_view.table.entries[
                 "s0"
-            ].server = place.gateway.known.table.entries["s0"].server._replace(
-                port=stranger.port
-            )
-            found = [await place.ask(f"a{n}") for n in range(8)]
+            ].server = place.gateway.store_view.table.entries[
+                "s0"
+            ].server._replace(port=stranger.port)
+            found = [await place.request(f"a{n}") for n in range(8)]
             ran = [stranger.ran[f"a{n}"] for n in range(8)]
-            known = "s0" in place.gateway.known.table.entries
+            known = "s0" in place.gateway.store_view.table.entries
             return [answer.status for answer in found], sum(ran), known
 
         self.assertEqual(([200] * 8, 0, False), self.play(body))
@@ -159,7 +159,7 @@
         async def body(place):
             place.store.faults.down = True
             await place.start_gateway()
-            answer = await place.ask("a")
+            answer = await place.request("a")
             return (
                 answer.status,
                 answer.headers["request-ran"],
--- a/banyantiller/tests/gateway/test_unknown_routes.py
+++ b/banyantiller/tests/gateway/test_unknown_routes.py
@@ -3,16 +3,16 @@
 import asyncio
 
 from banyantiller.store import interface
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
-READ = world.route("read", "safe", "/read/")
-FILE = world.route("file", "unsafe", "/file/")
-NEW = world.route("new", "safe", "/new/")
+READ = harness.route("read", "safe", "/read/")
+FILE = harness.route("file", "unsafe", "/file/")
+NEW = harness.route("new", "safe", "/new/")
 # How late the answers of a store are that is about to be too slow, in seconds.
 LATE_S = 1.9
 
 
-class SentAheadOfFirstDocumentTest(world.TestCase):
+class SentAheadOfFirstDocumentTest(harness.TestCase):
     """Requests sent ahead of their answers to a daemon that just started.
 
     All daemons had lost power and came back while callers were waiting. A
@@ -34,7 +34,7 @@
 
         async def body(place):
             await place.start_gateway(name="d2")
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             for number, (path, method) in enumerate(sent):
                 caller.send(
                     f"a{number}", path, method, b"x" * (method != "GET")
@@ -63,13 +63,13 @@
             documents = await store.list("config")
             listed = await store.list("servers")
             await place.start_gateway(name="d2")
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             await asyncio.sleep(0)
             (connection,) = place.gateway.connections
-            head = f"GET /read/x HTTP/1.1\r\nhost: {world.HOST}\r\n\r\n"
+            head = f"GET /read/x HTTP/1.1\r\nhost: {harness.HOST}\r\n\r\n"
             connection.data_received(head.encode())
-            place.gateway.known._servers_listed(listed.items)
-            place.gateway.known._documents_listed(documents.items)
+            place.gateway.store_view._servers_listed(listed.items)
+            place.gateway.store_view._documents_listed(documents.items)
             return (await caller.read()).status
 
         self.assertEqual(200, self.play(body))
@@ -86,7 +86,7 @@
         self.assertLess(second.took_s, first.took_s / 2)
 
 
-class DocumentBetweenReadingAndRunningTest(world.TestCase):
+class DocumentBetweenReadingAndRunningTest(harness.TestCase):
     """A request waits behind another while a newer document comes.
 
     What a call needs of a document was looked up twice: the route when its
@@ -111,7 +111,7 @@
             await place.add_server("o1", "other")
             place.put_document([READ, *earlier])
             await asyncio.sleep(0.1)
-            caller = await world.Caller.connect(place)
+            caller = await harness.Caller.connect(place)
             caller.send("a")
             caller.send("b", "/file/x", "POST", b"deposit")
             await asyncio.sleep(0.03)
@@ -132,7 +132,7 @@
         self.assertEqual([200, 200], found)
 
 
-class OldDocumentTest(world.TestCase):
+class OldDocumentTest(harness.TestCase):
     """A route that is missing from a document that may be out of date.
 
     While the store gives no answer, operators may add routes that a daemon
@@ -149,7 +149,7 @@
         async def body(place):
             place.store.faults.silent = True
             await asyncio.sleep(silence_s)
-            return await place.ask("a", path)
+            return await place.request("a", path)
 
         return self.play(body)
 
@@ -176,7 +176,7 @@
             await asyncio.sleep(20)
             place.store.faults.silent = False
             await asyncio.sleep(2)
-            return (await place.ask("a", "/new/x")).status
+            return (await place.request("a", "/new/x")).status
 
         self.assertEqual(404, self.play(body))
 
@@ -191,7 +191,7 @@
             place.store.faults.busy = True
             # Answers of the store that were under way have come by then.
             await asyncio.sleep(3.1)
-            self.assertIsNotNone(place.gateway.known.health.lost_at)
+            self.assertIsNotNone(place.gateway.store_view.store_health.lost_at)
             place.put_document([READ, NEW])
             return await poll_statuses(place, "/new/x", 4)
 
@@ -212,7 +212,7 @@
         self.assertEqual({503}, self.play(body))
 
 
-class OldDocumentOfAnotherDaemonTest(world.TestCase):
+class OldDocumentOfAnotherDaemonTest(harness.TestCase):
     """A daemon that learns of documents from others, which may be behind."""
 
     def play_with_tellers(self, count, body):
@@ -225,11 +225,11 @@
 
         async def whole(place):
             tellers = [place.gateway]
-            seeds = [f"{world.ADDRESS}:{place.control.port}"]
+            seeds = [f"{harness.ADDRESS}:{place.control.port}"]
             for number in range(1, count):
                 await place.start_gateway(name=f"t{number}")
                 tellers.append(place.gateway)
-                seeds.append(f"{world.ADDRESS}:{place.control.port}")
+                seeds.append(f"{harness.ADDRESS}:{place.control.port}")
             await place.start_gateway(seeds=tuple(seeds), name="asker")
             await asyncio.sleep(6)
             try:
@@ -251,7 +251,7 @@
         """
 
         async def body(place, tellers):
-            store = tellers[0].known.reader.store
+            store = tellers[0].store_view.reader.store
             changes = store.changes
 
             async def no_documents(kind, version, wait_s):
@@ -279,7 +279,7 @@
 
         async def body(place, tellers):
             for teller in tellers:
-                slow_down(teller.known.reader.store)
+                slow_down(teller.store_view.reader.store)
             await asyncio.sleep(10)
             return await poll_statuses(place, "/never/x", 40)
 
@@ -303,5 +303,5 @@
     found = set()
     for _ in range(10 * seconds):
         await asyncio.sleep(0.1)
-        found.add((await place.ask("a", path)).status)
+        found.add((await place.request("a", path)).status)
     return found
--- a/banyantiller/tests/gateway/test_worst_load.py
+++ b/banyantiller/tests/gateway/test_worst_load.py
@@ -8,7 +8,7 @@
 import asyncio
 import random
 
-from banyantiller.tests.gateway import world
+from banyantiller.tests.gateway import harness
 
 SERVERS = 6
 WORK_S = 0.22
@@ -38,7 +38,7 @@
         """Asks, and once more if the first answer says when."""
         for attempt in range(2):
             spent_ms = (self.loop.time() - self.began) * 1000
-            answer = await self.place.ask(
+            answer = await self.place.request(
                 f"a{self.number}-{attempt}",
                 deadline_ms=int(DEADLINE_MS - spent_ms),
             )
@@ -58,7 +58,7 @@
         await asyncio.sleep(NOISE_S * rng.uniform(0.5, 1.5))
 
 
-class WorstLoadTest(world.TestCase):
+class WorstLoadTest(harness.TestCase):
     def callers(self, load, seed):
         """Plays a burst; returns its callers.
 
@@ -76,7 +76,7 @@
                 place.tasks.append(asyncio.ensure_future(noise(one, seed)))
             place.put_document(
                 [
-                    world.route(
+                    harness.route(
                         "read", "safe", "/read/",
                         targetLatencyS=OBJECTIVE_S, timeoutS=1.5,
                     )
@@ -107,7 +107,7 @@
         self.assertGreater(self.in_time(1.3), 0.6)
 
 
-class TurnedAwayTest(world.TestCase):
+class TurnedAwayTest(harness.TestCase):
     """Servers that turn requests away although they have free slots."""
 
     def callers(self, seed):
@@ -120,7 +120,7 @@
             place.fault(shed_share=0.5)
             place.put_document(
                 [
-                    world.route(
+                    harness.route(
                         "read", "safe", "/read/",
                         targetLatencyS=0.2, timeoutS=1.5,
                     )
--- a/banyantiller/tests/platform/test_decoding.py
+++ b/banyantiller/tests/platform/test_decoding.py
@@ -54,7 +54,7 @@
         self.assertEqual(
             types.Route(
                 "r", "desk.example", "/a/", True, 0.5, 0.2, 2, 2,
-                (types.Part("one", 1.0),),
+                (types.WeightedService("one", 1.0),),
             ),
             found.routes[0],
         )  # fmt: skip
@@ -68,8 +68,8 @@
 
     def test_split_goes_before_the_service(self):
         split = [{"service": "one", "weight": 90}]
-        parts = self.read(trafficSplit=split).routes[0].parts
-        self.assertEqual((types.Part("one", 90),), parts)
+        parts = self.read(trafficSplit=split).routes[0].weighted_services
+        self.assertEqual((types.WeightedService("one", 90),), parts)
 
     def test_error_names_the_place(self):
         for wrong, place in (
--- a/bench/decisions_asking.py
+++ b/bench/decisions_asking.py
@@ -9,7 +9,7 @@
 import random
 
 from banyantiller.errors import ErrorKind, Failure, Ran
-from banyantiller.gateway import asking
+from banyantiller.gateway import probing
 from banyantiller.gateway import types as gateway_types
 from banyantiller.gateway.decisions import (
     durations,
@@ -63,7 +63,7 @@
         self.world.after(call.deadline - now, self._expire, call.call_id)
         objective_s = call.deadline - now
         usual_s = self.durations.usual_s(ROUTE, objective_s)
-        limits = waiting.limits(objective_s, usual_s, False, now)
+        limits = waiting.wait_limits(objective_s, usual_s, False, now)
         self._round(call.call_id, limits)
         return []
 
@@ -71,15 +71,15 @@
         """Takes an answer or a failure."""
         call_id, entry, began = self.running.pop(attempt_id)
         entry.in_flight -= 1
-        entry.belief.result(result.ok and result.status < 500, now)
+        entry.health.record_result(result.ok and result.status < 500, now)
         call, tried = self.calls[call_id]
         if result.ok and result.status < 500:
-            self.durations.learn(ROUTE, now - began)
+            self.durations.record_duration(ROUTE, now - began)
             del self.calls[call_id]
             return [types.Relay(call_id, attempt_id)]
         safe = call.idempotent or result.ran == Ran.NO
         if safe and len(tried) < MOST_TRIES:
-            self._round(call_id, waiting.at_once(now))
+            self._round(call_id, waiting.no_wait(now))
             return []
         del self.calls[call_id]
         if result.ok:
@@ -120,18 +120,18 @@
             for name, entry in self.entries.items()
             if entry.usable(now)
             and name not in tried
-            and not entry.belief.silent(now)
+            and not entry.health.is_unresponsive(now)
         ]
-        first = self.selector.first("", usable)
+        first = self.selector.first_probes("", usable)
 
         def answered(found):
-            more = self.selector.more("", usable, first, found)
+            more = self.selector.more_probes("", usable, first, found)
             self._ask(more, lambda rest: picked(found + rest))
 
         def picked(found):
             self._pick(call_id, limits, found)
 
-        self._ask(first.asked, answered)
+        self._ask(first.probed, answered)
 
     def _ask(self, entries, then):
         """Asks servers and goes on once all have answered or are late."""
@@ -156,7 +156,7 @@
     def _reach(self, server, entry, delay, ended):
         """A question reaches its server."""
         if server.mode in ("silent", "refuse"):
-            wait = asking.ANSWER_TIMEOUT_S if server.mode == "silent" else delay
+            wait = probing.PROBE_TIMEOUT_S if server.mode == "silent" else delay
             self.world.after(wait, self._silent, entry, ended)
             return
         load = gateway_types.Load(
@@ -168,19 +168,19 @@
         self.world.after(delay, self._told, entry, load, ended)
 
     def _silent(self, entry, ended):
-        entry.belief.no_answer(self.world.now)
+        entry.health.record_no_response(self.world.now)
         ended(None)
 
     def _told(self, entry, load, ended):
         now = self.world.now
-        entry.belief.answered()
+        entry.health.record_response()
         score = scoring.score(
             load,
-            entry.belief.failures(now),
+            entry.health.failure_rate_at(now),
             entry.server.zone == self.daemon.zone,
             False,
         )
-        ended(asking.Candidate(entry, None, load, now, True, score))
+        ended(probing.Candidate(entry, None, load, now, True, score))
 
     def _pick(self, call_id, limits, found):
         """Sends the call, asks again, or refuses it."""
@@ -188,13 +188,13 @@
             return
         now = self.world.now
         found.sort(key=lambda one: one.score)
-        again = now + waiting.ASK_AGAIN_S
-        spare = again <= limits.spare
-        best = self.selector.pick(found, math.inf, now, spare)
+        again = now + waiting.REPROBE_PAUSE_S
+        spare = again <= limits.keep_last_slot_until
+        best = self.selector.pick_candidate(found, math.inf, now, spare)
         if best is not None:
             self._start(call_id, best.entry)
-        elif again <= limits.any:
-            pause_s = waiting.ASK_AGAIN_S
+        elif again <= limits.any_server_until:
+            pause_s = waiting.REPROBE_PAUSE_S
             self.world.after(pause_s, self._round, call_id, limits)
         else:
             del self.calls[call_id]
@@ -214,7 +214,7 @@
 def create(world, daemon, seed, lines=None):
     """Builds the dispatcher of one daemon; `lines` records its decisions."""
     name = f"d{len(world.daemons)}"
-    selector = selection.Selector(name, daemon.zone, random.Random(seed))
+    selector = selection.ServerSelector(name, daemon.zone, random.Random(seed))
     if lines is not None:
         listed = [_fields(server.state) for server in world.servers.values()]
         inputs.begin(lines, name, daemon.zone, seed, listed)
--- a/soak/world.py
+++ b/soak/world.py
@@ -10,7 +10,7 @@
 import sys
 import time
 
-from banyantiller.gateway import early
+from banyantiller.gateway import early_listening
 from banyantiller.http import client, outcomes, server
 from soak import contents, gateways
 from soak import plan as plans
@@ -258,8 +258,10 @@
         others = [f"{runner.ADDRESS}:{one.control_port}"
                   for one in self.daemons[:SEEDS]]  # fmt: skip
         return {
-            early.LISTEN_VARIABLE: f"{runner.ADDRESS}:{daemon.callers_port}",
-            early.OTHERS_VARIABLE: ",".join(others),
+            early_listening.LISTEN_VARIABLE: (
+                f"{runner.ADDRESS}:{daemon.callers_port}"
+            ),
+            early_listening.OTHERS_VARIABLE: ",".join(others),
         }
 
     def write_settings(self, daemon: gateways.Daemon) -> pathlib.Path:
