--- a/banyantiller/routing/calls.py
+++ b/banyantiller/routing/calls.py
@@ -15,14 +15,14 @@
         attempt_id: Number of the try.
         call: Its call.
         view: The server.
-        started: When it started.
+        started_at: When it started.
         hedge: Whether it is a hedge.
     """
 
     attempt_id: int
     call: "CallState"
     view: ServerView
-    started: float
+    started_at: float
     hedge: bool = False
 
 
@@ -36,11 +36,12 @@
         deadline: When its caller stops waiting.
         replayable: Whether its body can be sent again.
         group: Group of servers that it belongs to.
-        submitted: When it was submitted.
+        submitted_at: When it was submitted.
         running: Tries that are running.
-        tried: Names of the servers that it was sent to.
+        tried_servers: Names of the servers that it was sent to.
         attempts: Number of tries so far.
-        unsure: Failure of the first try that a server may have run, or None.
+        ambiguous_failure: Failure of the first try that a server may have run,
+            or None.
         finished: Whether it has its final answer.
     """
 
@@ -49,11 +50,11 @@
     deadline: float
     replayable: bool
     group: str
-    submitted: float
+    submitted_at: float
     running: list[Attempt] = dataclasses.field(default_factory=list)
-    tried: list[str] = dataclasses.field(default_factory=list)
+    tried_servers: list[str] = dataclasses.field(default_factory=list)
     attempts: int = 0
-    unsure: ErrorKind | None = None
+    ambiguous_failure: ErrorKind | None = None
     finished: bool = False
 
     @classmethod
--- a/banyantiller/routing/choice.py
+++ b/banyantiller/routing/choice.py
@@ -6,18 +6,18 @@
 from typing import NamedTuple
 
 from banyantiller.routing import ramp
-from banyantiller.routing.beliefs import Believed
-from banyantiller.routing.limits import SPARE
+from banyantiller.routing.averages import ServiceAverages
+from banyantiller.routing.limits import EXTRA_ATTEMPTS_PER_SERVER
 from banyantiller.routing.tuning import Tuning
 from banyantiller.routing.views import ServerView
 
-MOST_CANDIDATES = 24
-SLOWNESS_HALF = 10.0
-MOST_DOUBLINGS = 4
+MAX_CANDIDATES = 24
+SLOWDOWN_HALF_AGE = 10.0
+MAX_DOUBLINGS = 4
 FAILURE_PENALTY = 10.0
-FAILURE_HALF_S = 1.0
-FORGOTTEN_AGE = 4.0
-TRIAL_PATIENCE_S = 5.0
+FAILURE_HALF_AGE_S = 1.0
+MAX_REPORT_AGE = 4.0
+NON_IDEMPOTENT_TRIAL_DELAY_S = 5.0
 
 
 class Choice(NamedTuple):
@@ -25,18 +25,18 @@
 
     Attributes:
         view: The server.
-        ahead: Requests that the call is expected to wait for there.
+        queue_ahead: Requests that the call is expected to wait for there.
     """
 
     view: ServerView
-    ahead: float
+    queue_ahead: float
 
 
 def choose(
     views: Sequence[ServerView],
-    without: Collection[str],
+    excluded: Collection[str],
     idempotent: bool,
-    believed: Believed,
+    averages: ServiceAverages,
     tuning: Tuning,
     now: float,
     rng: random.Random,
@@ -45,99 +45,117 @@
 
     Args:
         views: Servers of the group.
-        without: Names of servers that the call has tried.
+        excluded: Names of servers that the call has tried.
         idempotent: Whether the call may be run twice.
-        believed: Averages over the service.
+        averages: Averages over the service.
         tuning: Constants.
         now: The loop's time.
         rng: Breaks ties and samples large groups.
     """
-    if len(views) > MOST_CANDIDATES:
-        views = rng.sample(views, MOST_CANDIDATES)
+    if len(views) > MAX_CANDIDATES:
+        views = rng.sample(views, MAX_CANDIDATES)
     first = int(rng.random() * len(views))
     best = None
-    least = math.inf
-    best_ahead = 0.0
-    excess = believed.excess
-    zone = "zone" not in tuning.off
-    far = tuning.cross_zone_s / believed.service_s if zone else 0.0
-    recent = now - FORGOTTEN_AGE * tuning.belief_s(believed.service_s)
+    least_delay = math.inf
+    best_queue_ahead = 0.0
+    average_queue_ahead = averages.average_queue_ahead
+    zone_enabled = "zone" not in tuning.disabled
+    cross_zone_cost = (
+        tuning.cross_zone_latency_s / averages.service_time_s
+        if zone_enabled
+        else 0.0
+    )
+    oldest_report_at = now - MAX_REPORT_AGE * tuning.report_decay_s(
+        averages.service_time_s
+    )
     for view in (*views[first:], *views[:first]):
-        if view.closed_until > now:
+        if view.unavailable_until > now:
             continue
-        own = len(view.own)
-        if own >= view.slots + SPARE:
+        local_requests = len(view.local_attempts)
+        if local_requests >= view.slots + EXTRA_ATTEMPTS_PER_SERVER:
             continue
-        ahead = excess[view.slots - own]
-        if view.others_at > recent:
-            ahead = blend(view, ahead, believed, tuning, now)
-        delay = 1.0 + ahead / view.slots
-        if view.watched:
-            if view.trial and not _may_try(view, idempotent, now):
+        queue_ahead = average_queue_ahead[view.slots - local_requests]
+        if view.peer_requests_at > oldest_report_at:
+            queue_ahead = estimate_queue_ahead(
+                view, queue_ahead, averages, tuning, now
+            )
+        delay = 1.0 + queue_ahead / view.slots
+        if view.possibly_slow:
+            if view.awaiting_trial and not _may_run_trial(
+                view, idempotent, now
+            ):
                 continue
-            delay *= slowness(view, believed, tuning, now)
-        if not view.local:
-            delay += far
-        if delay < least and view.state.name not in without:
+            delay *= slowdown(view, averages, tuning, now)
+        if not view.in_local_zone:
+            delay += cross_zone_cost
+        if delay < least_delay and view.server.name not in excluded:
             best = view
-            least = delay
-            best_ahead = ahead
-    return None if best is None else Choice(best, best_ahead)
+            least_delay = delay
+            best_queue_ahead = queue_ahead
+    return None if best is None else Choice(best, best_queue_ahead)
 
 
-def _may_try(view: ServerView, idempotent: bool, now: float) -> bool:
-    if view.own:
+def _may_run_trial(view: ServerView, idempotent: bool, now: float) -> bool:
+    if view.local_attempts:
         return False
-    return idempotent or now > view.ejected_until + TRIAL_PATIENCE_S
+    return idempotent or now > view.ejected_until + NON_IDEMPOTENT_TRIAL_DELAY_S
 
 
-def blend(
+def estimate_queue_ahead(
     view: ServerView,
-    usual: float,
-    believed: Believed,
+    average: float,
+    averages: ServiceAverages,
     tuning: Tuning,
     now: float,
 ) -> float:
     """Returns how many requests a new call is expected to wait for.
 
     Own calls are known. What the server said of others' calls fades with
-    its age, and with doubt, into what is usual at a server of the service.
+    its age, and with doubt, into what is average at a server of the service.
 
     Args:
         view: The server.
-        usual: Requests that a new call waits for at a usual server.
-        believed: Averages over the service.
+        average: Requests that a new call waits for at a usual server.
+        averages: Averages over the service.
         tuning: Constants.
         now: The loop's time.
     """
-    age = now - view.others_at
-    weight = math.exp(-age / tuning.belief_s(believed.service_s))
-    doubt = max(believed.doubt, view.doubt)
-    if doubt > tuning.doubt_from:
-        weight *= max(0.0, 2.0 - doubt / tuning.doubt_from)
-    reported = max(0.0, view.others + 1.0 - view.slots + len(view.own))
-    return usual + (reported - usual) * weight
-
-
-def slowness(
-    view: ServerView, believed: Believed, tuning: Tuning, now: float
+    age = now - view.peer_requests_at
+    weight = math.exp(-age / tuning.report_decay_s(averages.service_time_s))
+    distrust = max(averages.distrust, view.distrust)
+    if distrust > tuning.distrust_threshold:
+        weight *= max(0.0, 2.0 - distrust / tuning.distrust_threshold)
+    reported = max(
+        0.0, view.peer_requests + 1.0 - view.slots + len(view.local_attempts)
+    )
+    return average + (reported - average) * weight
+
+
+def slowdown(
+    view: ServerView, averages: ServiceAverages, tuning: Tuning, now: float
 ) -> float:
     """Returns how many times slower than usual a server is believed to be.
 
     An average fades with its age, so that a server that got better is tried
     again. A try that was given up counts with the time that it took.
     """
-    usual = believed.service_s
+    service_time_s = averages.service_time_s
     factor = 1.0
-    if "slowness" not in tuning.off:
-        half = SLOWNESS_HALF * usual * 2 ** min(view.given_up, MOST_DOUBLINGS)
-        weight = half / (half + now - view.latency_at)
-        factor += (view.latency / usual - 1.0) * weight
-        if factor < tuning.slow_from:
+    if "slowness" not in tuning.disabled:
+        half_age = (
+            SLOWDOWN_HALF_AGE
+            * service_time_s
+            * 2 ** min(view.overdue_cancellations, MAX_DOUBLINGS)
+        )
+        weight = half_age / (half_age + now - view.latency_updated_at)
+        factor += (view.latency_s / service_time_s - 1.0) * weight
+        if factor < tuning.slow_threshold:
             factor = 1.0
-        repeated = max(0, view.given_up - 1)
-        factor += tuning.given_up_factor * repeated * weight
-    if view.failures > 0.0:
-        fading = FAILURE_HALF_S / (FAILURE_HALF_S + now - view.failed_at)
-        factor *= 1.0 + FAILURE_PENALTY * view.failures * fading
-    return factor * ramp.factor(view, tuning, now)
+        repeated_cancellations = max(0, view.overdue_cancellations - 1)
+        factor += tuning.overdue_factor * repeated_cancellations * weight
+    if view.failure_rate > 0.0:
+        failure_weight = FAILURE_HALF_AGE_S / (
+            FAILURE_HALF_AGE_S + now - view.last_failed_at
+        )
+        factor *= 1.0 + FAILURE_PENALTY * view.failure_rate * failure_weight
+    return factor * ramp.cold_start_factor(view, tuning, now)
--- a/banyantiller/routing/ejection.py
+++ b/banyantiller/routing/ejection.py
@@ -8,19 +8,19 @@
 from collections.abc import Sequence
 
 from banyantiller.routing.tuning import Tuning
-from banyantiller.routing.views import LONG_AGO, ServerView
+from banyantiller.routing.views import DISTANT_PAST, ServerView
 
-FAILURE_WEIGHT = 0.34
-EJECT_AT = 0.6
-FORGOTTEN = 0.1
+FAILURE_EWMA_WEIGHT = 0.34
+EJECTION_THRESHOLD = 0.6
+FAILURE_RATE_RESET = 0.1
 
 
-def failed(
+def record_failure(
     view: ServerView,
     group: Sequence[ServerView],
     tuning: Tuning,
     now: float,
-    sure: bool,
+    conclusive: bool,
 ) -> bool:
     """Takes a failure of a server and ejects it if that is due.
 
@@ -29,48 +29,56 @@
         group: All servers of its group.
         tuning: Constants.
         now: The loop's time.
-        sure: Whether one such failure is enough, as a refused connection.
+        conclusive: Whether one such failure is enough, as a refused connection.
 
     Returns:
         Whether it was ejected.
     """
-    view.failures += FAILURE_WEIGHT * (1.0 - view.failures)
-    view.failed_at = now
-    view.watched = True
-    if "ejection" in tuning.off or view.ejected_until > now:
+    view.failure_rate += FAILURE_EWMA_WEIGHT * (1.0 - view.failure_rate)
+    view.last_failed_at = now
+    view.possibly_slow = True
+    if "ejection" in tuning.disabled or view.ejected_until > now:
         return False
-    if not (sure or view.trial or view.failures >= EJECT_AT):
+    if not (
+        conclusive
+        or view.awaiting_trial
+        or view.failure_rate >= EJECTION_THRESHOLD
+    ):
         return False
     if not _may_eject(view, group, tuning, now):
         return False
-    length = min(tuning.eject_s * 2**view.ejections, tuning.eject_longest_s)
-    view.ejections += 1
-    view.ejected_until = now + length
-    view.trial = True
-    view.update_closed()
+    duration_s = min(
+        tuning.eject_s * 2**view.ejection_count, tuning.max_eject_s
+    )
+    view.ejection_count += 1
+    view.ejected_until = now + duration_s
+    view.awaiting_trial = True
+    view.update_availability()
     return True
 
 
-def answered(view: ServerView) -> None:
+def record_success(view: ServerView) -> None:
     """Takes a good answer; ends an ejection's trial."""
-    if not view.trial:
-        view.failures *= 1.0 - FAILURE_WEIGHT
-        if view.failures < FORGOTTEN:
-            view.failures = 0.0
-            view.ejections = 0
+    if not view.awaiting_trial:
+        view.failure_rate *= 1.0 - FAILURE_EWMA_WEIGHT
+        if view.failure_rate < FAILURE_RATE_RESET:
+            view.failure_rate = 0.0
+            view.ejection_count = 0
         return
-    view.trial = False
-    view.ejected_until = LONG_AGO
-    view.failures = 0.0
-    view.update_closed()
+    view.awaiting_trial = False
+    view.ejected_until = DISTANT_PAST
+    view.failure_rate = 0.0
+    view.update_availability()
 
 
 def _may_eject(
     view: ServerView, group: Sequence[ServerView], tuning: Tuning, now: float
 ) -> bool:
     usable = [other for other in group if other.is_usable()]
-    out = 1
+    ejected_count = 1
     for other in usable:
-        if other is not view and (other.trial or other.ejected_until > now):
-            out += 1
-    return out <= tuning.eject_share * len(usable)
+        if other is not view and (
+            other.awaiting_trial or other.ejected_until > now
+        ):
+            ejected_count += 1
+    return ejected_count <= tuning.max_ejected_share * len(usable)
--- a/banyantiller/routing/hedging.py
+++ b/banyantiller/routing/hedging.py
@@ -1,7 +1,7 @@
 """When to hedge: a running estimate of a high quantile of the latency."""
 
-FIRST_STEPS = 20
-LEAST_STEP = 0.05
+MIN_SAMPLES = 20
+MIN_STEP = 0.05
 
 
 class LatencyQuantile:
@@ -9,29 +9,29 @@
 
     Attributes:
         quantile: Share of latencies below the estimate.
-        value: The estimate in seconds, 0 while nothing is known.
-        seen: Number of latencies taken.
+        estimate_s: The estimate in seconds, 0 while nothing is known.
+        sample_count: Number of latencies taken.
     """
 
     def __init__(self, quantile: float) -> None:
         self.quantile = quantile
-        self.value = 0.0
-        self.seen = 0
+        self.estimate_s = 0.0
+        self.sample_count = 0
 
-    def learn(self, seconds: float) -> None:
+    def record_latency(self, seconds: float) -> None:
         """Takes one latency and moves the estimate towards it."""
-        self.seen += 1
-        if self.seen == 1:
-            self.value = seconds
+        self.sample_count += 1
+        if self.sample_count == 1:
+            self.estimate_s = seconds
             return
-        step = max(LEAST_STEP, 1.0 / self.seen) * self.value
-        if seconds > self.value:
-            self.value += step * self.quantile
+        step = max(MIN_STEP, 1.0 / self.sample_count) * self.estimate_s
+        if seconds > self.estimate_s:
+            self.estimate_s += step * self.quantile
         else:
-            self.value -= step * (1.0 - self.quantile)
+            self.estimate_s -= step * (1.0 - self.quantile)
 
-    def delay(self) -> float | None:
+    def delay_s(self) -> float | None:
         """Returns the age at which a call is late, or None if unknown."""
-        if self.seen < FIRST_STEPS:
+        if self.sample_count < MIN_SAMPLES:
             return None
-        return self.value
+        return self.estimate_s
--- a/banyantiller/routing/limits.py
+++ b/banyantiller/routing/limits.py
@@ -10,68 +10,73 @@
 from banyantiller.routing.tuning import Tuning
 from banyantiller.routing.views import ServerView
 
-SPARE = 1
-SHRINK = 0.95
-SHED_SHRINK = 0.8
-GROWTH = 0.1
-LONGEST_HOLD_S = 5.0
+EXTRA_ATTEMPTS_PER_SERVER = 1
+BACKLOG_DECREASE = 0.95
+SHED_DECREASE = 0.8
+WINDOW_INCREASE = 0.1
+MAX_BACKOFF_S = 5.0
 
 
-class Window:
+class ConcurrencyWindow:
     """Most tries of this daemon at once over all servers.
 
     Attributes:
         size: The limit.
         slots: Requests that all usable servers run at once.
-        most: Largest size, with the spare tries.
-        alive: Number of daemons believed alive.
+        max_size: Largest size, with the spare tries.
+        live_daemons: Number of daemons believed alive.
     """
 
     def __init__(self) -> None:
         self.size = 1.0
         self.slots = 0
-        self.most = 1.0
-        self.alive = 1
+        self.max_size = 1.0
+        self.live_daemons = 1
 
     def configure(self, slots: int, servers: int) -> None:
         """Takes the number of all slots; opens the window if they grew."""
-        self.most = max(1.0, float(slots + SPARE * servers))
+        self.max_size = max(
+            1.0, float(slots + EXTRA_ATTEMPTS_PER_SERVER * servers)
+        )
         if slots > self.slots:
-            self.size = self.most
+            self.size = self.max_size
         self.slots = slots
-        self.size = min(self.size, self.most)
+        self.size = min(self.size, self.max_size)
 
-    def least(self) -> float:
+    def min_size(self) -> float:
         """Returns the even part of this daemon, at least one try."""
-        return max(1.0, self.slots / max(self.alive, 1))
+        return max(1.0, self.slots / max(self.live_daemons, 1))
 
-    def learn(self, in_flight: float, slots: int, tuning: Tuning) -> None:
+    def record_load(self, in_flight: float, slots: int, tuning: Tuning) -> None:
         """Takes the load that a server told on an answer."""
-        if in_flight >= tuning.backlog_at * slots:
-            self._shrink(SHRINK)
+        if in_flight >= tuning.backlog_threshold * slots:
+            self._decrease(BACKLOG_DECREASE)
         else:
-            self.size = min(self.most, self.size + GROWTH)
+            self.size = min(self.max_size, self.size + WINDOW_INCREASE)
 
-    def shed(self) -> None:
+    def record_shed(self) -> None:
         """Takes that a server shed a try."""
-        self._shrink(SHED_SHRINK)
+        self._decrease(SHED_DECREASE)
 
-    def _shrink(self, factor: float) -> None:
-        self.size = max(self.least(), self.size * factor)
+    def _decrease(self, factor: float) -> None:
+        self.size = max(self.min_size(), self.size * factor)
 
 
-def hold(
-    view: ServerView, retry_after_s: float | None, usual_s: float, now: float
+def back_off(
+    view: ServerView,
+    retry_after_s: float | None,
+    service_time_s: float,
+    now: float,
 ) -> None:
     """Holds a server that shed a try.
 
     Args:
         view: The server.
         retry_after_s: What it asked for, or None.
-        usual_s: Usual time of one request.
+        service_time_s: Usual time of one request.
         now: The loop's time.
     """
-    wait = usual_s if retry_after_s is None else retry_after_s
-    until = now + min(wait, LONGEST_HOLD_S)
-    view.held_until = max(view.held_until, until)
-    view.update_closed()
+    wait = service_time_s if retry_after_s is None else retry_after_s
+    until = now + min(wait, MAX_BACKOFF_S)
+    view.backoff_until = max(view.backoff_until, until)
+    view.update_availability()
--- a/banyantiller/routing/refusal.py
+++ b/banyantiller/routing/refusal.py
@@ -4,68 +4,70 @@
 
 from banyantiller.errors import ErrorKind, Failure
 from banyantiller.routing.calls import CallState
-from banyantiller.routing.service import ServiceKnowledge
+from banyantiller.routing.service_state import ServiceState
 from banyantiller.routing.waiting import WaitingCalls
 
-LEAST_RETRY_AFTER_S = 0.05
-MOST_RETRY_AFTER_S = 30.0
-LEAST_PART = 0.05
-HOPELESS_PART = 0.5
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 30.0
+MIN_RATE_SHARE = 0.05
+MIN_SERVICE_TIME_SHARE = 0.5
 
 
-def early(
-    known: ServiceKnowledge,
+def early_refusal(
+    state: ServiceState,
     call: CallState,
     queue: WaitingCalls,
     now: float,
 ) -> ErrorKind | None:
     """Returns why a call may not wait, or None if it may."""
-    if len(queue) >= known.options.queue.limit:
+    if len(queue) >= state.options.queue.limit:
         return ErrorKind.QUEUE_FULL
-    if known.believed.answers == 0:
+    if state.averages.responses == 0:
         return None
-    latest = call.deadline - known.believed.service_s
-    latest = min(latest, now + known.options.queue.longest_s)
-    if now + expected_wait(known, queue, now) > latest:
+    latest = call.deadline - state.averages.service_time_s
+    latest = min(latest, now + state.options.queue.longest_s)
+    if now + expected_wait_s(state, queue, now) > latest:
         return ErrorKind.DEADLINE_UNREACHABLE
     return None
 
 
-def is_hopeless(known: ServiceKnowledge, call: CallState, now: float) -> bool:
+def cannot_meet_deadline(
+    state: ServiceState, call: CallState, now: float
+) -> bool:
     """Tells whether a waiting call would hardly be answered in time.
 
     While every server is left alone, it can't start before one opens again;
     a probe may open one at any time.
     """
-    if known.believed.answers == 0:
+    if state.averages.responses == 0:
         return False
-    least = HOPELESS_PART * known.believed.service_s
+    min_left_s = MIN_SERVICE_TIME_SHARE * state.averages.service_time_s
     start = now
-    if not any(view.probing for view in known.views.values()):
-        start = max(now, opens_at(known))
-    return call.deadline - start < least
+    if not any(view.probing for view in state.views.values()):
+        start = max(now, next_available_at(state))
+    return call.deadline - start < min_left_s
 
 
-def opens_at(known: ServiceKnowledge) -> float:
+def next_available_at(state: ServiceState) -> float:
     """Returns when the first server takes calls; in the past if one does."""
-    views = known.views.values()
-    opens = min((view.closed_until for view in views), default=0.0)
-    return opens if math.isfinite(opens) else 0.0
+    views = state.views.values()
+    available_at = min((view.unavailable_until for view in views), default=0.0)
+    return available_at if math.isfinite(available_at) else 0.0
 
 
-def expected_wait(
-    known: ServiceKnowledge, queue: WaitingCalls, now: float
+def expected_wait_s(
+    state: ServiceState, queue: WaitingCalls, now: float
 ) -> float:
     """Returns the seconds until a call at the end of a queue starts."""
-    views = known.views.values()
+    views = state.views.values()
     slots = sum(view.slots for view in views)
-    at_least = LEAST_PART * max(slots, 1) / known.believed.service_s
-    rate = max(known.drain.per_second(now), at_least)
+    min_rate = MIN_RATE_SHARE * max(slots, 1) / state.averages.service_time_s
+    rate = max(state.completion_rate.per_second(now), min_rate)
     wait = (len(queue) + 1) / rate
-    return max(wait, opens_at(known) - now)
+    return max(wait, next_available_at(state) - now)
 
 
-def failure(kind: ErrorKind, wait_s: float) -> Failure:
+def build_failure(kind: ErrorKind, wait_s: float) -> Failure:
     """Builds a failure that says when to come back."""
-    wait = min(max(wait_s, LEAST_RETRY_AFTER_S), MOST_RETRY_AFTER_S)
+    wait = min(max(wait_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
     return Failure(kind, retry_after=wait)
--- a/banyantiller/routing/service.py
+++ b/banyantiller/routing/service_state.py
@@ -4,19 +4,19 @@
 from collections.abc import Sequence
 
 from banyantiller.bundle import options
-from banyantiller.routing import beliefs, choice, limits, ramp, tuning
-from banyantiller.routing.budget import ExtraCalls
+from banyantiller.routing import averages, choice, limits, ramp, tuning
+from banyantiller.routing.budget import RetryBudget
 from banyantiller.routing.calls import CallState
-from banyantiller.routing.drain import DrainRate
+from banyantiller.routing.completion_rate import CompletionRate
 from banyantiller.routing.hedging import LatencyQuantile
-from banyantiller.routing.shares import GroupSharing
+from banyantiller.routing.shares import GroupRoundRobin
 from banyantiller.routing.tuning import Tuning
 from banyantiller.routing.types import ServerState
 from banyantiller.routing.views import ServerView
 from banyantiller.routing.waiting import WaitingCalls
 
 
-class ServiceKnowledge:
+class ServiceState:
     """Options, server views and averages of one service.
 
     Attributes:
@@ -27,13 +27,13 @@
         views: Server views by name.
         groups: Server views by group; "" holds all.
         waiting: Waiting calls by group.
-        believed: Averages over the service.
-        sharing: Which group gets the next call.
-        extra: Budget of retries and hedges.
-        late: Latency above which a call is hedged.
-        drain: Calls that end here each second.
+        averages: Averages over the service.
+        round_robin: Which group gets the next call.
+        retry_budget: Budget of retries and hedges.
+        hedge_latency: Latency above which a call is hedged.
+        completion_rate: Calls that end here each second.
         window: Most tries of this daemon at once.
-        ejected: Servers ejected since these were last planned for.
+        newly_ejected: Servers ejected since these were last planned for.
     """
 
     def __init__(
@@ -50,19 +50,21 @@
         self.views: dict[str, ServerView] = {}
         self.groups: dict[str, list[ServerView]] = {"": []}
         self.waiting: dict[str, WaitingCalls] = {"": WaitingCalls()}
-        self.believed = beliefs.Believed()
-        self.sharing = GroupSharing()
-        self.extra = ExtraCalls(service.retry.budget_percent, self.tuning.burst)
-        self.late = LatencyQuantile(self.tuning.hedge_quantile)
-        self.drain = DrainRate(now)
-        self.window = limits.Window()
-        self.ejected: list[ServerView] = []
-
-    def retune(self, constants: Tuning) -> None:
+        self.averages = averages.ServiceAverages()
+        self.round_robin = GroupRoundRobin()
+        self.retry_budget = RetryBudget(
+            service.retry.budget_percent, self.tuning.max_retry_tokens
+        )
+        self.hedge_latency = LatencyQuantile(self.tuning.hedge_quantile)
+        self.completion_rate = CompletionRate(now)
+        self.window = limits.ConcurrencyWindow()
+        self.newly_ejected: list[ServerView] = []
+
+    def replace_tuning(self, constants: Tuning) -> None:
         """Replaces the constants, for measurements."""
         self.tuning = constants
-        self.late = LatencyQuantile(constants.hedge_quantile)
-        self.extra.most = constants.burst
+        self.hedge_latency = LatencyQuantile(constants.hedge_quantile)
+        self.retry_budget.max_tokens = constants.max_retry_tokens
 
     def configure(
         self,
@@ -75,22 +77,22 @@
         if service.objective != self.options.objective:
             self.tuning = tuning.for_objective(service.objective)
         self.options = service
-        self.extra.configure(service.retry.budget_percent)
+        self.retry_budget.configure(service.retry.budget_percent)
         kept: dict[str, ServerView] = {}
-        for state in servers:
-            view = self.views.get(state.name)
+        for server in servers:
+            view = self.views.get(server.name)
             if view is None:
-                view = self._new_view(state)
+                view = self._new_view(server)
                 if not first:
-                    ramp.begin(view, now)
-            if view.state.leaving and not state.leaving:
+                    ramp.start(view, now)
+            if view.server.leaving and not server.leaving:
                 view.draining = False
-            view.state = state
-            view.local = state.zone == self.zone
-            view.slots = state.slots
-            view.update_closed()
-            self.believed.prepare(state.slots)
-            kept[state.name] = view
+            view.server = server
+            view.in_local_zone = server.zone == self.zone
+            view.slots = server.slots
+            view.update_availability()
+            self.averages.add_initial_estimates(server.slots)
+            kept[server.name] = view
         self.views = kept
         usable = [v.slots for v in kept.values() if v.is_usable()]
         self.window.configure(sum(usable), len(usable))
@@ -98,15 +100,15 @@
 
     def group_of(self, view: ServerView) -> list[ServerView]:
         """Returns the servers of a server's group."""
-        name = view.state.group if self.options.shares else ""
+        name = view.server.group if self.options.shares else ""
         return self.groups.get(name, self.groups[""])
 
-    def has_usable(self) -> bool:
+    def has_usable_server(self) -> bool:
         """Tells whether any server may get new calls at all."""
         return any(view.is_usable() for view in self.views.values())
 
     def choose(
-        self, call: CallState, now: float, fresh: bool
+        self, call: CallState, now: float, exclude_tried: bool
     ) -> choice.Choice | None:
         """Returns the best server for a call, or None.
 
@@ -115,43 +117,43 @@
         Args:
             call: The call.
             now: The loop's time.
-            fresh: Whether servers that the call has tried are left out.
+            exclude_tried: Whether servers that the call has tried are left out.
         """
         views = self.groups.get(call.group, ())
-        found = self._choose_from(views, call, now, fresh)
+        found = self._choose_from(views, call, now, exclude_tried)
         if found is not None or any(view.is_usable() for view in views):
             return found
-        return self._choose_from(self.groups[""], call, now, fresh)
+        return self._choose_from(self.groups[""], call, now, exclude_tried)
 
     def _choose_from(
         self,
         views: Sequence[ServerView],
         call: CallState,
         now: float,
-        fresh: bool,
+        exclude_tried: bool,
     ) -> choice.Choice | None:
-        without = call.tried if fresh else ()
+        excluded = call.tried_servers if exclude_tried else ()
         return choice.choose(
             views,
-            without,
+            excluded,
             call.idempotent,
-            self.believed,
+            self.averages,
             self.tuning,
             now,
             self.rng,
         )
 
-    def _new_view(self, state: ServerState) -> ServerView:
-        return ServerView(state, False, state.slots)
+    def _new_view(self, server: ServerState) -> ServerView:
+        return ServerView(server, False, server.slots)
 
     def _regroup(self) -> None:
         groups: dict[str, list[ServerView]] = {"": list(self.views.values())}
         if self.options.shares:
             for view in self.views.values():
-                groups.setdefault(view.state.group, []).append(view)
+                groups.setdefault(view.server.group, []).append(view)
         self.groups = groups
         for name in groups:
             self.waiting.setdefault(name, WaitingCalls())
-        self.sharing.configure(
-            self.options.shares, (v.state.group for v in self.views.values())
+        self.round_robin.configure(
+            self.options.shares, (v.server.group for v in self.views.values())
         )
--- a/banyantiller/routing/shares.py
+++ b/banyantiller/routing/shares.py
@@ -5,7 +5,7 @@
 from banyantiller.bundle import options
 
 
-class GroupSharing:
+class GroupRoundRobin:
     """Smooth weighted round robin over groups.
 
     Each group's count stays within one call of its share times the calls.
@@ -23,11 +23,11 @@
         self, shares: tuple[options.Share, ...], groups: Iterable[str]
     ) -> None:
         """Takes new shares; groups without servers are left out."""
-        known = set(groups)
-        wanted = {s.group: s.percent for s in shares if s.group in known}
-        total = sum(wanted.values())
+        present = set(groups)
+        percents = {s.group: s.percent for s in shares if s.group in present}
+        total = sum(percents.values())
         weights = (
-            {name: percent / total for name, percent in wanted.items()}
+            {name: percent / total for name, percent in percents.items()}
             if total > 0
             else {}
         )
--- a/banyantiller/routing/waiting.py
+++ b/banyantiller/routing/waiting.py
@@ -16,22 +16,22 @@
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, CallState]] = []
         self.waiting: dict[int, CallState] = {}
-        self.arrivals = 0
+        self.added_count = 0
 
     def __len__(self) -> int:
         return len(self.waiting)
 
     def add(self, call: CallState) -> None:
         """Adds a call."""
-        self.arrivals += 1
+        self.added_count += 1
         self.waiting[call.call_id] = call
-        heapq.heappush(self.heap, (call.deadline, self.arrivals, call))
+        heapq.heappush(self.heap, (call.deadline, self.added_count, call))
 
     def remove(self, call: CallState) -> bool:
         """Forgets a call; tells whether it waited."""
         return self.waiting.pop(call.call_id, None) is not None
 
-    def first(self) -> CallState | None:
+    def earliest(self) -> CallState | None:
         """Returns the call with the earliest deadline, or None."""
         while self.heap:
             call = self.heap[0][2]
--- a/banyantiller/tests/replay/test_recording.py
+++ b/banyantiller/tests/replay/test_recording.py
@@ -10,7 +10,7 @@
 from banyantiller.replay import dispatcher_player, player, recording, traces
 from banyantiller.routing import adaptive, types
 from banyantiller.tests.base import TestCase
-from banyantiller.tests.routing.driver import good, of, states
+from banyantiller.tests.routing.driver import of_type, server_states, success
 
 SERVICE = options.Service("desk", ())
 
@@ -24,7 +24,7 @@
         now += rng.expovariate(100)
         call = types.Call(number, rng.random() < 0.7, now + 2.0)
         actions = dispatcher.submit(call, now)
-        running += of(actions, types.Start)
+        running += of_type(actions, types.Start)
         if running and rng.random() < 0.8:
             start = running.pop(rng.randrange(len(running)))
             now += 0.001
@@ -34,9 +34,9 @@
         if rng.random() < 0.05:
             report = types.LoadReport(1.0, 0.1, source="peer")
             dispatcher.report("b01", report, now)
-        running += of(dispatcher.tick(now), types.Start)
+        running += of_type(dispatcher.tick(now), types.Start)
     dispatcher.members(3, now)
-    dispatcher.configure(SERVICE, states(3, leaving=True), now)
+    dispatcher.configure(SERVICE, server_states(3, leaving=True), now)
 
 
 def end(dispatcher, start, rng, now):
@@ -45,10 +45,10 @@
             False, Ran.UNKNOWN, ErrorKind.CONNECTION_LOST
         )
         actions = dispatcher.attempt_head(start.attempt_id, failure, now)
-        return of(actions, types.Start)
-    actions = dispatcher.attempt_head(start.attempt_id, good(1.0), now)
+        return of_type(actions, types.Start)
+    actions = dispatcher.attempt_head(start.attempt_id, success(1.0), now)
     actions += dispatcher.attempt_done(start.attempt_id, now)
-    return of(actions, types.Start)
+    return of_type(actions, types.Start)
 
 
 def record(seed, most_bytes=recording.MOST_BYTES):
@@ -57,7 +57,7 @@
     rng = random.Random(seed)
     dispatcher = create(
         SERVICE,
-        states(4),
+        server_states(4),
         "d1",
         "zone-c",
         7,
@@ -95,7 +95,7 @@
         self.addCleanup(folder.cleanup)
         create = recording.record_to_files(adaptive.create, f"{folder.name}/t")
         dispatcher = create(
-            SERVICE, states(2), "d1", "zone-c", 7, 100.0, lambda _: False
+            SERVICE, server_states(2), "d1", "zone-c", 7, 100.0, lambda _: False
         )
         dispatcher.submit(types.Call(1, True, 105.0), 100.0)
         dispatcher.recording.close()
--- a/banyantiller/tests/routing/driver.py
+++ b/banyantiller/tests/routing/driver.py
@@ -8,22 +8,22 @@
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
 
 
-def states(count, slots=2, **kwargs):
+def server_states(count, slots=2, **kwargs):
     return tuple(
         types.ServerState(f"b{i:02}", ZONES[i % 4], slots, **kwargs)
         for i in range(count)
     )
 
 
-def good(in_flight=0.0, **kwargs):
+def success(in_flight=0.0, **kwargs):
     report = types.LoadReport(in_flight)
     return types.AttemptResult(
         True, Ran.YES, status=200, report=report, **kwargs
     )
 
 
-def failed(kind=ErrorKind.CONNECTION_LOST, ran=Ran.UNKNOWN, **kwargs):
-    return types.AttemptResult(False, ran, error=kind, **kwargs)
+def failure(error_kind=ErrorKind.CONNECTION_LOST, ran=Ran.UNKNOWN, **kwargs):
+    return types.AttemptResult(False, ran, error=error_kind, **kwargs)
 
 
 class Driver:
@@ -46,28 +46,28 @@
         )
         self.next_call = 0
 
-    def submit(self, idempotent=True, patience=5.0, **kwargs):
+    def submit(self, idempotent=True, timeout_s=5.0, **kwargs):
         self.next_call += 1
         call = types.Call(
-            self.next_call, idempotent, self.now + patience, **kwargs
+            self.next_call, idempotent, self.now + timeout_s, **kwargs
         )
-        return self.note(self.dispatcher.submit(call, self.now))
+        return self.record_actions(self.dispatcher.submit(call, self.now))
 
-    def head(self, attempt_id, result):
-        return self.note(
+    def receive_head(self, attempt_id, result):
+        return self.record_actions(
             self.dispatcher.attempt_head(attempt_id, result, self.now)
         )
 
     def answer(self, attempt_id, after=0.02, in_flight=0.0):
         self.now += after
-        actions = self.head(attempt_id, good(in_flight))
-        return actions + self.note(
+        actions = self.receive_head(attempt_id, success(in_flight))
+        return actions + self.record_actions(
             self.dispatcher.attempt_done(attempt_id, self.now)
         )
 
     def tick(self, after=0.0):
         self.now += after
-        return self.note(self.dispatcher.tick(self.now))
+        return self.record_actions(self.dispatcher.tick(self.now))
 
     def run_due(self, until):
         """Ticks whenever work is due, up to a time; returns the actions."""
@@ -87,28 +87,28 @@
         """Ticks until a try starts, no later than a time; returns starts."""
         while (due := self.dispatcher.next_tick()) is not None and due <= until:
             self.now = max(self.now, due)
-            if starts := of(self.tick(), Start):
+            if starts := of_type(self.tick(), Start):
                 return starts
         self.now = until
         return []
 
-    def note(self, actions):
+    def record_actions(self, actions):
         self.actions += actions
         return actions
 
     def fill(self, calls):
         """Starts calls that take up every try that servers may have."""
         starts = [
-            of(self.submit(idempotent=False), Start) for _ in range(calls)
+            of_type(self.submit(idempotent=False), Start) for _ in range(calls)
         ]
         return [start for (start,) in starts]
 
     def warm(self, calls=60):
         """Answers some calls so that latencies are known."""
         for _ in range(calls):
-            for action in of(self.submit(), types.Start):
+            for action in of_type(self.submit(), types.Start):
                 self.answer(action.attempt_id)
 
 
-def of(actions, kind):
-    return [action for action in actions if isinstance(action, kind)]
+def of_type(actions, action_type):
+    return [action for action in actions if isinstance(action, action_type)]
--- a/banyantiller/tests/routing/test_choice.py
+++ b/banyantiller/tests/routing/test_choice.py
@@ -5,28 +5,28 @@
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.routing.driver import (
     Driver,
-    failed,
-    good,
-    of,
-    states,
+    failure,
+    of_type,
+    server_states,
+    success,
 )
 
 FAST_503 = types.AttemptResult(True, Ran.UNKNOWN, status=503)
 
 
-def pair(zone="zone-a"):
+def near_and_far(zone="zone-a"):
     return (
         types.ServerState("near", "zone-a", 2),
         types.ServerState("far", zone, 2),
     )
 
 
-def tell(driver, server, in_flight, age_s=0.0):
+def report_load(driver, server, in_flight, age_s=0.0):
     report = types.LoadReport(in_flight, age_s, source="probe")
     driver.dispatcher.report(server, report, driver.now)
 
 
-def chosen(driver, calls):
+def chosen_servers(driver, calls):
     """Submits calls one by one, answering each; returns the servers."""
     servers = []
     for _ in range(calls):
@@ -38,70 +38,70 @@
 
 class ChoiceTest(TestCase):
     def test_reported_load_is_avoided_while_it_is_fresh(self):
-        driver = Driver(pair())
+        driver = Driver(near_and_far())
         driver.warm()
-        tell(driver, "far", 0)
-        tell(driver, "near", 6)
+        report_load(driver, "far", 0)
+        report_load(driver, "near", 6)
         self.assertEqual("far", driver.submit()[0].server)
 
     def test_report_fades_with_its_age(self):
-        driver = Driver(pair("zone-b"))
+        driver = Driver(near_and_far("zone-b"))
         driver.warm()
-        tell(driver, "near", 6, age_s=1.0)
+        report_load(driver, "near", 6, age_s=1.0)
         self.assertEqual("near", driver.submit()[0].server)
-        driver = Driver(pair("zone-b"))
+        driver = Driver(near_and_far("zone-b"))
         driver.warm()
-        tell(driver, "near", 6)
+        report_load(driver, "near", 6)
         driver.now += 1.0
         self.assertEqual("near", driver.submit()[0].server)
 
     def test_older_report_does_not_replace_a_newer(self):
-        driver = Driver(pair("zone-b"))
+        driver = Driver(near_and_far("zone-b"))
         driver.warm()
-        tell(driver, "near", 6)
-        tell(driver, "near", 0, age_s=0.01)
+        report_load(driver, "near", 6)
+        report_load(driver, "near", 0, age_s=0.01)
         self.assertEqual("far", driver.submit()[0].server)
 
     def test_reports_that_own_calls_disprove_are_not_believed(self):
-        driver = Driver(pair())
+        driver = Driver(near_and_far())
         driver.warm()
         starts = [driver.submit()[0] for _ in range(4)]
         near = [start for start in starts if start.server == "near"]
         driver.now += 0.02
-        driver.head(near[0].attempt_id, good(in_flight=0.0))
-        tell(driver, "near", 9)
-        tell(driver, "far", 0)
-        view = driver.dispatcher.known.views["near"]
-        self.assertGreater(view.doubt, 0)
+        driver.receive_head(near[0].attempt_id, success(in_flight=0.0))
+        report_load(driver, "near", 9)
+        report_load(driver, "far", 0)
+        view = driver.dispatcher.state.views["near"]
+        self.assertGreater(view.distrust, 0)
         for start in starts:
             driver.dispatcher.attempt_done(start.attempt_id, driver.now)
         self.assertIn("near", [driver.submit()[0].server for _ in range(2)])
 
     def test_own_zone_is_preferred_until_it_costs_latency(self):
-        driver = Driver(pair("zone-b"))
+        driver = Driver(near_and_far("zone-b"))
         driver.warm()
-        self.assertEqual({"near"}, set(chosen(driver, 20)))
-        tell(driver, "near", 4)
+        self.assertEqual({"near"}, set(chosen_servers(driver, 20)))
+        report_load(driver, "near", 4)
         self.assertEqual("far", driver.submit()[0].server)
 
     def test_peers_figures_change_nothing(self):
-        driver = Driver(pair("zone-b"))
+        driver = Driver(near_and_far("zone-b"))
         driver.warm()
         report = types.LoadReport(9, source="peer")
         driver.dispatcher.report("near", report, driver.now)
         self.assertEqual("near", driver.submit()[0].server)
 
     def test_fast_failing_server_attracts_no_calls(self):
-        driver = Driver(states(5))
+        driver = Driver(server_states(5))
         driver.warm(100)
         sent = {}
         for number in range(300):
-            starts = of(driver.submit(idempotent=False), types.Start)
+            starts = of_type(driver.submit(idempotent=False), types.Start)
             for start in starts:
                 sent[start.server] = sent.get(start.server, 0) + 1
                 if start.server == "b00":
                     driver.now += 0.0005
-                    driver.head(start.attempt_id, FAST_503)
+                    driver.receive_head(start.attempt_id, FAST_503)
                     driver.dispatcher.attempt_done(start.attempt_id, driver.now)
                 else:
                     driver.answer(start.attempt_id, in_flight=1.0)
@@ -109,29 +109,31 @@
         self.assertLess(sent.get("b00", 0), 15)
 
     def test_tries_given_up_make_a_server_suspect_before_it_answers(self):
-        driver = Driver(pair("zone-b"))
+        driver = Driver(near_and_far("zone-b"))
         driver.warm(200)
         for _ in range(2):
-            (stuck,) = driver.submit()
+            (slow,) = driver.submit()
             (hedge,) = driver.next_starts(driver.now + 1.0)
             driver.answer(hedge.attempt_id)
-            self.assertEqual("near", stuck.server)
-        self.assertEqual({"far"}, set(chosen(driver, 5)))
+            self.assertEqual("near", slow.server)
+        self.assertEqual({"far"}, set(chosen_servers(driver, 5)))
 
     def test_slow_server_is_tried_again_after_a_while(self):
-        driver = Driver(pair("zone-b"))
+        driver = Driver(near_and_far("zone-b"))
         driver.warm()
         for _ in range(10):
             start = driver.submit(idempotent=False)[0]
             slow = start.server == "near"
             driver.answer(start.attempt_id, after=0.4 if slow else 0.02)
-        self.assertEqual({"far"}, set(chosen(driver, 3)))
+        self.assertEqual({"far"}, set(chosen_servers(driver, 3)))
         driver.now += 60.0
-        self.assertIn("near", chosen(driver, 5))
+        self.assertIn("near", chosen_servers(driver, 5))
 
     def test_failure_is_remembered_before_an_ejection(self):
-        driver = Driver(pair("zone-b"))
+        driver = Driver(near_and_far("zone-b"))
         driver.warm()
         (start,) = driver.submit(idempotent=False)
-        driver.head(start.attempt_id, failed(ErrorKind.BACKEND_MALFORMED))
-        self.assertEqual({"far"}, set(chosen(driver, 5)))
+        driver.receive_head(
+            start.attempt_id, failure(ErrorKind.BACKEND_MALFORMED)
+        )
+        self.assertEqual({"far"}, set(chosen_servers(driver, 5)))
--- a/banyantiller/tests/routing/test_shares.py
+++ b/banyantiller/tests/routing/test_shares.py
@@ -7,16 +7,21 @@
 from banyantiller.errors import ErrorKind, Ran
 from banyantiller.routing import shares, types
 from banyantiller.tests.base import TestCase
-from banyantiller.tests.routing.driver import Driver, failed, of, states
+from banyantiller.tests.routing.driver import (
+    Driver,
+    failure,
+    of_type,
+    server_states,
+)
 
 
 def service(**percents):
-    wanted = tuple(options.Share(g, p) for g, p in percents.items())
-    return options.Service("lookups", (), shares=wanted)
+    shares_by_group = tuple(options.Share(g, p) for g, p in percents.items())
+    return options.Service("lookups", (), shares=shares_by_group)
 
 
 def servers():
-    return states(4) + tuple(
+    return server_states(4) + tuple(
         types.ServerState(f"n{i}", "zone-a", 2, "next") for i in range(2)
     )
 
@@ -26,16 +31,18 @@
     @hypothesis.given(strategies.lists(strategies.integers(1, 99), min_size=2))
     def test_within_one_percent_over_a_thousand_calls(self, weights):
         total = sum(weights)
-        wanted = tuple(
+        shares_by_group = tuple(
             options.Share(f"g{i}", 100 * w / total)
             for i, w in enumerate(weights)
         )
-        sharing = shares.GroupSharing()
-        sharing.configure(wanted, [share.group for share in wanted])
-        counts = dict.fromkeys(sharing.weights, 0)
+        round_robin = shares.GroupRoundRobin()
+        round_robin.configure(
+            shares_by_group, [share.group for share in shares_by_group]
+        )
+        counts = dict.fromkeys(round_robin.weights, 0)
         for _ in range(1000):
-            counts[sharing.next_group()] += 1
-        for share in wanted:
+            counts[round_robin.next_group()] += 1
+        for share in shares_by_group:
             error = counts[share.group] / 1000 - share.percent / 100
             self.assertLessEqual(abs(error), 0.01)
 
@@ -50,8 +57,10 @@
 
     def test_group_without_usable_servers_uses_the_others(self):
         driver = Driver(servers(), service(main=50.0, next=50.0))
-        gone = tuple(s._replace(leaving=s.group == "next") for s in servers())
-        driver.dispatcher.configure(driver.service, gone, driver.now)
+        leaving = tuple(
+            s._replace(leaving=s.group == "next") for s in servers()
+        )
+        driver.dispatcher.configure(driver.service, leaving, driver.now)
         for _ in range(20):
             (start,) = driver.submit()
             self.assertEqual("b", start.server[0])
@@ -60,10 +69,12 @@
     def test_retry_stays_in_its_group(self):
         driver = Driver(servers(), service(main=50.0, next=50.0))
         driver.warm(100)
-        bad = failed(ErrorKind.CONNECT_FAILED, Ran.NO)
+        failing = failure(ErrorKind.CONNECT_FAILED, Ran.NO)
         for _ in range(10):
             (first,) = driver.submit()
-            (second,) = of(driver.head(first.attempt_id, bad), types.Start)
+            (second,) = of_type(
+                driver.receive_head(first.attempt_id, failing), types.Start
+            )
             self.assertEqual(first.server[0], second.server[0])
             driver.answer(second.attempt_id)
             driver.now += 10.0
--- a/banyantiller/tests/routing/test_timers.py
+++ b/banyantiller/tests/routing/test_timers.py
@@ -7,22 +7,22 @@
 class TimersTest(base.TestCase):
     def test_work_of_a_finished_call_is_dropped(self) -> None:
         call = calls.CallState.from_call(types.Call(1, True, 9.0), "main", 0.0)
-        work = timers.Timers()
-        work.at(1.0, lambda now: [], call)
-        work.at(9.0, lambda now: [], call)
-        work.at(5.0, lambda now: [])
-        self.assertEqual(1.0, work.first())
+        pending = timers.Timers()
+        pending.schedule(1.0, lambda now: [], call)
+        pending.schedule(9.0, lambda now: [], call)
+        pending.schedule(5.0, lambda now: [])
+        self.assertEqual(1.0, pending.next_due())
         call.finished = True
-        self.assertEqual(5.0, work.first())
-        work.run_due(5.0)
-        self.assertIsNone(work.first())
-        self.assertEqual([], work.heap)
+        self.assertEqual(5.0, pending.next_due())
+        pending.run_due(5.0)
+        self.assertIsNone(pending.next_due())
+        self.assertEqual([], pending.heap)
 
     def test_finished_calls_do_not_pile_up(self) -> None:
-        work = timers.Timers()
+        pending = timers.Timers()
         for number in range(10_000):
             wanted = types.Call(number, True, 9.0)
             call = calls.CallState.from_call(wanted, "main", 0.0)
-            work.at(9.0, lambda now: [], call)
+            pending.schedule(9.0, lambda now: [], call)
             call.finished = number % 100 > 0
-        self.assertLess(len(work.heap), 500)
+        self.assertLess(len(pending.heap), 500)
--- a/banyantiller/tests/routing/test_waiting.py
+++ b/banyantiller/tests/routing/test_waiting.py
@@ -6,27 +6,27 @@
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.routing.driver import (
     Driver,
-    failed,
-    good,
-    of,
-    states,
+    failure,
+    of_type,
+    server_states,
+    success,
 )
 
 
-def full(waiting=0, patience=5.0, **kwargs):
+def full_server(waiting=0, timeout_s=5.0, **kwargs):
     """Returns a driver whose one server is full, with calls waiting."""
-    driver = Driver(states(1, slots=1), **kwargs)
+    driver = Driver(server_states(1, slots=1), **kwargs)
     driver.warm(60)
     running, _ = driver.fill(2)
     for _ in range(waiting):
-        driver.submit(idempotent=False, patience=patience)
+        driver.submit(idempotent=False, timeout_s=timeout_s)
     return driver, running
 
 
 class EarlyRefusalTest(TestCase):
     def test_deadline_that_cannot_be_met_is_refused_at_once(self):
-        driver, _ = full(waiting=20)
-        (refusal,) = driver.submit(patience=0.05)
+        driver, _ = full_server(waiting=20)
+        (refusal,) = driver.submit(timeout_s=0.05)
         self.assertEqual(ErrorKind.DEADLINE_UNREACHABLE, refusal.failure.kind)
         self.assertEqual(Ran.NO, refusal.failure.answer.ran)
         self.assertGreater(refusal.failure.retry_after, 0.2)
@@ -34,11 +34,11 @@
     def test_waiting_call_that_got_hopeless_is_refused_before_its_deadline(
         self,
     ):
-        driver, running = full()
-        driver.submit(patience=0.1)
+        driver, running = full_server()
+        driver.submit(timeout_s=0.1)
         driver.now += 0.095
         actions = driver.answer(running.attempt_id, after=0.0)
-        refusals = of(actions, types.Refuse)
+        refusals = of_type(actions, types.Refuse)
         self.assertEqual(
             [ErrorKind.DEADLINE_UNREACHABLE],
             [refusal.failure.kind for refusal in refusals],
@@ -47,80 +47,82 @@
     def test_longest_wait_ends_in_a_refusal(self):
         queue = options.QueuePolicy(longest_s=0.5)
         service = options.Service("lookups", (), queue=queue)
-        driver, _ = full(waiting=1, service=service)
+        driver, _ = full_server(waiting=1, service=service)
         started = driver.now
-        refusals = of(driver.run_due(started + 4.0), types.Refuse)
+        refusals = of_type(driver.run_due(started + 4.0), types.Refuse)
         self.assertEqual(
             [ErrorKind.QUEUE_FULL], [r.failure.kind for r in refusals]
         )
 
     def test_deadline_of_a_running_call_cancels_it(self):
-        driver, running = full()
+        driver, running = full_server()
         actions = driver.run_due(driver.now + 6.0)
         self.assertIn(types.Cancel(running.attempt_id), actions)
-        kinds = {refusal.failure.kind for refusal in of(actions, types.Refuse)}
+        kinds = {
+            refusal.failure.kind for refusal in of_type(actions, types.Refuse)
+        }
         self.assertEqual({ErrorKind.DEADLINE_AFTER_START}, kinds)
 
     def test_deadline_already_over(self):
-        driver = Driver(states(1))
-        (refusal,) = driver.submit(patience=0.0)
+        driver = Driver(server_states(1))
+        (refusal,) = driver.submit(timeout_s=0.0)
         self.assertEqual(ErrorKind.DEADLINE_BEFORE_START, refusal.failure.kind)
 
 
 class WindowTest(TestCase):
     def overload(self, driver, calls):
         for _ in range(calls):
-            for start in of(driver.submit(), types.Start):
+            for start in of_type(driver.submit(), types.Start):
                 driver.answer(start.attempt_id, in_flight=9.0)
 
     def test_backlogs_shrink_the_window_to_the_even_part(self):
-        driver = Driver(states(4, slots=2))
+        driver = Driver(server_states(4, slots=2))
         driver.dispatcher.members(4, driver.now)
         self.overload(driver, 100)
-        started = [of(driver.submit(), types.Start) for _ in range(8)]
+        started = [of_type(driver.submit(), types.Start) for _ in range(8)]
         self.assertEqual(2, sum(len(starts) for starts in started))
 
     def test_window_opens_again(self):
-        driver = Driver(states(4, slots=2))
+        driver = Driver(server_states(4, slots=2))
         driver.dispatcher.members(4, driver.now)
         self.overload(driver, 100)
         driver.warm(200)
-        started = [of(driver.submit(), types.Start) for _ in range(8)]
+        started = [of_type(driver.submit(), types.Start) for _ in range(8)]
         self.assertEqual(8, sum(len(starts) for starts in started))
 
     def test_wrong_member_counts_leave_one_call_at_least(self):
         for alive in (0, 1, 10_000):
-            driver = Driver(states(2, slots=1))
+            driver = Driver(server_states(2, slots=1))
             driver.dispatcher.members(alive, driver.now)
             self.overload(driver, 100)
-            self.assertEqual(1, len(of(driver.submit(), types.Start)))
+            self.assertEqual(1, len(of_type(driver.submit(), types.Start)))
 
 
 class TimersTest(TestCase):
     def test_no_work_stays_due(self):
-        driver = Driver(states(3, slots=1), charge=lambda _: True)
+        driver = Driver(server_states(3, slots=1), charge=lambda _: True)
         driver.warm(100)
-        bad = failed(ErrorKind.CONNECT_FAILED, Ran.NO)
+        failing = failure(ErrorKind.CONNECT_FAILED, Ran.NO)
         for number in range(300):
-            starts = of(driver.submit(patience=0.5), types.Start)
+            starts = of_type(driver.submit(timeout_s=0.5), types.Start)
             for start in starts:
                 if number % 3:
-                    driver.head(start.attempt_id, bad)
+                    driver.receive_head(start.attempt_id, failing)
             driver.run_due(driver.now + 0.01)
             driver.dispatcher.tick(driver.now)
             due = driver.dispatcher.next_tick()
             self.assertTrue(due is None or due > driver.now)
         driver.run_due(driver.now + 60.0)
-        self.assertEqual({}, driver.dispatcher.flow.calls)
-        self.assertEqual({}, driver.dispatcher.flow.attempts)
+        self.assertEqual({}, driver.dispatcher.scheduler.calls)
+        self.assertEqual({}, driver.dispatcher.scheduler.attempts)
 
     def test_nothing_is_due_without_calls(self):
-        driver = Driver(states(3))
+        driver = Driver(server_states(3))
         self.assertIsNone(driver.dispatcher.next_tick())
 
     def test_late_results_of_forgotten_tries_are_ignored(self):
-        driver, running = full()
+        driver, running = full_server()
         driver.dispatcher.cancel(running.call_id, driver.now)
-        self.assertEqual([], driver.head(running.attempt_id, good()))
+        self.assertEqual([], driver.receive_head(running.attempt_id, success()))
         done = driver.dispatcher.attempt_done(running.attempt_id, driver.now)
         self.assertEqual([], done)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -89,7 +89,7 @@
     world = World(service, states, size.zones, task.seed)
     chooser = rivals.AllKnowing(world) if task.policy == "bound" else None
     off = frozenset(task.ablate.split(",")) if task.ablate else frozenset()
-    constants = tuning.for_objective(size.objective)._replace(off=off)
+    constants = tuning.for_objective(size.objective)._replace(disabled=off)
     for number in range(size.daemons):
         daemon = Daemon(world, size.zones[number % len(size.zones)])
         world.daemons.append(daemon)
--- a/bench/decisions_rivals.py
+++ b/bench/decisions_rivals.py
@@ -14,33 +14,36 @@
     "random": lambda views, rng, _: rng.choice(views),
     "round_robin": lambda views, _, turn: views[turn % len(views)],
     "least_own": lambda views, rng, _: min(
-        views, key=lambda view: (len(view.own), rng.random())
+        views, key=lambda view: (len(view.local_attempts), rng.random())
     ),
     "two_choices": lambda views, rng, _: min(
-        rng.sample(views, min(2, len(views))), key=lambda view: len(view.own)
+        rng.sample(views, min(2, len(views))),
+        key=lambda view: len(view.local_attempts),
     ),
 }
 
 
 def usual(pick, service, states, zone, seed):
     """Builds a dispatcher around one of the usual choosers."""
-    constants = tuning.Tuning(off=OFF)
+    constants = tuning.Tuning(disabled=OFF)
     made = adaptive.create(
         service, states, "", zone, seed, 0.0, lambda _: False, constants
     )
-    turn = made.known.rng.randrange(len(states))
+    turn = made.state.rng.randrange(len(states))
 
-    def choose(call, _, fresh):
+    def choose(call, _, exclude_tried):
         nonlocal turn
         turn += 1
-        usable = [v for v in made.known.views.values() if v.is_usable()]
-        if fresh:
-            usable = [v for v in usable if v.state.name not in call.tried]
+        usable = [v for v in made.state.views.values() if v.is_usable()]
+        if exclude_tried:
+            usable = [
+                v for v in usable if v.server.name not in call.tried_servers
+            ]
         if not usable:
             return None
-        return choice.Choice(pick(usable, made.known.rng, turn), 0.0)
+        return choice.Choice(pick(usable, made.state.rng, turn), 0.0)
 
-    made.known.choose = choose
+    made.state.choose = choose
     return made
 
 
