--- a/banyantiller/routing/__init__.py
+++ b/banyantiller/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions: pure functions and state without sockets."""
+"""Routing decisions: pure functions and state machines without sockets."""
--- a/banyantiller/routing/adaptive.py
+++ b/banyantiller/routing/adaptive.py
@@ -30,9 +30,10 @@
     """Implements `routing.types.Dispatcher`.
 
     Attributes:
-        state: What is known of the service.
-        scheduler: Calls without a final answer.
-        charge: Takes one probe out of the measuring budget.
+        state: State of the service.
+        scheduler: Calls without a final response.
+        charge: Charges one probe to the probe budget and returns whether the
+            budget allowed it.
     """
 
     def __init__(self, state: ServiceState, charge: Charge) -> None:
@@ -46,12 +47,12 @@
         servers: tuple[ServerState, ...],
         now: float,
     ) -> list[Action]:
-        """Takes a new bundle or changed servers; keeps what it learned."""
+        """Applies a new bundle or changed servers; keeps its statistics."""
         self.state.configure(service, servers, now)
         return self.scheduler.start_waiting_calls(now)
 
     def submit(self, call: Call, now: float) -> list[Action]:
-        """Takes a call: starts it, queues it or refuses it."""
+        """Starts, queues or refuses a new call."""
         state = self.state
         state.retry_budget.record_call()
         call_state = CallState.from_call(
@@ -66,7 +67,7 @@
     def attempt_head(
         self, attempt_id: int, result: AttemptResult, now: float
     ) -> list[Action]:
-        """Takes the answer head, or the failure, of a try."""
+        """Processes the response head, or the failure, of an attempt."""
         scheduler = self.scheduler
         attempt = scheduler.attempts.get(attempt_id)
         if attempt is None or attempt.call.finished:
@@ -81,7 +82,7 @@
         return actions + self._follow_up(now)
 
     def attempt_done(self, attempt_id: int, now: float) -> list[Action]:
-        """Takes the end of a relayed answer; the slot is free."""
+        """Processes the end of a relayed response, which frees the slot."""
         attempt = self.scheduler.attempts.get(attempt_id)
         if attempt is None:
             return []
@@ -90,7 +91,7 @@
         return self.scheduler.start_waiting_calls(now)
 
     def cancel(self, call_id: int, now: float) -> list[Action]:
-        """The caller is gone; cancels or forgets the call."""
+        """Drops a call whose caller disconnected; cancels its attempts."""
         call = self.scheduler.calls.get(call_id)
         if call is None:
             return []
@@ -99,10 +100,10 @@
     def report(
         self, server: str, report: LoadReport, now: float
     ) -> list[Action]:
-        """Takes a report from a probe; what peers tell is not used.
+        """Processes a load report of a probe; reports from peers are ignored.
 
-        Peers' figures made every daemon choose the same server at once; see
-        the design note.
+        With load figures from peers, every daemon chose the same server at
+        once; see the design note.
         """
         view = self.state.views.get(server)
         if view is None or report.source == "peer":
@@ -115,7 +116,7 @@
         return self.scheduler.start_waiting_calls(now)
 
     def probe_failed(self, server: str, now: float) -> list[Action]:
-        """A probe got no answer."""
+        """Records that a probe got no response."""
         view = self.state.views.get(server)
         if view is None or not view.probing:
             return []
@@ -125,12 +126,12 @@
         return self._follow_up(now)
 
     def members(self, alive: int, now: float) -> None:
-        """Takes the number of daemons believed alive, this one included."""
+        """Sets the number of daemons considered alive, including this one."""
         del now
         self.state.window.live_daemons = alive
 
     def own_load(self, now: float) -> dict[str, float]:
-        """Returns this daemon's own calls in flight by server."""
+        """Returns this daemon's attempts in flight by server."""
         del now
         views = self.state.views.items()
         return {
@@ -140,7 +141,7 @@
         }
 
     def tick(self, now: float) -> list[Action]:
-        """Does what is due: deadlines, hedges, probes, recovery."""
+        """Runs due work: deadlines, hedges, probes and recovery."""
         return self.scheduler.timers.run_due(now) + self._follow_up(now)
 
     def next_tick(self) -> float | None:
@@ -159,7 +160,7 @@
         return self.scheduler.start_waiting_calls(now)
 
     def _probe(self, view: ServerView, now: float) -> list[Action]:
-        """Tests a server whose ejection is over, if probes may do it."""
+        """Probes a server after its ejection, if probes may restore it."""
         if not self.state.tuning.probe_recovery or not view.awaiting_trial:
             return []
         if view.ejected_until > now or view.probing:
@@ -168,7 +169,7 @@
         if not (is_current and view.is_usable()):
             return []
         if not self.charge(now):
-            # The budget notes the wish and gets permits within seconds.
+            # The budget records the demand and gets permits within seconds.
             retry = partial(self._probe, view)
             self.scheduler.timers.schedule(now + BUDGET_RETRY_S, retry)
             return []
@@ -201,9 +202,9 @@
         zone: Availability zone of the daemon.
         seed: Seed of random choices.
         now: The loop's time.
-        charge: Takes one probe out of the measuring budget; tells whether
-            there was one left.
-        constants: Constants in place of those of the objective.
+        charge: Charges one probe to the probe budget; returns whether the
+            budget allowed it.
+        constants: Overrides the constants of the service's objective.
     """
     del daemon
     state = ServiceState(service, zone, seed, now)
--- a/banyantiller/routing/averages.py
+++ b/banyantiller/routing/averages.py
@@ -1,4 +1,4 @@
-"""Averages over a service that give each server's figures a scale."""
+"""Averages over a service, with which single servers are compared."""
 
 import collections
 
@@ -8,16 +8,17 @@
 
 
 class ServiceAverages:
-    """What is usual at the servers of one service.
+    """Averages over all servers of one service.
 
     Attributes:
-        service_time_s: Moving average of the time to an answer head; a guess
-            before the first.
-        average_queue_ahead: By free slots besides other daemons' requests, how
-            many
-            requests a new call waits for at a usual server.
-        responses: Number of answer heads seen.
-        distrust: Moving share of reports that own tries showed to be wrong.
+        service_time_s: Moving average of the time to a response head; an
+            assumed value before the first response.
+        average_queue_ahead: Average number of requests that a new call waits
+            for at a server, by the number of slots that this daemon's own
+            requests leave free there.
+        responses: Number of response heads seen.
+        distrust: Moving average of the share of load reports that this
+            daemon's own attempts proved wrong.
     """
 
     def __init__(self) -> None:
@@ -29,7 +30,7 @@
         )
 
     def add_initial_estimates(self, slots: int) -> None:
-        """Guesses waits at servers of so many slots, before any report."""
+        """Adds estimates for servers with `slots` slots, before any report."""
         for local_requests in range(slots + 1):
             free_slots = slots - local_requests
             self.average_queue_ahead.setdefault(
@@ -37,14 +38,14 @@
             )
 
     def record_latency(self, seconds: float) -> None:
-        """Takes the time that one answer head took."""
+        """Updates the average service time with one response."""
         self.responses += 1
         weight = max(EWMA_WEIGHT, 1.0 / self.responses)
         moved = self.service_time_s + weight * (seconds - self.service_time_s)
         self.service_time_s = max(moved, MIN_SERVICE_TIME_S)
 
     def record_peer_requests(self, peer_requests: float) -> None:
-        """Takes one report of other daemons' requests on a server."""
+        """Updates the averages with a report of peers' requests on a server."""
         average_queue_ahead = self.average_queue_ahead
         for free_slots, before in average_queue_ahead.items():
             waiting = peer_requests + 1.0 - free_slots
--- a/banyantiller/routing/budget.py
+++ b/banyantiller/routing/budget.py
@@ -1,16 +1,16 @@
-"""The budget for extra calls: one token bucket for retries and hedges."""
+"""The retry budget: one token bucket for retries and hedges."""
 
 
 class RetryBudget:
-    """Counts what each call earns and each extra call costs.
+    """Token bucket that calls fill and that retries and hedges empty.
 
-    The bucket starts empty, so over any history extra calls are at most
-    `percent` of the calls.
+    The bucket starts empty, so that at any time retries and hedges are at most
+    `percent` of the calls so far.
 
     Attributes:
         tokens_per_call: Tokens that one call adds.
         tokens: Tokens left.
-        max_tokens: Most tokens that are kept.
+        max_tokens: Capacity of the bucket.
     """
 
     def __init__(self, percent: float, max_tokens: float) -> None:
@@ -19,15 +19,19 @@
         self.tokens = 0.0
 
     def configure(self, percent: float) -> None:
-        """Takes a new percentage; keeps the tokens."""
+        """Changes the percentage; keeps the tokens."""
         self.tokens_per_call = percent / 100
 
     def record_call(self) -> None:
-        """Adds what one call earns."""
+        """Adds the tokens of one call."""
         self.tokens = min(self.max_tokens, self.tokens + self.tokens_per_call)
 
     def spend_token(self, reserve: float = 0.0) -> bool:
-        """Takes one token if more than `reserve` would be left over."""
+        """Spends one token unless fewer than `reserve` would be left.
+
+        Returns:
+            Whether the token was spent.
+        """
         if self.tokens < 1.0 + reserve - 1e-9:
             return False
         self.tokens -= 1.0
--- a/banyantiller/routing/calls.py
+++ b/banyantiller/routing/calls.py
@@ -1,4 +1,4 @@
-"""Records of the calls and tries that a dispatcher follows."""
+"""State of the calls and attempts that a dispatcher tracks."""
 
 import dataclasses
 
@@ -9,13 +9,13 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a call on a server.
+    """One attempt of a call at one server.
 
     Attributes:
-        attempt_id: Number of the try.
+        attempt_id: Number of the attempt.
         call: Its call.
         view: The server.
-        started_at: When it started.
+        started_at: Loop time at which it started.
         hedge: Whether it is a hedge.
     """
 
@@ -28,21 +28,21 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class CallState:
-    """One call from submission to its final answer.
+    """One call from submission to its final response.
 
     Attributes:
         call_id: Number of the call.
         idempotent: Whether it may be run twice.
-        deadline: When its caller stops waiting.
+        deadline: Loop time at which its caller stops waiting.
         replayable: Whether its body can be sent again.
-        group: Group of servers that it belongs to.
-        submitted_at: When it was submitted.
-        running: Tries that are running.
+        group: Group of servers that it is assigned to.
+        submitted_at: Loop time at which it was submitted.
+        running: Attempts that are running.
         tried_servers: Names of the servers that it was sent to.
-        attempts: Number of tries so far.
-        ambiguous_failure: Failure of the first try that a server may have run,
-            or None.
-        finished: Whether it has its final answer.
+        attempts: Number of attempts so far.
+        ambiguous_failure: Failure of the first attempt that a server may have
+            run, or None.
+        finished: Whether it has its final response.
     """
 
     call_id: int
@@ -59,7 +59,7 @@
 
     @classmethod
     def from_call(cls, call: Call, group: str, now: float) -> "CallState":
-        """Starts the record of a submitted call."""
+        """Creates the state of a submitted call."""
         return cls(
             call.call_id,
             call.idempotent,
--- a/banyantiller/routing/choice.py
+++ b/banyantiller/routing/choice.py
@@ -1,4 +1,4 @@
-"""Choice of a server: least expected delay by what is believed now."""
+"""Selects the server with the least expected delay."""
 
 import math
 import random
@@ -45,7 +45,7 @@
 
     Args:
         views: Servers of the group.
-        excluded: Names of servers that the call has tried.
+        excluded: Names of servers that the call was already sent to.
         idempotent: Whether the call may be run twice.
         averages: Averages over the service.
         tuning: Constants.
@@ -110,12 +110,13 @@
 ) -> float:
     """Returns how many requests a new call is expected to wait for.
 
-    Own calls are known. What the server said of others' calls fades with
-    its age, and with doubt, into what is average at a server of the service.
+    This daemon's own requests are known exactly. The weight of the reported
+    load of peers falls with the report's age and with distrust; the average
+    over the service takes its place.
 
     Args:
         view: The server.
-        average: Requests that a new call waits for at a usual server.
+        average: Requests that a new call waits for at an average server.
         averages: Averages over the service.
         tuning: Constants.
         now: The loop's time.
@@ -134,10 +135,11 @@
 def slowdown(
     view: ServerView, averages: ServiceAverages, tuning: Tuning, now: float
 ) -> float:
-    """Returns how many times slower than usual a server is believed to be.
+    """Returns by which factor a server is estimated to be slower than average.
 
-    An average fades with its age, so that a server that got better is tried
-    again. A try that was given up counts with the time that it took.
+    The weight of its average latency falls with age, so that a server that
+    recovered gets calls again. A cancelled attempt counts with the time that
+    it had taken until then.
     """
     service_time_s = averages.service_time_s
     factor = 1.0
--- a/banyantiller/routing/completion_rate.py
+++ b/banyantiller/routing/completion_rate.py
@@ -1,4 +1,4 @@
-"""How many calls end here each second."""
+"""Rate at which this daemon's calls complete."""
 
 import math
 
@@ -6,11 +6,11 @@
 
 
 class CompletionRate:
-    """A fading count of answers, which gives the calls ended each second.
+    """Exponentially decaying count of completed calls.
 
     Attributes:
-        count: Answers, each fading with its age.
-        updated_at: When the count was last changed.
+        count: Completed calls, weighted by age.
+        updated_at: Loop time of the last change of the count.
     """
 
     def __init__(self, now: float) -> None:
@@ -18,12 +18,12 @@
         self.updated_at = now
 
     def record_completion(self, now: float) -> None:
-        """Counts one call that ended."""
+        """Counts one completed call."""
         self.count = self._decayed_count(now) + 1.0
         self.updated_at = now
 
     def per_second(self, now: float) -> float:
-        """Returns the calls that end each second."""
+        """Returns the completed calls per second."""
         return self._decayed_count(now) / DECAY_S
 
     def _decayed_count(self, now: float) -> float:
--- a/banyantiller/routing/ejection.py
+++ b/banyantiller/routing/ejection.py
@@ -1,8 +1,9 @@
-"""Ejection of failing servers, its cap, and recovery.
+"""Ejection of failing servers, its limit, and recovery.
 
 A failure ejects a server for a short time that doubles with each further
-ejection. Afterwards one idempotent try, or a probe, decides whether the
-server is back. No more than a part of a group is ejected at once.
+ejection. Afterwards a single trial, one idempotent attempt or a probe,
+decides whether the server is restored. Only a limited share of a group is
+ejected at once.
 """
 
 from collections.abc import Sequence
@@ -22,14 +23,15 @@
     now: float,
     conclusive: bool,
 ) -> bool:
-    """Takes a failure of a server and ejects it if that is due.
+    """Records a failure of a server and ejects it if required.
 
     Args:
         view: The server.
         group: All servers of its group.
         tuning: Constants.
         now: The loop's time.
-        conclusive: Whether one such failure is enough, as a refused connection.
+        conclusive: Whether one such failure is enough for an ejection, such as
+            a refused connection.
 
     Returns:
         Whether it was ejected.
@@ -58,7 +60,7 @@
 
 
 def record_success(view: ServerView) -> None:
-    """Takes a good answer; ends an ejection's trial."""
+    """Records a successful response; ends the trial after an ejection."""
     if not view.awaiting_trial:
         view.failure_rate *= 1.0 - FAILURE_EWMA_WEIGHT
         if view.failure_rate < FAILURE_RATE_RESET:
--- a/banyantiller/routing/feedback.py
+++ b/banyantiller/routing/feedback.py
@@ -1,4 +1,4 @@
-"""What each result teaches about a server and the service."""
+"""Updates the state of a server and its service from each result."""
 
 from banyantiller.errors import ErrorKind, Ran
 from banyantiller.routing import ejection, limits
@@ -26,7 +26,7 @@
     result: AttemptResult,
     now: float,
 ) -> None:
-    """Takes the answer head or the failure of a try."""
+    """Processes the response head or the failure of an attempt."""
     view = attempt.view
     if result.report is not None:
         if len(view.local_attempts) > 1:
@@ -56,7 +56,7 @@
     report: LoadReport,
     now: float,
 ) -> None:
-    """Takes a report of a server's load."""
+    """Processes a report of a server's load."""
     if "reports" in state.tuning.disabled:
         return
     if view.update_load(report, now):
@@ -66,7 +66,7 @@
 def record_cancellation(
     state: ServiceState, attempt: Attempt, now: float
 ) -> None:
-    """Takes that a try was given up: it takes at least this long."""
+    """Records that an attempt was cancelled: it takes at least its age."""
     age = now - attempt.started_at
     view = attempt.view
     service_time_s = state.averages.service_time_s
@@ -85,7 +85,7 @@
 def record_server_failure(
     state: ServiceState, view: ServerView, now: float, conclusive: bool
 ) -> None:
-    """Counts a failure against a server; ejects it if that is due."""
+    """Counts a failure of a server; ejects the server if required."""
     group = state.group_of(view)
     if ejection.record_failure(view, group, state.tuning, now, conclusive):
         state.newly_ejected.append(view)
@@ -112,10 +112,10 @@
 def _check_report(
     state: ServiceState, attempt: Attempt, report: LoadReport, now: float
 ) -> None:
-    """Compares a report with the own tries that must be on the server.
+    """Compares a report with this daemon's attempts that it must include.
 
-    The answered try is not counted, as a server may have let it go before it
-    took the figure.
+    The attempt that carried the report isn't counted, as the server may have
+    finished it before it measured the load.
     """
     if "trust" in state.tuning.disabled:
         return
--- a/banyantiller/routing/hedging.py
+++ b/banyantiller/routing/hedging.py
@@ -1,16 +1,16 @@
-"""When to hedge: a running estimate of a high quantile of the latency."""
+"""Hedge delay: a running estimate of a high quantile of the latency."""
 
 MIN_SAMPLES = 20
 MIN_STEP = 0.05
 
 
 class LatencyQuantile:
-    """Follows one quantile of a stream of latencies.
+    """Estimates one quantile of a stream of latencies.
 
     Attributes:
         quantile: Share of latencies below the estimate.
-        estimate_s: The estimate in seconds, 0 while nothing is known.
-        sample_count: Number of latencies taken.
+        estimate_s: The estimate, 0 before the first latency.
+        sample_count: Number of latencies recorded.
     """
 
     def __init__(self, quantile: float) -> None:
@@ -19,7 +19,7 @@
         self.sample_count = 0
 
     def record_latency(self, seconds: float) -> None:
-        """Takes one latency and moves the estimate towards it."""
+        """Moves the estimate towards one latency."""
         self.sample_count += 1
         if self.sample_count == 1:
             self.estimate_s = seconds
@@ -31,7 +31,7 @@
             self.estimate_s -= step * (1.0 - self.quantile)
 
     def delay_s(self) -> float | None:
-        """Returns the age at which a call is late, or None if unknown."""
+        """Returns the age at which a call is hedged, None with few samples."""
         if self.sample_count < MIN_SAMPLES:
             return None
         return self.estimate_s
--- a/banyantiller/routing/limits.py
+++ b/banyantiller/routing/limits.py
@@ -1,10 +1,10 @@
-"""Limits of what this daemon sends at once, adapted to what servers take.
+"""Concurrency limits that adapt to the load which servers report.
 
-On one server the daemon has at most one try more than that has slots, which
-keeps it busy while an answer travels. Over all servers of the service it
-has a window, which shrinks while servers say that they have a backlog or
-shed, and grows while they do not. It never shrinks below the daemon's even
-part of all slots.
+Each server gets at most one attempt of this daemon more than it has slots,
+which keeps it busy while a response is on its way. A window limits the
+attempts at all servers of the service together. It shrinks when servers report
+a backlog or shed requests and grows otherwise, but never shrinks below the
+daemon's equal share of all slots.
 """
 
 from banyantiller.routing.tuning import Tuning
@@ -18,13 +18,13 @@
 
 
 class ConcurrencyWindow:
-    """Most tries of this daemon at once over all servers.
+    """Limits this daemon's concurrent attempts at all servers of a service.
 
     Attributes:
         size: The limit.
         slots: Requests that all usable servers run at once.
-        max_size: Largest size, with the spare tries.
-        live_daemons: Number of daemons believed alive.
+        max_size: Largest size, including the extra attempts of each server.
+        live_daemons: Number of daemons considered alive.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self.live_daemons = 1
 
     def configure(self, slots: int, servers: int) -> None:
-        """Takes the number of all slots; opens the window if they grew."""
+        """Sets the number of all slots; opens the window if it grew."""
         self.max_size = max(
             1.0, float(slots + EXTRA_ATTEMPTS_PER_SERVER * servers)
         )
@@ -44,18 +44,18 @@
         self.size = min(self.size, self.max_size)
 
     def min_size(self) -> float:
-        """Returns the even part of this daemon, at least one try."""
+        """Returns this daemon's equal share of the slots, at least one."""
         return max(1.0, self.slots / max(self.live_daemons, 1))
 
     def record_load(self, in_flight: float, slots: int, tuning: Tuning) -> None:
-        """Takes the load that a server told on an answer."""
+        """Adjusts the window to the load that a response reported."""
         if in_flight >= tuning.backlog_threshold * slots:
             self._decrease(BACKLOG_DECREASE)
         else:
             self.size = min(self.max_size, self.size + WINDOW_INCREASE)
 
     def record_shed(self) -> None:
-        """Takes that a server shed a try."""
+        """Shrinks the window after a server shed an attempt."""
         self._decrease(SHED_DECREASE)
 
     def _decrease(self, factor: float) -> None:
@@ -68,12 +68,12 @@
     service_time_s: float,
     now: float,
 ) -> None:
-    """Holds a server that shed a try.
+    """Sends nothing to a server for a while after it shed an attempt.
 
     Args:
         view: The server.
-        retry_after_s: What it asked for, or None.
-        service_time_s: Usual time of one request.
+        retry_after_s: `Retry-After` of the response, or None.
+        service_time_s: Average time of one request.
         now: The loop's time.
     """
     wait = service_time_s if retry_after_s is None else retry_after_s
--- a/banyantiller/routing/plugin.py
+++ b/banyantiller/routing/plugin.py
@@ -5,5 +5,5 @@
 
 
 def register(registry: Registry) -> None:
-    """Adds the factory of the adaptive policy."""
+    """Registers the factory of the adaptive policy."""
     registry.add("routing", "adaptive", adaptive.create)
--- a/banyantiller/routing/ramp.py
+++ b/banyantiller/routing/ramp.py
@@ -1,4 +1,7 @@
-"""Cold start: a server that is new to a service gets its share by degrees."""
+"""Slow start: a server that is new to a service gets its share gradually.
+
+A new server is treated as slower than it is, less so as it gets older.
+"""
 
 from banyantiller.routing.tuning import Tuning
 from banyantiller.routing.views import ServerView
@@ -11,7 +14,7 @@
 
 
 def cold_start_factor(view: ServerView, tuning: Tuning, now: float) -> float:
-    """Returns how many times slower a server is taken to be, down to 1."""
+    """Returns the assumed slowdown of a new server, which falls to 1."""
     age = now - view.ramp_started_at
     if age >= tuning.ramp_s or "ramp" in tuning.disabled:
         return 1.0
--- a/banyantiller/routing/refusal.py
+++ b/banyantiller/routing/refusal.py
@@ -1,4 +1,4 @@
-"""How soon waiting calls start, and so when to refuse and come back."""
+"""Expected waiting times, and the refusals that follow from them."""
 
 import math
 
@@ -19,7 +19,7 @@
     queue: WaitingCalls,
     now: float,
 ) -> ErrorKind | None:
-    """Returns why a call may not wait, or None if it may."""
+    """Returns why a call may not be queued, or None if it may."""
     if len(queue) >= state.options.queue.limit:
         return ErrorKind.QUEUE_FULL
     if state.averages.responses == 0:
@@ -34,10 +34,10 @@
 def cannot_meet_deadline(
     state: ServiceState, call: CallState, now: float
 ) -> bool:
-    """Tells whether a waiting call would hardly be answered in time.
+    """Returns whether a waiting call is unlikely to get a response in time.
 
-    While every server is left alone, it can't start before one opens again;
-    a probe may open one at any time.
+    While no server is available, it can't start before the first one becomes
+    available; while a probe is running, that may happen at any time.
     """
     if state.averages.responses == 0:
         return False
@@ -49,7 +49,7 @@
 
 
 def next_available_at(state: ServiceState) -> float:
-    """Returns when the first server takes calls; in the past if one does."""
+    """Returns when the first server is available; in the past if one is."""
     views = state.views.values()
     available_at = min((view.unavailable_until for view in views), default=0.0)
     return available_at if math.isfinite(available_at) else 0.0
@@ -68,6 +68,6 @@
 
 
 def build_failure(kind: ErrorKind, wait_s: float) -> Failure:
-    """Builds a failure that says when to come back."""
+    """Builds a failure that says when to retry."""
     wait = min(max(wait_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
     return Failure(kind, retry_after=wait)
--- a/banyantiller/routing/scheduling.py
+++ b/banyantiller/routing/scheduling.py
@@ -1,4 +1,4 @@
-"""Calls on their way: starting, waiting, retrying, hedging and refusing."""
+"""Lifecycle of calls: starting, queueing, retrying, hedging and refusing."""
 
 from functools import partial
 
@@ -25,14 +25,14 @@
 
 
 class CallScheduler:
-    """The calls of one service that have no final answer yet.
+    """The calls of one service that have no final response yet.
 
     Attributes:
-        state: What is known of the service.
-        calls: Calls without a final answer, by number.
-        attempts: Running tries, by number.
-        timers: Work that is due at a time.
-        recheck_at: When waiting calls are looked at again, or None.
+        state: State of the service.
+        calls: Calls without a final response, by number.
+        attempts: Running attempts, by number.
+        timers: Scheduled callbacks.
+        recheck_at: Loop time of the next check of waiting calls, or None.
     """
 
     def __init__(self, state: ServiceState) -> None:
@@ -44,7 +44,7 @@
         self.last_attempt_id = 0
 
     def admit(self, call: CallState, now: float) -> list[Action]:
-        """Starts a new call, queues it or refuses it."""
+        """Starts, queues or refuses a new call."""
         queue = self.state.waiting[call.group]
         if not queue.waiting:
             view = self._choose_server(call, now)
@@ -74,14 +74,14 @@
         return []
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """Forgets a try; its slot is free."""
+        """Removes an attempt, which frees its slot."""
         del self.attempts[attempt.attempt_id]
         attempt.view.local_attempts.pop(attempt.attempt_id, None)
         if attempt in attempt.call.running:
             attempt.call.running.remove(attempt)
 
     def relay_response(self, winner: Attempt, now: float) -> list[Action]:
-        """Relays an answer and gives up the call's other tries."""
+        """Relays a response and cancels the call's other attempts."""
         call = winner.call
         self._finish_call(call)
         call.running.remove(winner)
@@ -89,7 +89,7 @@
         return [relay, *self.cancel_attempts(call, now)]
 
     def cancel_attempts(self, call: CallState, now: float) -> list[Action]:
-        """Cancels the tries of a call that are still running."""
+        """Cancels the attempts of a call that are still running."""
         actions: list[Action] = []
         for attempt in list(call.running):
             feedback.record_cancellation(self.state, attempt, now)
@@ -98,16 +98,17 @@
         return actions
 
     def abandon_call(self, call: CallState, now: float) -> list[Action]:
-        """Forgets a call whose caller is gone."""
+        """Drops a call whose caller disconnected."""
         self._finish_call(call)
         return self.cancel_attempts(call, now)
 
     def refuse(
         self, call: CallState, kind: ErrorKind, wait_s: float | None = None
     ) -> Refuse:
-        """Gives a call its final failure at once.
+        """Ends a call with a failure.
 
-        A call that a server may have run is never told that it was not run.
+        A call that a server may have run is never reported as not run: its
+        first ambiguous failure is returned instead.
         """
         self._finish_call(call)
         if (
@@ -122,7 +123,7 @@
     def handle_failure(
         self, attempt: Attempt, result: AttemptResult, now: float
     ) -> list[Action]:
-        """Takes a try that got no answer, or one that is not relayed."""
+        """Processes an attempt with no response, or with a dropped one."""
         call = attempt.call
         self.remove_attempt(attempt)
         if result.ran is not Ran.NO and call.ambiguous_failure is None:
@@ -137,7 +138,7 @@
     def should_retry(
         self, call: CallState, result: AttemptResult, now: float
     ) -> bool:
-        """Tells whether an answer is dropped in favour of another try."""
+        """Returns whether to drop a response in favour of another attempt."""
         if result.status not in RETRIED_STATUSES:
             return False
         if len(call.running) > 1:
@@ -150,7 +151,7 @@
         )
 
     def start_waiting_calls(self, now: float) -> list[Action]:
-        """Starts waiting calls for which there is a server now."""
+        """Starts waiting calls for which a server is available."""
         if self.recheck_at is None:
             return []
         actions: list[Action] = []
--- a/banyantiller/routing/service_state.py
+++ b/banyantiller/routing/service_state.py
@@ -1,4 +1,4 @@
-"""What a dispatcher knows about its service, its servers and groups."""
+"""State of one service: options, server views, groups and averages."""
 
 import random
 from collections.abc import Sequence
@@ -28,12 +28,12 @@
         groups: Server views by group; "" holds all.
         waiting: Waiting calls by group.
         averages: Averages over the service.
-        round_robin: Which group gets the next call.
+        round_robin: Assigns calls to groups.
         retry_budget: Budget of retries and hedges.
-        hedge_latency: Latency above which a call is hedged.
-        completion_rate: Calls that end here each second.
-        window: Most tries of this daemon at once.
-        newly_ejected: Servers ejected since these were last planned for.
+        hedge_latency: Latency quantile above which a call is hedged.
+        completion_rate: Rate at which calls complete here.
+        window: Limit of this daemon's concurrent attempts.
+        newly_ejected: Ejected servers whose recovery isn't scheduled yet.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.newly_ejected: list[ServerView] = []
 
     def replace_tuning(self, constants: Tuning) -> None:
-        """Replaces the constants, for measurements."""
+        """Replaces the constants, for benchmarks."""
         self.tuning = constants
         self.hedge_latency = LatencyQuantile(constants.hedge_quantile)
         self.retry_budget.max_tokens = constants.max_retry_tokens
@@ -72,7 +72,7 @@
         servers: tuple[ServerState, ...],
         now: float,
     ) -> None:
-        """Takes options and servers; keeps what is known of kept servers."""
+        """Applies options and servers; keeps the views of servers that stay."""
         first = not self.views
         if service.objective != self.options.objective:
             self.tuning = tuning.for_objective(service.objective)
@@ -104,7 +104,7 @@
         return self.groups.get(name, self.groups[""])
 
     def has_usable_server(self) -> bool:
-        """Tells whether any server may get new calls at all."""
+        """Returns whether any server accepts new calls."""
         return any(view.is_usable() for view in self.views.values())
 
     def choose(
@@ -117,7 +117,8 @@
         Args:
             call: The call.
             now: The loop's time.
-            exclude_tried: Whether servers that the call has tried are left out.
+            exclude_tried: Whether servers that the call was already sent to are
+                excluded.
         """
         views = self.groups.get(call.group, ())
         found = self._choose_from(views, call, now, exclude_tried)
--- a/banyantiller/routing/shares.py
+++ b/banyantiller/routing/shares.py
@@ -1,4 +1,4 @@
-"""Traffic shares: which group of servers each call goes to."""
+"""Traffic shares: assigns each call to a group of servers."""
 
 from collections.abc import Iterable
 
@@ -8,11 +8,11 @@
 class GroupRoundRobin:
     """Smooth weighted round robin over groups.
 
-    Each group's count stays within one call of its share times the calls.
+    Each group's count stays within one call of its share of the calls.
 
     Attributes:
         weights: Weight of each group; they add up to 1.
-        credits: What each group is owed, in calls.
+        credits: Calls that each group is behind its share.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
     def configure(
         self, shares: tuple[options.Share, ...], groups: Iterable[str]
     ) -> None:
-        """Takes new shares; groups without servers are left out."""
+        """Applies new shares; ignores groups without servers."""
         present = set(groups)
         percents = {s.group: s.percent for s in shares if s.group in present}
         total = sum(percents.values())
@@ -36,7 +36,7 @@
             self.credits = dict.fromkeys(weights, 0.0)
 
     def next_group(self) -> str:
-        """Returns the group of the next call, or "" when all are alike."""
+        """Returns the group of the next call, or "" if there are no shares."""
         if not self.weights:
             return ""
         for name, weight in self.weights.items():
--- a/banyantiller/routing/timers.py
+++ b/banyantiller/routing/timers.py
@@ -1,4 +1,4 @@
-"""Work that is due at a time, for a driver that calls `tick`."""
+"""Scheduled callbacks for a driver that calls `tick`."""
 
 import heapq
 from collections.abc import Callable
@@ -12,12 +12,13 @@
 
 
 class Timers:
-    """A heap of work by time.
+    """A heap of callbacks ordered by time.
 
     Attributes:
-        heap: Time, order of arrival, work, and the call that it is for.
-        scheduled_count: Number of timers set so far.
-        sweep_length: Length of the heap at which finished calls are swept out.
+        heap: Due time, insertion order, callback, and the call that it is for.
+        scheduled_count: Number of callbacks scheduled so far.
+        sweep_length: Length of the heap at which the callbacks of finished
+            calls are removed.
     """
 
     def __init__(self) -> None:
@@ -28,9 +29,9 @@
     def schedule(
         self, due_at: float, callback: Callback, call: CallState | None = None
     ) -> None:
-        """Runs `work` when `tick` is called at `when` or later.
+        """Runs `callback` at the first `tick` at `due_at` or later.
 
-        Work for a call is forgotten once the call is finished.
+        A callback for a call is dropped once the call is finished.
         """
         self.scheduled_count += 1
         heapq.heappush(
@@ -40,7 +41,7 @@
             self._sweep()
 
     def run_due(self, now: float) -> list[Action]:
-        """Runs what is due and returns its actions."""
+        """Runs the due callbacks and returns their actions."""
         actions: list[Action] = []
         while self.heap and self.heap[0][0] <= now:
             callback = heapq.heappop(self.heap)[2]
@@ -48,10 +49,10 @@
         return actions
 
     def next_due(self) -> float | None:
-        """Returns the time of the earliest work, or None.
+        """Returns the time of the earliest callback, or None.
 
-        Without dropping the work of finished calls, the driver would wake up
-        once or twice for each of them.
+        Drops the callbacks of finished calls: otherwise the driver would wake
+        up once or twice for each of them.
         """
         while self.heap:
             due_at, _, _, call = self.heap[0]
--- a/banyantiller/routing/tuning.py
+++ b/banyantiller/routing/tuning.py
@@ -16,37 +16,34 @@
 
 
 class Tuning(NamedTuple):
-    """Numbers that decide how the policy weighs what it knows.
+    """Weights and thresholds of the policy.
 
     Attributes:
         report_decay_age: Age at which a report's weight has fallen to 1/e, in
             service times.
-        distrust_threshold: Share of wrong reports from which all are believed
-            less;
-            from twice of it on they count for nothing.
-        slow_threshold: Times slower than usual from which a server counts as
-            slow; less is taken for chance.
+        distrust_threshold: Share of wrong reports above which all reports
+            lose weight; at twice this share they have none.
+        slow_threshold: Slowdown from which a server counts as slow; smaller
+            ones are treated as noise.
         cross_zone_latency_s: Latency that another availability zone adds.
-        backlog_threshold: Reported requests for each slot from which a server
+        backlog_threshold: Reported requests per slot from which a server
             counts as overloaded.
-        hedge_quantile: Share of calls that should answer before a hedge.
-        slow_server_hedge_age: Age at which a try on a suspect server is
-            hedged, in
-            service times.
-        hedge_reserve: Tokens of the extra-call budget kept for retries.
-        max_retry_tokens: Most tokens of the extra-call budget.
-        overdue_factor: Times slower that a server is taken to be for each
-            overdue try given up there in a row after the first, which may be
-            chance.
-        max_overdue_cancellations: Overdue tries given up in a row that eject a
-            server.
-        eject_s: First length of an ejection.
+        hedge_quantile: Quantile of the latency at which a call is hedged.
+        slow_server_hedge_age: Age at which an attempt at a slow server is
+            hedged, in service times.
+        hedge_reserve: Tokens of the retry budget kept for retries.
+        max_retry_tokens: Capacity of the retry budget.
+        overdue_factor: Slowdown that each overdue attempt cancelled at a
+            server in a row adds after the first, which may be chance.
+        max_overdue_cancellations: Overdue attempts cancelled in a row that
+            eject a server.
+        eject_s: Length of the first ejection.
         max_eject_s: Longest ejection.
-        max_ejected_share: Largest part of a group that may be ejected at once.
-        ramp_s: Time over which a cold server gets its full share.
-        ramp_factor: How many times slower a fresh server is taken to be.
+        max_ejected_share: Largest share of a group that may be ejected at once.
+        ramp_s: Time in which a new server reaches its full share.
+        ramp_factor: Slowdown assumed for a server that has just been added.
         probe_recovery: Whether probes test ejected servers.
-        disabled: Mechanisms that are switched off, for measurements only.
+        disabled: Mechanisms that are switched off, for benchmarks only.
     """
 
     report_decay_age: float = 0.8
--- a/banyantiller/routing/types.py
+++ b/banyantiller/routing/types.py
@@ -2,7 +2,7 @@
 
 The dispatcher is a state machine without sockets, timers or randomness of
 its own: its driver passes inputs with the loop's time and carries out the
-returned actions. The daemon, tests, replay and benches drive the same code.
+returned actions. The daemon, tests, replay and benchmarks drive the same code.
 
 Times named `now` and `deadline` are the event loop's seconds; durations end
 in `_s`.
@@ -16,14 +16,14 @@
 
 
 class ServerState(NamedTuple):
-    """Where a server is and whether it may get new requests.
+    """Location of a server and whether it may get new requests.
 
     Attributes:
         name: Name of the server.
         zone: Availability zone.
         slots: Requests that it runs at once.
-        group: Group that traffic shares name.
-        leaving: Whether it must get nothing new.
+        group: Group that traffic shares refer to.
+        leaving: Whether it must get no new requests.
     """
 
     name: str
@@ -34,13 +34,13 @@
 
 
 class LoadReport(NamedTuple):
-    """Load of a server as it or another daemon tells it.
+    """Load of a server, reported by itself or by a peer.
 
     Attributes:
-        in_flight: Requests running or queued on the server, with the one
-            that is being answered.
-        age_s: Age of the figure on arrival, 0 when told on an answer.
-        draining: Whether the server says that it is leaving.
+        in_flight: Requests running or queued on the server, including the one
+            whose response carries the report.
+        age_s: Age of the figure on arrival, 0 if a response carries it.
+        draining: Whether the server reports that it drains.
         source: "answer" or "probe".
     """
 
@@ -51,7 +51,7 @@
 
 
 class Call(NamedTuple):
-    """A call that wants a server.
+    """A call to be routed to a server.
 
     Attributes:
         call_id: Unique number within the dispatcher.
@@ -67,15 +67,15 @@
 
 
 class AttemptResult(NamedTuple):
-    """How one try at a server ended, before anything went to the caller.
+    """Outcome of one attempt, before anything was sent to the caller.
 
     Attributes:
-        ok: Whether an answer head arrived that may be relayed.
+        ok: Whether a response head arrived that may be relayed.
         ran: Whether the server ran the request.
-        error: The failure if there is no answer head.
-        status: Status of the answer head, 0 without one.
-        report: Load told on the answer, or None.
-        retry_after_s: `Retry-After` of the answer, or None.
+        error: The failure if there is no response head.
+        status: Status of the response head, 0 without one.
+        report: Load reported by the response, or None.
+        retry_after_s: `Retry-After` of the response, or None.
         replayable: Whether the request can still be sent again.
     """
 
@@ -90,10 +90,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Start:
-    """Send the call to a server as a new try.
+    """Sends the call to a server as a new attempt.
 
     Attributes:
-        hedge: Whether another try of the call is still running.
+        hedge: Whether another attempt of the call is still running.
     """
 
     call_id: int
@@ -104,14 +104,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """Give up one try; its connection must not be used again."""
+    """Cancels one attempt; its connection must not be reused."""
 
     attempt_id: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """Relay the answer of this try to the caller."""
+    """Relays the response of this attempt to the caller."""
 
     call_id: int
     attempt_id: int
@@ -119,7 +119,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the caller with a failure; no try is running any more."""
+    """Ends the call with a failure; none of its attempts is still running."""
 
     call_id: int
     failure: Failure
@@ -127,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Probe:
-    """Send a probe to a server; the measuring budget has been charged."""
+    """Sends a probe to a server; the probe budget has been charged."""
 
     server: str
 
@@ -136,13 +136,13 @@
 
 
 class Dispatcher(Protocol):
-    """What a routing plug-in provides for each service.
+    """Interface that a routing plug-in provides for each service.
 
     A plug-in's factory is called as
     `factory(service, servers, daemon, zone, seed, now, charge)` with the
     service's options, its servers, the daemon's name and zone, a seed for its
-    random choices, the loop's time, and `charge(now) -> bool`, which takes one
-    probe out of the measuring budget and tells whether there was one left.
+    random choices, the loop's time, and `charge(now) -> bool`, which charges
+    one probe to the probe budget and returns whether the budget allowed it.
     """
 
     def configure(
@@ -151,38 +151,38 @@
         servers: tuple[ServerState, ...],
         now: float,
     ) -> list[Action]:
-        """Takes a new bundle or changed servers; keeps what it learned."""
+        """Applies a new bundle or changed servers; keeps its statistics."""
 
     def submit(self, call: Call, now: float) -> list[Action]:
-        """Takes a call: starts it, queues it or refuses it."""
+        """Starts, queues or refuses a new call."""
 
     def attempt_head(
         self, attempt_id: int, result: AttemptResult, now: float
     ) -> list[Action]:
-        """Takes the answer head, or the failure, of a try."""
+        """Processes the response head, or the failure, of an attempt."""
 
     def attempt_done(self, attempt_id: int, now: float) -> list[Action]:
-        """Takes the end of a relayed answer; the slot is free."""
+        """Processes the end of a relayed response, which frees the slot."""
 
     def cancel(self, call_id: int, now: float) -> list[Action]:
-        """The caller is gone; cancels or forgets the call."""
+        """Drops a call whose caller disconnected; cancels its attempts."""
 
     def report(
         self, server: str, report: LoadReport, now: float
     ) -> list[Action]:
-        """Takes a report from a probe."""
+        """Processes a load report of a probe."""
 
     def probe_failed(self, server: str, now: float) -> list[Action]:
-        """A probe got no answer."""
+        """Records that a probe got no response."""
 
     def members(self, alive: int, now: float) -> None:
-        """Takes the number of daemons believed alive, this one included."""
+        """Sets the number of daemons considered alive, including this one."""
 
     def own_load(self, now: float) -> dict[str, float]:
-        """Returns this daemon's own calls in flight by server."""
+        """Returns this daemon's calls in flight by server."""
 
     def tick(self, now: float) -> list[Action]:
-        """Does what is due: deadlines, hedges, probes, recovery."""
+        """Runs due work: deadlines, hedges, probes and recovery."""
 
     def next_tick(self) -> float | None:
         """Returns the time of the next due work, or None."""
--- a/banyantiller/routing/views.py
+++ b/banyantiller/routing/views.py
@@ -1,4 +1,4 @@
-"""What one daemon believes of one server, with the age of what it knows."""
+"""One daemon's view of one server, with the age of each estimate."""
 
 import dataclasses
 import math
@@ -11,32 +11,34 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class ServerView:
-    """State about one server.
+    """State and estimates of one server; times are the loop's.
 
     Attributes:
-        server: What the bundle and the VM list say.
+        server: Its state according to the bundle and the VM list.
         in_local_zone: Whether it is in this daemon's availability zone.
         slots: Requests that it runs at once.
-        local_attempts: Start time by number of this daemon's tries on it.
-        peer_requests: Requests of other daemons on it, as last reported.
-        peer_requests_at: When that was true.
-        distrust: Moving share of reports that own tries showed to be wrong.
-        latency_s: Moving average of the time to an answer head, 0 if unknown.
-        latency_updated_at: When the average last changed.
-        overdue_cancellations: Overdue tries given up since the last good
-            answer.
-        possibly_slow: Whether it was slow, failing or cold lately.
-        draining: Whether it said that it is leaving.
-        backoff_until: Gets nothing before this time, because it said so.
-        failure_rate: Moving share of failures, 0 to 1.
-        last_failed_at: When it last failed.
-        ejected_until: Ejected until then.
-        ejection_count: Ejections in a row, for their length.
-        awaiting_trial: Whether a try after an ejection is awaited.
-        probing: Whether a probe is on its way.
-        ramp_started_at: When its cold-start ramp began.
-        unavailable_until: Latest time before which it gets nothing, for any of
-            these reasons.
+        local_attempts: Start times of this daemon's attempts on it, by number.
+        peer_requests: Requests of peers on it, as last reported.
+        peer_requests_at: Time at which that was measured.
+        distrust: Moving average of the share of load reports that this
+            daemon's own attempts proved wrong.
+        latency_s: Moving average of the time to a response head, 0 if unknown.
+        latency_updated_at: Last change of that average.
+        overdue_cancellations: Overdue attempts cancelled since the last
+            successful response.
+        possibly_slow: Whether it was slow, failing or new recently, so that its
+            slowdown has to be computed.
+        draining: Whether it reported that it drains.
+        backoff_until: End of the time in which it asked for no requests.
+        failure_rate: Moving average of failures, 0 to 1.
+        last_failed_at: Time of its last failure.
+        ejected_until: End of its ejection.
+        ejection_count: Ejections in a row, which set the length of the next.
+        awaiting_trial: Whether a trial has to succeed after an ejection.
+        probing: Whether a probe is running.
+        ramp_started_at: Start of its ramp as a new server.
+        unavailable_until: Latest end of the reasons for which it gets no
+            requests.
     """
 
     server: ServerState
@@ -62,18 +64,18 @@
     unavailable_until: float = DISTANT_PAST
 
     def is_usable(self) -> bool:
-        """Tells whether it may get new calls at all."""
+        """Returns whether new calls may go to it; ignores temporary pauses."""
         return not (self.server.leaving or self.draining)
 
     def update_availability(self) -> None:
-        """Works out `closed_until` after a change of its reasons."""
+        """Recomputes `unavailable_until` after a change of its reasons."""
         if self.probing or not self.is_usable():
             self.unavailable_until = math.inf
         else:
             self.unavailable_until = max(self.ejected_until, self.backoff_until)
 
     def count_started_by(self, started_by: float) -> int:
-        """Counts own tries that started at `latest` or before."""
+        """Counts this daemon's attempts that started by `started_by`."""
         return sum(
             1
             for started in self.local_attempts.values()
@@ -81,14 +83,15 @@
         )
 
     def update_load(self, report: LoadReport, now: float) -> bool:
-        """Takes the server's own word on its load.
+        """Applies a load report of the server itself.
 
         Args:
-            report: Requests on the server, with the answered one.
+            report: Requests on the server, including the one whose response
+                carries the report.
             now: Time of arrival.
 
         Returns:
-            Whether it is newer than what was known.
+            Whether the report is at least as recent as the last one.
         """
         if report.draining != self.draining:
             self.draining = report.draining
@@ -103,7 +106,7 @@
         return True
 
     def record_latency(self, seconds: float, now: float) -> None:
-        """Takes the time that one answer head took."""
+        """Updates the average latency with one response head."""
         if self.latency_s == 0.0:
             self.latency_s = seconds
         else:
--- a/banyantiller/routing/waiting.py
+++ b/banyantiller/routing/waiting.py
@@ -9,7 +9,7 @@
     """Waiting calls of one group of servers, earliest deadline first.
 
     Attributes:
-        heap: Deadline, order of arrival and call.
+        heap: Deadline, insertion order and call.
         waiting: Calls that still wait, by number.
     """
 
@@ -28,7 +28,7 @@
         heapq.heappush(self.heap, (call.deadline, self.added_count, call))
 
     def remove(self, call: CallState) -> bool:
-        """Forgets a call; tells whether it waited."""
+        """Removes a call; returns whether it was waiting."""
         return self.waiting.pop(call.call_id, None) is not None
 
     def earliest(self) -> CallState | None:
