--- a/banyantiller/tests/routing/driver.py
+++ b/banyantiller/tests/routing/driver.py
@@ -1,4 +1,4 @@
-"""A small driver of a dispatcher for tests."""
+"""A driver of a dispatcher for tests."""
 
 from banyantiller.bundle import options
 from banyantiller.errors import ErrorKind, Ran
@@ -27,7 +27,7 @@
 
 
 class Driver:
-    """Feeds a dispatcher and keeps its actions.
+    """Passes inputs to a dispatcher and collects its actions.
 
     Attributes:
         now: The time that inputs carry.
@@ -58,15 +58,15 @@
             self.dispatcher.attempt_head(attempt_id, result, self.now)
         )
 
-    def answer(self, attempt_id, after=0.02, in_flight=0.0):
-        self.now += after
+    def respond(self, attempt_id, after_s=0.02, in_flight=0.0):
+        self.now += after_s
         actions = self.receive_head(attempt_id, success(in_flight))
         return actions + self.record_actions(
             self.dispatcher.attempt_done(attempt_id, self.now)
         )
 
-    def tick(self, after=0.0):
-        self.now += after
+    def tick(self, after_s=0.0):
+        self.now += after_s
         return self.record_actions(self.dispatcher.tick(self.now))
 
     def run_due(self, until):
@@ -79,12 +79,12 @@
             self.now = max(self.now, due)
             found += self.tick()
         else:
-            raise AssertionError("The dispatcher asks for ticks without end.")
+            raise AssertionError("The dispatcher requests ticks endlessly.")
         self.now = until
         return found
 
     def next_starts(self, until):
-        """Ticks until a try starts, no later than a time; returns starts."""
+        """Ticks until an attempt starts, or up to `until`; returns starts."""
         while (due := self.dispatcher.next_tick()) is not None and due <= until:
             self.now = max(self.now, due)
             if starts := of_type(self.tick(), Start):
@@ -96,18 +96,18 @@
         self.actions += actions
         return actions
 
-    def fill(self, calls):
-        """Starts calls that take up every try that servers may have."""
+    def fill_servers(self, calls):
+        """Starts calls that take all attempts that servers may have."""
         starts = [
             of_type(self.submit(idempotent=False), Start) for _ in range(calls)
         ]
         return [start for (start,) in starts]
 
-    def warm(self, calls=60):
-        """Answers some calls so that latencies are known."""
+    def warm_up(self, calls=60):
+        """Completes some calls so that latencies are known."""
         for _ in range(calls):
             for action in of_type(self.submit(), types.Start):
-                self.answer(action.attempt_id)
+                self.respond(action.attempt_id)
 
 
 def of_type(actions, action_type):
--- a/banyantiller/tests/routing/test_basics.py
+++ b/banyantiller/tests/routing/test_basics.py
@@ -1,4 +1,4 @@
-"""A call's way through the dispatcher when nothing fails."""
+"""Tests of a call's lifecycle when no server fails."""
 
 from banyantiller.bundle import options
 from banyantiller.errors import ErrorKind
@@ -13,8 +13,8 @@
 )
 
 
-class BasicsTest(TestCase):
-    def test_answer_is_relayed_and_slot_freed(self):
+class CallLifecycleTest(TestCase):
+    def test_response_is_relayed_and_slot_freed(self):
         driver = Driver(server_states(3))
         (start,) = driver.submit()
         self.assertEqual({start.server: 1.0}, self.load(driver))
@@ -26,47 +26,47 @@
         driver.dispatcher.attempt_done(start.attempt_id, driver.now)
         self.assertEqual({}, self.load(driver))
 
-    def test_own_calls_spread_over_free_servers(self):
+    def test_calls_spread_over_free_servers(self):
         driver = Driver(server_states(4, slots=2))
         servers = [
             of_type(driver.submit(), types.Start)[0].server for _ in "1234"
         ]
         self.assertEqual(4, len(set(servers)))
 
-    def test_full_servers_make_calls_wait_and_an_end_starts_them(self):
+    def test_calls_wait_for_full_servers_until_a_call_completes(self):
         driver = Driver(server_states(1, slots=2))
-        first, *_ = driver.fill(3)
+        first, *_ = driver.fill_servers(3)
         self.assertEqual([], driver.submit())
-        started = of_type(driver.answer(first.attempt_id), types.Start)
+        started = of_type(driver.respond(first.attempt_id), types.Start)
         self.assertEqual([4], [start.call_id for start in started])
 
     def test_earliest_deadline_starts_first(self):
         driver = Driver(server_states(1, slots=1))
-        first, _ = driver.fill(2)
+        first, _ = driver.fill_servers(2)
         driver.submit(timeout_s=4.0)
         driver.submit(timeout_s=1.0)
-        started = of_type(driver.answer(first.attempt_id), types.Start)
+        started = of_type(driver.respond(first.attempt_id), types.Start)
         self.assertEqual([4], [start.call_id for start in started])
 
-    def test_queue_is_bounded_and_says_when_to_come_back(self):
+    def test_full_queue_refuses_calls_with_retry_after(self):
         queue = options.QueuePolicy(limit=2)
         service = options.Service("lookups", (), queue=queue)
         driver = Driver(server_states(1, slots=1), service)
-        driver.fill(2)
+        driver.fill_servers(2)
         self.assertEqual([], driver.submit() + driver.submit())
         (refusal,) = driver.submit()
         self.assertEqual(ErrorKind.QUEUE_FULL, refusal.failure.kind)
         self.assertGreater(refusal.failure.retry_after, 0)
 
-    def test_cancelled_call_is_forgotten(self):
+    def test_cancelled_call_is_dropped(self):
         driver = Driver(server_states(1, slots=1))
-        first, second = driver.fill(2)
+        first, second = driver.fill_servers(2)
         driver.submit()
         self.assertEqual([], driver.dispatcher.cancel(3, driver.now))
         self.assertEqual(
-            [], of_type(driver.answer(first.attempt_id), types.Start)
+            [], of_type(driver.respond(first.attempt_id), types.Start)
         )
-        driver.answer(second.attempt_id)
+        driver.respond(second.attempt_id)
         running = driver.submit()[0]
         cancelled = driver.dispatcher.cancel(running.call_id, driver.now)
         self.assertEqual([types.Cancel(running.attempt_id)], cancelled)
--- a/banyantiller/tests/routing/test_ejection.py
+++ b/banyantiller/tests/routing/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection, its cap, recovery, cold start and leaving servers."""
+"""Tests of ejection, its limit, recovery, slow start and leaving servers."""
 
 from banyantiller.errors import ErrorKind, Ran
 from banyantiller.routing import types
@@ -15,7 +15,11 @@
 
 
 def send_calls(driver, calls, failing=()):
-    """Sends calls one by one, answering all but those on bad servers."""
+    """Sends calls one by one; those to failing servers are refused.
+
+    Returns:
+        Number of attempts by server.
+    """
     counts = {}
     for _ in range(calls):
         pending = of_type(driver.submit(), types.Start)
@@ -26,7 +30,7 @@
                 actions = driver.receive_head(start.attempt_id, REFUSED)
                 pending += of_type(actions, types.Start)
             else:
-                driver.answer(start.attempt_id)
+                driver.respond(start.attempt_id)
     return counts
 
 
@@ -38,7 +42,7 @@
 class EjectionTest(TestCase):
     def test_server_that_refuses_connections_is_ejected_at_once(self):
         driver = Driver(server_states(4))
-        driver.warm(100)
+        driver.warm_up(100)
         self.assertLessEqual(send_calls(driver, 8, {"b00"}).get("b00", 0), 1)
 
     def test_ejection_never_empties_a_service(self):
@@ -51,9 +55,9 @@
         send_calls(alone, 10, {"b00"})
         self.assertEqual([], ejected_servers(alone))
 
-    def test_one_trial_at_a_time_brings_a_server_back(self):
+    def test_one_trial_at_a_time_restores_a_server(self):
         driver = Driver(server_states(2), zone="nowhere")
-        driver.warm(100)
+        driver.warm_up(100)
         send_calls(driver, 30, {"b00"})
         driver.now += 6.0
         trials = []
@@ -61,12 +65,12 @@
             starts = of_type(driver.submit(), types.Start)
             trials += [s for s in starts if s.server == "b00"]
         self.assertEqual(1, len(trials))
-        driver.answer(trials[0].attempt_id)
+        driver.respond(trials[0].attempt_id)
         self.assertFalse(driver.dispatcher.state.views["b00"].awaiting_trial)
 
     def test_ejections_grow_longer(self):
         driver = Driver(server_states(2))
-        driver.warm(50)
+        driver.warm_up(50)
         view = driver.dispatcher.state.views["b00"]
         lengths = []
         for _ in range(3):
@@ -77,9 +81,9 @@
         self.assertGreater(lengths[1], lengths[0])
         self.assertGreater(lengths[2], lengths[1])
 
-    def test_probe_tests_an_ejected_server_while_the_budget_lasts(self):
+    def test_probe_tests_an_ejected_server_within_the_budget(self):
         driver = Driver(server_states(2), charge=lambda _: True)
-        driver.warm(50)
+        driver.warm_up(50)
         while not ejected_servers(driver):
             send_calls(driver, 1, {"b00"})
         probes = of_type(driver.run_due(driver.now + 1.0), types.Probe)
@@ -89,22 +93,22 @@
         driver.dispatcher.report("b00", report, driver.now)
         self.assertFalse(driver.dispatcher.state.views["b00"].awaiting_trial)
 
-    def test_no_probe_is_asked_for_a_server_that_leaves_or_is_gone(self):
+    def test_no_probe_is_charged_for_a_leaving_or_removed_server(self):
         leaving = (server_states(1, leaving=True)[0], server_states(2)[1])
         for present in (leaving, server_states(2)[1:]):
-            asked = []
-            driver = Driver(server_states(2), charge=asked.append)
-            driver.warm(50)
+            charged = []
+            driver = Driver(server_states(2), charge=charged.append)
+            driver.warm_up(50)
             while not ejected_servers(driver):
                 send_calls(driver, 1, {"b00"})
             dispatcher = driver.dispatcher
             dispatcher.configure(driver.service, present, driver.now)
             driver.run_due(driver.now + 30.0)
-            self.assertEqual([], asked)
+            self.assertEqual([], charged)
 
-    def test_probe_without_any_answer_does_not_close_a_server_for_good(self):
+    def test_unresponsive_probe_does_not_block_a_server_forever(self):
         driver = Driver(server_states(2), charge=lambda _: True)
-        driver.warm(50)
+        driver.warm_up(50)
         while not ejected_servers(driver):
             send_calls(driver, 1, {"b00"})
         self.assertEqual(
@@ -113,9 +117,9 @@
         again = of_type(driver.run_due(driver.now + 10.0), types.Probe)
         self.assertGreaterEqual(len(again), 1)
 
-    def test_silent_server_is_ejected_after_overdue_tries(self):
+    def test_unresponsive_server_is_ejected_after_overdue_attempts(self):
         driver = Driver(server_states(3))
-        driver.warm(300)
+        driver.warm_up(300)
         view = driver.dispatcher.state.views["b00"]
         attempts = 0
         for _ in range(3000):
@@ -124,7 +128,7 @@
                 attempts += 1
                 starts = driver.next_starts(driver.now + 1.0)
             for start in starts:
-                driver.answer(start.attempt_id)
+                driver.respond(start.attempt_id)
             if view.awaiting_trial:
                 break
         self.assertTrue(view.awaiting_trial)
@@ -132,17 +136,17 @@
 
 
 class ColdStartTest(TestCase):
-    def test_new_server_gets_its_share_by_degrees(self):
+    def test_new_server_gets_its_share_gradually(self):
         driver = Driver(server_states(3), zone="nowhere")
-        driver.warm(60)
+        driver.warm_up(60)
         driver.dispatcher.configure(
             driver.service, server_states(4), driver.now
         )
-        early = self.calls_to_new_server(driver, 6)
+        during_ramp = self.calls_to_new_server(driver, 6)
         driver.now += 10.0
-        late = self.calls_to_new_server(driver, 40)
-        self.assertEqual(0, early)
-        self.assertGreater(late, 4)
+        after_ramp = self.calls_to_new_server(driver, 40)
+        self.assertEqual(0, during_ramp)
+        self.assertGreater(after_ramp, 4)
 
     def calls_to_new_server(self, driver, calls):
         return send_calls(driver, calls).get("b03", 0)
@@ -158,7 +162,7 @@
             )
         )
 
-    def test_leaving_server_gets_nothing_new_and_cuts_nothing(self):
+    def test_leaving_server_gets_no_new_calls_and_completes_running_ones(self):
         driver = Driver(server_states(3))
         starts = [driver.submit()[0] for _ in range(3)]
         (old,) = [s for s in starts if s.server == "b00"]
@@ -169,7 +173,7 @@
             driver.receive_head(old.attempt_id, success()),
         )
 
-    def test_draining_answer_stops_new_calls_at_once(self):
+    def test_draining_response_stops_new_calls_at_once(self):
         driver = Driver(server_states(3))
         starts = [driver.submit()[0] for _ in range(3)]
         (first,) = [s for s in starts if s.server == "b00"]
@@ -187,7 +191,7 @@
 
     def test_calls_are_refused_at_once_when_every_server_leaves(self):
         driver = Driver(server_states(1, slots=1))
-        driver.fill(2)
+        driver.fill_servers(2)
         self.assertEqual([], driver.submit())
         gone = tuple(
             s._replace(leaving=True) for s in server_states(1, slots=1)
--- a/banyantiller/tests/routing/test_retries.py
+++ b/banyantiller/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries and hedges: what may be sent again, where, and how often."""
+"""Tests of retries and hedges: which calls, to which servers, how many."""
 
 import hypothesis
 from hypothesis import strategies
@@ -20,8 +20,8 @@
 
 
 def fill_budget(driver, calls=100):
-    """Answers calls, so that the budget has tokens."""
-    driver.warm(calls)
+    """Completes calls, so that the retry budget has tokens."""
+    driver.warm_up(calls)
 
 
 class RetryTest(TestCase):
@@ -37,26 +37,26 @@
         driver = Driver(server_states(2, slots=1))
         fill_budget(driver)
         (first,) = driver.submit()
-        others = driver.fill(3)
+        others = driver.fill_servers(3)
         self.assertEqual(1, [s.server for s in others].count(first.server))
         actions = driver.receive_head(first.attempt_id, failure())
         self.assertEqual(first.server, of_type(actions, types.Start)[0].server)
 
-    def test_call_that_may_have_run_is_not_repeated(self):
+    def test_call_that_may_have_run_is_not_retried(self):
         driver = Driver(server_states(3))
         fill_budget(driver)
         (first,) = driver.submit(idempotent=False)
         (refusal,) = driver.receive_head(first.attempt_id, failure())
         self.assertEqual(ErrorKind.CONNECTION_LOST, refusal.failure.kind)
 
-    def test_call_known_not_run_is_repeated(self):
+    def test_call_known_not_run_is_retried(self):
         driver = Driver(server_states(3))
         fill_budget(driver)
         (first,) = driver.submit(idempotent=False)
         (second,) = driver.receive_head(first.attempt_id, REFUSED)
         self.assertIsInstance(second, types.Start)
 
-    def test_body_that_is_gone_is_not_repeated(self):
+    def test_call_without_its_body_is_not_retried(self):
         driver = Driver(server_states(3))
         fill_budget(driver)
         (first,) = driver.submit()
@@ -65,7 +65,7 @@
             driver.receive_head(first.attempt_id, lost)[0], types.Refuse
         )
 
-    def test_maybe_run_call_is_never_told_not_run(self):
+    def test_call_that_may_have_run_is_never_reported_as_not_run(self):
         driver = Driver(server_states(3))
         fill_budget(driver)
         (first,) = driver.submit()
@@ -75,7 +75,7 @@
         self.assertEqual(ErrorKind.CONNECTION_LOST, refusal.failure.kind)
         self.assertEqual(Ran.UNKNOWN, refusal.failure.answer.ran)
 
-    def test_extra_calls_stay_in_budget_when_all_fails(self):
+    def test_retries_stay_in_budget_when_all_attempts_fail(self):
         for result in (failure(), REFUSED, SHED):
             driver = Driver(server_states(5))
             self.fail_all(driver, result, 500)
@@ -84,19 +84,19 @@
             answers = of_type(driver.actions, types.Refuse)
             self.assertEqual(500, len(answers))
 
-    def test_shedding_server_is_held_as_it_asked(self):
+    def test_retry_after_of_a_shedding_server_is_respected(self):
         driver = Driver(server_states(2, slots=1))
         fill_budget(driver)
         (first,) = driver.submit()
         shed = failure(ErrorKind.BACKEND_SHED, Ran.NO, retry_after_s=1.0)
         (second,) = driver.receive_head(first.attempt_id, shed)
-        driver.answer(second.attempt_id)
+        driver.respond(second.attempt_id)
         for _ in range(10):
             (start,) = driver.submit()
             self.assertNotEqual(first.server, start.server)
-            driver.answer(start.attempt_id)
+            driver.respond(start.attempt_id)
 
-    def test_failure_says_when_to_come_back(self):
+    def test_failure_carries_retry_after_of_the_server(self):
         driver = Driver(server_states(1))
         (first,) = driver.submit()
         shed = failure(ErrorKind.BACKEND_SHED, Ran.NO, retry_after_s=3.0)
@@ -142,13 +142,13 @@
         )
         self.assertEqual([], driver.receive_head(first.attempt_id, success()))
 
-    def test_first_answer_wins_and_hedge_is_cancelled(self):
+    def test_first_response_wins_and_hedge_is_cancelled(self):
         driver, first = self.start_slow_call()
         (hedge,) = of_type(driver.run_due(driver.now + 0.5), types.Start)
         actions = driver.receive_head(first.attempt_id, success())
         self.assertIn(types.Cancel(hedge.attempt_id), actions)
 
-    def test_other_try_goes_on_when_one_fails(self):
+    def test_other_attempt_continues_when_one_fails(self):
         driver, first = self.start_slow_call()
         (hedge,) = of_type(driver.run_due(driver.now + 0.5), types.Start)
         self.assertEqual([], driver.receive_head(first.attempt_id, failure()))
@@ -157,7 +157,7 @@
             [types.Relay(first.call_id, hedge.attempt_id)], actions
         )
 
-    def test_bundle_switches_hedges_off(self):
+    def test_bundle_disables_hedges(self):
         policy = options.RetryPolicy(hedge=False)
         service = options.Service("lookups", (), retry=policy)
         driver, _ = self.start_slow_call(service=service)
@@ -176,7 +176,7 @@
 class AtMostOnceTest(TestCase):
     @hypothesis.settings(derandomize=True, max_examples=150, deadline=None)
     @hypothesis.given(strategies.data())
-    def test_non_idempotent_call_has_one_try_that_may_have_run(self, data):
+    def test_non_idempotent_call_has_one_attempt_that_may_have_run(self, data):
         driver = Driver(server_states(3, slots=1))
         fill_budget(driver, 60)
         del driver.actions[:]
@@ -223,7 +223,7 @@
             )
         if step == "answer":
             may_have_run[start.call_id] = True
-            return driver.answer(start.attempt_id)
+            return driver.respond(start.attempt_id)
         if step == "lost":
             may_have_run[start.call_id] = True
             return driver.receive_head(start.attempt_id, failure())
--- a/banyantiller/tests/routing/test_shares.py
+++ b/banyantiller/tests/routing/test_shares.py
@@ -1,4 +1,4 @@
-"""Traffic shares of groups of servers."""
+"""Tests of traffic shares of groups of servers."""
 
 import hypothesis
 from hypothesis import strategies
@@ -52,10 +52,10 @@
         for _ in range(1000):
             (start,) = driver.submit()
             counts[start.server[0]] += 1
-            driver.answer(start.attempt_id)
+            driver.respond(start.attempt_id)
         self.assertEqual({"b": 900, "n": 100}, counts)
 
-    def test_group_without_usable_servers_uses_the_others(self):
+    def test_group_without_usable_servers_uses_other_groups(self):
         driver = Driver(servers(), service(main=50.0, next=50.0))
         leaving = tuple(
             s._replace(leaving=s.group == "next") for s in servers()
@@ -64,11 +64,11 @@
         for _ in range(20):
             (start,) = driver.submit()
             self.assertEqual("b", start.server[0])
-            driver.answer(start.attempt_id)
+            driver.respond(start.attempt_id)
 
     def test_retry_stays_in_its_group(self):
         driver = Driver(servers(), service(main=50.0, next=50.0))
-        driver.warm(100)
+        driver.warm_up(100)
         failing = failure(ErrorKind.CONNECT_FAILED, Ran.NO)
         for _ in range(10):
             (first,) = driver.submit()
@@ -76,5 +76,5 @@
                 driver.receive_head(first.attempt_id, failing), types.Start
             )
             self.assertEqual(first.server[0], second.server[0])
-            driver.answer(second.attempt_id)
+            driver.respond(second.attempt_id)
             driver.now += 10.0
--- a/banyantiller/tests/routing/test_timers.py
+++ b/banyantiller/tests/routing/test_timers.py
@@ -5,7 +5,7 @@
 
 
 class TimersTest(base.TestCase):
-    def test_work_of_a_finished_call_is_dropped(self) -> None:
+    def test_callback_of_a_finished_call_is_dropped(self) -> None:
         call = calls.CallState.from_call(types.Call(1, True, 9.0), "main", 0.0)
         pending = timers.Timers()
         pending.schedule(1.0, lambda now: [], call)
@@ -18,7 +18,7 @@
         self.assertIsNone(pending.next_due())
         self.assertEqual([], pending.heap)
 
-    def test_finished_calls_do_not_pile_up(self) -> None:
+    def test_callbacks_of_finished_calls_do_not_accumulate(self) -> None:
         pending = timers.Timers()
         for number in range(10_000):
             wanted = types.Call(number, True, 9.0)
--- a/banyantiller/tests/routing/test_waiting.py
+++ b/banyantiller/tests/routing/test_waiting.py
@@ -1,4 +1,4 @@
-"""Waiting calls: early refusal, deadlines, the window, and timers."""
+"""Tests of waiting calls: refusals, deadlines, the window, and timers."""
 
 from banyantiller.bundle import options
 from banyantiller.errors import ErrorKind, Ran
@@ -16,8 +16,8 @@
 def full_server(waiting=0, timeout_s=5.0, **kwargs):
     """Returns a driver whose one server is full, with calls waiting."""
     driver = Driver(server_states(1, slots=1), **kwargs)
-    driver.warm(60)
-    running, _ = driver.fill(2)
+    driver.warm_up(60)
+    running, _ = driver.fill_servers(2)
     for _ in range(waiting):
         driver.submit(idempotent=False, timeout_s=timeout_s)
     return driver, running
@@ -31,13 +31,13 @@
         self.assertEqual(Ran.NO, refusal.failure.answer.ran)
         self.assertGreater(refusal.failure.retry_after, 0.2)
 
-    def test_waiting_call_that_got_hopeless_is_refused_before_its_deadline(
+    def test_waiting_call_that_cannot_meet_its_deadline_is_refused_early(
         self,
     ):
         driver, running = full_server()
         driver.submit(timeout_s=0.1)
         driver.now += 0.095
-        actions = driver.answer(running.attempt_id, after=0.0)
+        actions = driver.respond(running.attempt_id, after_s=0.0)
         refusals = of_type(actions, types.Refuse)
         self.assertEqual(
             [ErrorKind.DEADLINE_UNREACHABLE],
@@ -73,24 +73,24 @@
     def overload(self, driver, calls):
         for _ in range(calls):
             for start in of_type(driver.submit(), types.Start):
-                driver.answer(start.attempt_id, in_flight=9.0)
+                driver.respond(start.attempt_id, in_flight=9.0)
 
-    def test_backlogs_shrink_the_window_to_the_even_part(self):
+    def test_backlogs_shrink_the_window_to_the_equal_share(self):
         driver = Driver(server_states(4, slots=2))
         driver.dispatcher.members(4, driver.now)
         self.overload(driver, 100)
         started = [of_type(driver.submit(), types.Start) for _ in range(8)]
         self.assertEqual(2, sum(len(starts) for starts in started))
 
-    def test_window_opens_again(self):
+    def test_window_grows_again(self):
         driver = Driver(server_states(4, slots=2))
         driver.dispatcher.members(4, driver.now)
         self.overload(driver, 100)
-        driver.warm(200)
+        driver.warm_up(200)
         started = [of_type(driver.submit(), types.Start) for _ in range(8)]
         self.assertEqual(8, sum(len(starts) for starts in started))
 
-    def test_wrong_member_counts_leave_one_call_at_least(self):
+    def test_wrong_daemon_counts_allow_one_call_at_least(self):
         for alive in (0, 1, 10_000):
             driver = Driver(server_states(2, slots=1))
             driver.dispatcher.members(alive, driver.now)
@@ -99,9 +99,9 @@
 
 
 class TimersTest(TestCase):
-    def test_no_work_stays_due(self):
+    def test_no_callback_stays_due(self):
         driver = Driver(server_states(3, slots=1), charge=lambda _: True)
-        driver.warm(100)
+        driver.warm_up(100)
         failing = failure(ErrorKind.CONNECT_FAILED, Ran.NO)
         for number in range(300):
             starts = of_type(driver.submit(timeout_s=0.5), types.Start)
@@ -120,7 +120,7 @@
         driver = Driver(server_states(3))
         self.assertIsNone(driver.dispatcher.next_tick())
 
-    def test_late_results_of_forgotten_tries_are_ignored(self):
+    def test_late_results_of_dropped_attempts_are_ignored(self):
         driver, running = full_server()
         driver.dispatcher.cancel(running.call_id, driver.now)
         self.assertEqual([], driver.receive_head(running.attempt_id, success()))
