--- a/banyantiller/daemon/suspect_requests.py
+++ b/banyantiller/daemon/suspect_requests.py
@@ -9,7 +9,7 @@
 
 from banyantiller.kernel import events
 from banyantiller.membership import messages
-from banyantiller.quarantine import table
+from banyantiller.quarantine import crash_table
 
 if TYPE_CHECKING:
     from banyantiller.daemon import assembly
@@ -24,7 +24,7 @@
 
     def on_news(event: events.RequestsSuspected) -> None:
         now = asyncio.get_running_loop().time()
-        told = known.watch.table.tell_of(event.fingerprints, now)
+        told = known.watch.table.export_records(event.fingerprints, now)
         peers.broadcast(_message(told))
 
     def on_told(sender: str, message: messages.SuspectRequests) -> None:
@@ -33,12 +33,12 @@
             return
         now = asyncio.get_running_loop().time()
         names = [fields["fingerprint"] for fields in told]
-        passed_on = known.watch.table.tell_of(names, now)
+        passed_on = known.watch.table.export_records(names, now)
         peers.broadcast(_message(passed_on), but=sender)
 
     def on_link(peer: str) -> None:
         now = asyncio.get_running_loop().time()
-        told = known.watch.table.tell(now)
+        told = known.watch.table.export_changes(now)
         if told:
             peers.send(peer, _message(told))
 
@@ -53,7 +53,7 @@
     daemon.kernel.start("quarantine", keep_house)
 
 
-def _message(told: list[table.RecordFields]) -> messages.SuspectRequests:
+def _message(told: list[crash_table.RecordFields]) -> messages.SuspectRequests:
     return messages.SuspectRequests(
         tuple(
             messages.SuspectRequest(
@@ -66,11 +66,15 @@
     )
 
 
-def _records(message: messages.SuspectRequests) -> list[table.RecordFields]:
+def _records(
+    message: messages.SuspectRequests,
+) -> list[crash_table.RecordFields]:
     return [
-        table.RecordFields(
+        crash_table.RecordFields(
             fingerprint=request.fingerprint,
-            ends=[table.EndFields(**end._asdict()) for end in request.ends],
+            ends=[
+                crash_table.CrashFields(**end._asdict()) for end in request.ends
+            ],
             answered_age_ms=request.answered_age_ms,
         )
         for request in message.requests
--- a/banyantiller/gateway/attempts.py
+++ b/banyantiller/gateway/attempts.py
@@ -13,7 +13,7 @@
     ports,
 )
 from banyantiller.http import messages
-from banyantiller.quarantine import watch
+from banyantiller.quarantine import crash_tracker
 
 # Statuses with which a server tells of a fault of its own, and not of a time
 # that passed.
@@ -72,7 +72,7 @@
             self.gateway.asker.note_answer_load(entry, outcome.headers)
             if outcome.status < 500:
                 fingerprint = self.call.request.fingerprint
-                self.gateway.endings.watch.answered(fingerprint, now)
+                self.gateway.endings.watch.record_response(fingerprint, now)
                 took_s = now - self.began
                 self.gateway.durations.learn(self.call.route.name, took_s)
             if outcome.status in FAULT_STATUSES:
@@ -138,7 +138,7 @@
     def _note_no_answer(self, outcome: exchange.Broken | None) -> None:
         """Notes that the server gave no answer; None if it was given up."""
         request = self.call.request
-        one = watch.Broken(
+        one = crash_tracker.UnansweredRequest(
             request.fingerprint,
             request.request_id,
             self.sent_at,
--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -284,7 +284,7 @@
 
     def _quarantine_s(self) -> float | None:
         """Returns how long it is still refused, in seconds, or None."""
-        return self.gateway.endings.watch.wait_s(
+        return self.gateway.endings.watch.quarantine_left_s(
             self.request.fingerprint, self.loop.time()
         )
 
@@ -299,7 +299,7 @@
         if broken.kind is not ErrorKind.CONNECTION_LOST:
             return False
         lost = endings.start_name(attempt.entry.server)
-        found = self.gateway.endings.watch.ended_under(
+        found = self.gateway.endings.watch.count_crashes(
             self.request.fingerprint, lost
         )
         return found >= MOST_ENDS_BEFORE_A_TRY
--- a/banyantiller/gateway/caller.py
+++ b/banyantiller/gateway/caller.py
@@ -224,7 +224,7 @@
             self._reject(Failure(ErrorKind.QUEUE_FULL, retry_after=FULL_S))
         else:
             slot.body.append(bytes(data))
-            slot.fingerprint.add(data)
+            slot.fingerprint.update(data)
 
     def _whole(self) -> None:
         """Starts the call of a request that was read whole."""
@@ -233,7 +233,7 @@
         slot.request = slot.request._replace(
             body=b"".join(slot.body),
             received=self.loop.time(),
-            fingerprint=slot.fingerprint.text(),
+            fingerprint=slot.fingerprint.hexdigest(),
         )
         slot.body.clear()
         slot.call = calls.Call(self.gateway, slot.request)
--- a/banyantiller/gateway/endings.py
+++ b/banyantiller/gateway/endings.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from banyantiller.gateway import call_events, events, pool, types
-from banyantiller.quarantine import table, watch
+from banyantiller.quarantine import crash_table, crash_tracker
 
 # The end of a request that was given up takes so long to reach the server, and
 # the server's end to come back.
@@ -25,12 +25,14 @@
 
     def __init__(
         self,
-        known: table.Table,
+        known: crash_table.CrashTable,
         pools: Callable[[types.Server], pool.Pool],
         stays: Callable[[types.Server], bool],
     ) -> None:
-        outlets = watch.Outlets(self._tell, self._log_end, self._log_verdict)
-        self.watch = watch.Watch(known, outlets)
+        outlets = crash_tracker.Callbacks(
+            self._tell, self._log_end, self._log_verdict
+        )
+        self.watch = crash_tracker.CrashTracker(known, outlets)
         self.pools = pools
         self.stays = stays
         self.on_news: Callable[[Iterable[str]], None] = lambda _: None
@@ -38,7 +40,10 @@
         self.loop = asyncio.get_running_loop()
 
     def no_answer(
-        self, server: types.Server, one: watch.Broken, connection_lost: bool
+        self,
+        server: types.Server,
+        one: crash_tracker.UnansweredRequest,
+        connection_lost: bool,
     ) -> None:
         """Notes that a request got no answer from a server.
 
@@ -52,7 +57,7 @@
         if not self.stays(server):
             return
         start = start_name(server)
-        self.watch.no_answer(start, one)
+        self.watch.record_unanswered(start, one)
         worth_a_look = connection_lost or self.watch.is_suspect(one.fingerprint)
         if worth_a_look and start not in self.checks:
             pause_s = 0.0 if connection_lost else LOOK_AFTER_S
@@ -63,7 +68,9 @@
     def refused(self, server: types.Server) -> None:
         """Notes that a server's machine refuses connections to it."""
         if self.stays(server):
-            self.watch.refused(start_name(server), self.loop.time())
+            self.watch.record_refused_connection(
+                start_name(server), self.loop.time()
+            )
 
     async def _check(self, server: types.Server, pause_s: float) -> None:
         await asyncio.sleep(pause_s)
@@ -81,13 +88,15 @@
     def _tell(self, fingerprints: Iterable[str]) -> None:
         self.on_news(fingerprints)
 
-    def _log_end(self, server: str, one: watch.Broken) -> None:
+    def _log_end(
+        self, server: str, one: crash_tracker.UnansweredRequest
+    ) -> None:
         events.emit(
             call_events.ServerEnded(one.request_id, server, one.fingerprint)
         )
 
-    def _log_verdict(self, verdict: table.Verdict) -> None:
-        left_s = round(verdict.refused_until - self.loop.time(), 1)
+    def _log_verdict(self, verdict: crash_table.QuarantineChange) -> None:
+        left_s = round(verdict.quarantined_until - self.loop.time(), 1)
         servers = list(verdict.servers)
         if left_s > 0:
             occurred = call_events.RequestQuarantined(
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -32,7 +32,7 @@
     turns,
 )
 from banyantiller.http import messages
-from banyantiller.quarantine import table
+from banyantiller.quarantine import crash_table
 
 BACKLOG = 1024
 # Part of the fleet's retry budget that is used: the users count a request
@@ -101,7 +101,7 @@
         self.durations = durations.Durations()
         self.sampler = sampling.CallSampler()
         self.endings = endings.Endings(
-            table.Table(settings.quarantine_s, rng),
+            crash_table.CrashTable(settings.quarantine_s, rng),
             self.pool_of,
             self.known.table.stays,
         )
--- a/banyantiller/gateway/metrics.py
+++ b/banyantiller/gateway/metrics.py
@@ -117,7 +117,7 @@
              lambda: len(gateway.connections)),
             ("quarantined_requests", "Requests that are refused since servers"
              " ended under them.",
-             lambda: len(suspects.refused(gateway.loop.time()))),
+             lambda: len(suspects.quarantined_records(gateway.loop.time()))),
             ("suspect_requests", "Requests with which servers ended lately.",
              lambda: len(suspects.records)),
         )  # fmt: skip
--- a/banyantiller/gateway/spreading.py
+++ b/banyantiller/gateway/spreading.py
@@ -8,7 +8,7 @@
 sees the mark with its first question.
 
 A lost message is sent again, and order and duplicates make no difference: see
-`quarantine.table`.
+`quarantine.crash_table`.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 from banyantiller.gateway import endings, events, peers
 from banyantiller.http import messages, outcomes
-from banyantiller.quarantine import table
+from banyantiller.quarantine import crash_table
 
 PATH = "/quarantine/"
 LIFT = PATH + "lift"
@@ -50,7 +50,7 @@
     """What daemons tell each other; `mark` names the state that it is of."""
 
     mark: str
-    records: list[table.RecordFields]
+    records: list[crash_table.RecordFields]
 
 
 class Spreader:
@@ -142,7 +142,7 @@
             least = 1
         after = self._revision_of(request.query.get("since", ""))
         now = self.loop.time()
-        records = self.watch.table.tell(now, after, least)
+        records = self.watch.table.export_changes(now, after, least)
         shown = self.watch.table.revision if least == 1 else self.shown
         reply = Message(mark=f"{self.life}-{shown}", records=records)
         return messages.Response(200, (), msgspec.json.encode(reply))
@@ -170,8 +170,8 @@
 
     # What is learned.
 
-    def _learn(self, records: list[table.RecordFields]) -> None:
-        if self.watch.learn(records, self.loop.time()):
+    def _learn(self, records: list[crash_table.RecordFields]) -> None:
+        if self.watch.receive_records(records, self.loop.time()):
             self._show_later()
 
     def _show_later(self) -> None:
@@ -180,7 +180,7 @@
     async def _show(self) -> None:
         """Shows a new mark if something concerns the whole fleet."""
         await asyncio.sleep(SHOW_S)
-        newest = self.watch.table.newest(LEAST_SHARED_ENDS)
+        newest = self.watch.table.latest_revision(LEAST_SHARED_ENDS)
         if newest > self.shown:
             self.shown = newest
             self.on_shown()
@@ -192,7 +192,7 @@
         known = [
             record.fingerprint
             for record in self.watch.table.records.values()
-            if len(record.ends) >= LEAST_SHARED_ENDS
+            if len(record.crashes) >= LEAST_SHARED_ENDS
         ]
         if known:
             pause_s = GATHER_S + self.random.random() * REMIND_WITHIN_S
@@ -227,7 +227,7 @@
             sending = set(unsent)
             unsent.clear()
             now = self.loop.time()
-            records = self.watch.table.tell_of(sending, now)
+            records = self.watch.table.export_records(sending, now)
             body = msgspec.json.encode(Message(mark="", records=records))
             outcome = await peer.user.request("POST", PATH, ANSWER_S, (), body)
             if not isinstance(outcome, outcomes.Answered):
--- a/banyantiller/proxy/call.py
+++ b/banyantiller/proxy/call.py
@@ -92,7 +92,7 @@
         body = self.body
         body.add(data, bool(streaming))
         if self.fingerprint is not None:
-            self.fingerprint.add(data)
+            self.fingerprint.update(data)
         if body.size > self.proxy.settings.callers.max_body_bytes:
             self.fail(Failure(ErrorKind.BODY_TOO_LARGE))
             return
--- a/banyantiller/proxy/endings.py
+++ b/banyantiller/proxy/endings.py
@@ -11,7 +11,7 @@
 from banyantiller.config.defaults import Settings
 from banyantiller.kernel import core
 from banyantiller.kernel.events import RequestsSuspected
-from banyantiller.quarantine import table, watch
+from banyantiller.quarantine import crash_table, crash_tracker
 
 if TYPE_CHECKING:
     from banyantiller.proxy import call as calls
@@ -42,9 +42,11 @@
         wall: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        known = table.Table(period_s, rng)
-        outlets = watch.Outlets(self._tell, self._log_end, self._log_verdict)
-        self.watch = watch.Watch(known, outlets)
+        known = crash_table.CrashTable(period_s, rng)
+        outlets = crash_tracker.Callbacks(
+            self._tell, self._log_end, self._log_verdict
+        )
+        self.watch = crash_tracker.CrashTracker(known, outlets)
         self.kernel = kernel
         self.wall = wall
         self.loop = asyncio.get_running_loop()
@@ -86,7 +88,11 @@
         None as well as long as its body is not there.
         """
         text = _whole(call)
-        return None if text is None else self.watch.wait_s(text, self._now())
+        return (
+            None
+            if text is None
+            else self.watch.quarantine_left_s(text, self._now())
+        )
 
     def is_suspect(self, call: "calls.Call") -> bool:
         """Tells whether a server ended with a request that none answered."""
@@ -97,7 +103,7 @@
         """Notes that a server answered a request and went on."""
         text = _whole(call)
         if text is not None:
-            self.watch.answered(text, self._now())
+            self.watch.record_response(text, self._now())
 
     def no_answer(
         self, server: str, call: "calls.Call", sent_at: float
@@ -108,17 +114,18 @@
             return
         request_id = call.request_id.decode("latin-1")
         now = self._now()
-        self.watch.no_answer(
-            server, watch.Broken(text, request_id, sent_at, now)
+        self.watch.record_unanswered(
+            server,
+            crash_tracker.UnansweredRequest(text, request_id, sent_at, now),
         )
 
     def refused(self, server: str) -> None:
         """Notes that a server's machine refuses connections to it."""
-        broken = self.watch.broken.pop(server, None)
+        broken = self.watch.unanswered.pop(server, None)
         if broken:
             start = f"{server}@{int(self.wall() // ONE_END_S)}"
-            self.watch.broken[start] = broken
-            self.watch.refused(start, self._now())
+            self.watch.unanswered[start] = broken
+            self.watch.record_refused_connection(start, self._now())
 
     def may_try_again(self, call: "calls.Call", server: str) -> bool:
         """Tells whether another server may be risked for a call.
@@ -131,15 +138,15 @@
         text = _whole(call)
         if text is None:
             return True
-        known = self.watch.table.ends_of(text)
+        known = self.watch.table.crashed_servers(text)
         before = [one for one in known if one.partition("@")[0] != server]
         return len(before) + 1 < MOST_ENDS_BEFORE_A_TRY
 
     # Called by the daemon.
 
-    def learn(self, told: list[table.RecordFields]) -> bool:
+    def learn(self, told: list[crash_table.RecordFields]) -> bool:
         """Takes what another daemon knows; tells whether anything was new."""
-        return self.watch.learn(told, self._now())
+        return self.watch.receive_records(told, self._now())
 
     def lift(self, fingerprint: str) -> bool:
         """Forgets what counts against a request; False if nothing does."""
@@ -147,7 +154,7 @@
 
     def count(self) -> int:
         """Returns how many requests are refused."""
-        return len(self.watch.table.refused(self._now()))
+        return len(self.watch.table.quarantined_records(self._now()))
 
     def expire(self) -> None:
         """Forgets what is out of date."""
@@ -162,7 +169,9 @@
         if self.kernel is not None:
             self.kernel.emit(RequestsSuspected(tuple(fingerprints)))
 
-    def _log_end(self, server: str, one: watch.Broken) -> None:
+    def _log_end(
+        self, server: str, one: crash_tracker.UnansweredRequest
+    ) -> None:
         log.info(
             "proxy: server ended with a request on it.",
             request_id=one.request_id,
@@ -170,8 +179,8 @@
             fingerprint=one.fingerprint,
         )
 
-    def _log_verdict(self, verdict: table.Verdict) -> None:
-        left_s = round(verdict.refused_until - self._now(), 1)
+    def _log_verdict(self, verdict: crash_table.QuarantineChange) -> None:
+        left_s = round(verdict.quarantined_until - self._now(), 1)
         text = "proxy: request is not quarantined any more."
         if left_s > 0:
             text = "proxy: request is quarantined."
@@ -190,4 +199,4 @@
     has_body = call.head.chunked or bool(call.head.content_length)
     if has_body and not call.body.complete:
         return None
-    return call.fingerprint.text()
+    return call.fingerprint.hexdigest()
--- a/banyantiller/quarantine/fingerprint.py
+++ b/banyantiller/quarantine/fingerprint.py
@@ -4,7 +4,7 @@
 
 # Separates these digests from others of the same bytes. It is no secret: all
 # daemons of a fleet have to find the same digest.
-KEY = b"banyantiller request"
+DIGEST_KEY = b"banyantiller request"
 DIGEST_BYTES = 16
 LENGTH_BYTES = 8
 
@@ -33,21 +33,21 @@
             target: Path and query.
             caller: What it says of who sends it, such as its key, or empty.
         """
-        self._digest = hashlib.blake2b(key=KEY, digest_size=DIGEST_BYTES)
-        for part in (method, _plain(host), target, caller):
+        self._digest = hashlib.blake2b(key=DIGEST_KEY, digest_size=DIGEST_BYTES)
+        for part in (method, _normalize_host(host), target, caller):
             self._digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
             self._digest.update(part)
 
-    def add(self, part: bytes) -> None:
+    def update(self, part: bytes) -> None:
         """Adds the next piece of the body."""
         self._digest.update(part)
 
-    def text(self) -> str:
+    def hexdigest(self) -> str:
         """Returns the digest of what was added so far, in hex."""
         return self._digest.hexdigest()
 
 
-def _plain(host: bytes) -> bytes:
+def _normalize_host(host: bytes) -> bytes:
     """Returns a host in lower case, without its port."""
     name, separator, port = host.rpartition(b":")
     has_port = bool(separator) and (port.isdigit() or not port)
--- a/banyantiller/tests/gateway/test_servers_that_end.py
+++ b/banyantiller/tests/gateway/test_servers_that_end.py
@@ -22,7 +22,7 @@
 import asyncio
 
 from banyantiller.http import messages
-from banyantiller.quarantine import table
+from banyantiller.quarantine import crash_table
 from banyantiller.tests import base
 from banyantiller.tests.gateway import ending_world, world
 
@@ -291,7 +291,7 @@
             for server in fleet.running():
                 server.faults.ended_by = ""
             period_s = fleet.daemons[0].settings.quarantine_s
-            await asyncio.sleep(period_s * (1 + table.SPREAD))
+            await asyncio.sleep(period_s * (1 + crash_table.RETRY_SPREAD))
             for server in fleet.running():
                 server.faults.ended_by = ""
             answer = await fleet.ask(fleet.daemons[0], ending_world.DEADLY)
--- a/banyantiller/tests/gateway/test_spreading.py
+++ b/banyantiller/tests/gateway/test_spreading.py
@@ -9,7 +9,7 @@
 from banyantiller.config.defaults import Endpoint
 from banyantiller.gateway import endings, mirror, peers, spreading
 from banyantiller.http import messages, server
-from banyantiller.quarantine import table
+from banyantiller.quarantine import crash_table
 from banyantiller.tests import base
 from banyantiller.tests.gateway import world
 
@@ -26,7 +26,9 @@
 def make(others=(), asked_itself=False, seed=1):
     rng = random.Random(seed)
     known = endings.Endings(
-        table.Table(100.0, rng), lambda server: None, lambda server: True
+        crash_table.CrashTable(100.0, rng),
+        lambda server: None,
+        lambda server: True,
     )
     spreader = spreading.Spreader(known, list(others), asked_itself, rng)
     return Daemon(known, spreader)
@@ -40,8 +42,8 @@
     now = asyncio.get_running_loop().time()
     for number, name in enumerate(servers):
         sent_at = now + number * 0.2
-        daemon.known.watch.table.ended(
-            request, name, table.End(sent_at, sent_at + 0.1)
+        daemon.known.watch.table.record_crash(
+            request, name, crash_table.Crash(sent_at, sent_at + 0.1)
         )
 
 
--- a/banyantiller/tests/proxy/test_endings.py
+++ b/banyantiller/tests/proxy/test_endings.py
@@ -56,12 +56,22 @@
             for _ in range(3):
                 self.end(known, "s/1", one)
             self.assertEqual(
-                1, len(known.watch.table.ends_of(one.fingerprint.text()))
+                1,
+                len(
+                    known.watch.table.crashed_servers(
+                        one.fingerprint.hexdigest()
+                    )
+                ),
             )
             wall.now += endings.ONE_END_S
             self.end(known, "s/1", one)
             self.assertEqual(
-                2, len(known.watch.table.ends_of(one.fingerprint.text()))
+                2,
+                len(
+                    known.watch.table.crashed_servers(
+                        one.fingerprint.hexdigest()
+                    )
+                ),
             )
 
         self.play(body)
