--- a/banyantiller/quarantine/__init__.py
+++ b/banyantiller/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end each server which runs them, and who must not get them."""
+"""Quarantine of requests that crash each server which runs them."""
--- a/banyantiller/quarantine/crash_table.py
+++ b/banyantiller/quarantine/crash_table.py
@@ -1,18 +1,18 @@
-"""Decides which requests are not sent to servers any more.
+"""Decides which requests are quarantined and not sent to servers.
 
-A request may end each server that begins to run it, and come again. What is
-counted for it is the servers that ended with it on them. That alone proves
-nothing: whatever runs on a server ends with it, and many servers may end at
-once for another reason. So a request is refused only if
+A request may crash each server that starts to run it, and be sent again. The
+table counts the servers that crashed while they ran a request. That alone
+proves nothing: a crash affects all requests on the server, and many servers may
+crash at once for another reason. So a request is quarantined only if
 
-- at least three servers ended with it on them,
-- not all of them at once: it was sent to one after another had ended,
-- it was answered by no server since, nor shortly before, and
-- no other refused request was on the same servers and on more of them.
+- at least three servers crashed while they ran it,
+- not all of them at once: it was sent to one after another had crashed,
+- no server responded to it since, or shortly before, and
+- no other quarantined request ran on the same servers and on more of them.
 
-What is known are facts that only grow, so that daemons may learn them in any
-order, twice, or from each other. There are no sockets and no clock here: times
-are the loop's, and facts travel with their ages.
+The recorded facts only accumulate, so that daemons may learn them in any order,
+twice, or from each other. There are no sockets and no clock here: times are the
+loop's, and facts are sent with their ages.
 """
 
 import math
@@ -20,30 +20,30 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple, TypedDict
 
-# Servers that have ended with a request on them before it is refused.
+# Servers that crashed while running a request before it is quarantined.
 MIN_CRASHES = 3
-# A request that was answered so shortly before a server ended did not end it. A
-# popular one may be on every server that others end, and be answered by none
-# until they are back.
+# A request to which a server responded so shortly before a crash did not cause
+# the crash. A popular request may run on every server that other requests
+# crash, and get no response until they are back.
 RECENT_RESPONSE_S = 2.0
-# Ends kept of one request, the latest ones.
+# Latest crashes kept for each request.
 MAX_CRASHES = 8
-# Requests that are known at a time. A caller that sends another body each time
-# fills the table, and pushes out others with as few ends.
+# Maximum number of records. A caller that sends a different body each time
+# fills the table, and evicts other requests with as few crashes.
 MAX_REQUESTS = 1024
-# Daemons try a refused request again at different times after the period, by
-# up to this share of it: else all of them would send it on at once.
+# Daemons end a quarantine at different times, up to this share of the period
+# later: otherwise all of them would forward the request at once.
 RETRY_SPREAD = 0.2
-# What is known of a request is forgotten this many periods after its last end.
+# A record is removed this many periods after its last crash.
 RETENTION_PERIODS = 3
 
 
 class Crash(NamedTuple):
-    """A server ended with a request on it.
+    """A crash of a server while it ran a request.
 
     Attributes:
-        sent_at: Loop time at which the request was sent to it.
-        crashed_at: Loop time at which its end was seen.
+        sent_at: Loop time at which the request was sent to the server.
+        crashed_at: Loop time at which the crash was observed.
     """
 
     sent_at: float
@@ -51,7 +51,7 @@
 
 
 class CrashFields(TypedDict):
-    """An `End` on its way between daemons; ages in milliseconds."""
+    """A `Crash` in a message between daemons; ages in milliseconds."""
 
     server: str
     sent_age_ms: int
@@ -59,9 +59,9 @@
 
 
 class RecordFields(TypedDict):
-    """What is known of a request on its way between daemons.
+    """Record of a request in a message between daemons.
 
-    `answered_age_ms` tells how long ago a server answered it last; -1 for
+    `answered_age_ms` is the time since a server's last response to it; -1 for
     never.
     """
 
@@ -71,14 +71,13 @@
 
 
 class QuarantineChange(NamedTuple):
-    """A change of what is believed of a request.
+    """Start or end of a request's quarantine.
 
     Attributes:
         fingerprint: The request.
-        quarantined_until: Loop time until which it is refused; in the past if
-            it
-            is not refused any more.
-        servers: Servers that ended with it on them.
+        quarantined_until: Loop time at which the quarantine ends; in the past
+            if the request is not quarantined any more.
+        servers: Servers that crashed while they ran it.
     """
 
     fingerprint: str
@@ -87,14 +86,13 @@
 
 
 class MergeResult(NamedTuple):
-    """What followed from what another daemon told.
+    """Result of merging the records of a peer.
 
     Attributes:
-        changes: Changes of what is believed.
-        is_new: Whether anything was new.
-        unknown_to_peer: Requests that this daemon knows to have been answered,
-            and the
-            other one does not.
+        changes: Changes of quarantines.
+        is_new: Whether any record contained something new.
+        unknown_to_peer: Requests that this daemon knows to have got a response
+            of which the peer doesn't know.
     """
 
     changes: list[QuarantineChange]
@@ -102,40 +100,39 @@
     unknown_to_peer: list[str]
 
 
-class RequestRecord:
-    """What is known of one request.
+class Record:
+    """Recorded facts about one request.
 
     Attributes:
         fingerprint: The request.
-        crashes: Ends of servers with it on them, by the server's start.
-        responded_at: Loop time of a server's last answer to it.
-        quarantined_until: Loop time until which it is refused.
-        revision: Revision of the table at its last change.
-        spread_share: Part of the spread that is added to the period here, 0 to
-            1.
+        crashes: Crashes of servers that ran it, by the server's incarnation.
+        responded_at: Loop time of a server's last response to it.
+        quarantined_until: Loop time at which its quarantine ends.
+        revision: Revision of the table at the record's last change.
+        spread: Share of `RETRY_SPREAD` added to the period here, 0 to 1.
     """
 
-    def __init__(self, fingerprint: str, spread_share: float) -> None:
+    def __init__(self, fingerprint: str, spread: float) -> None:
         self.fingerprint = fingerprint
         self.crashes: dict[str, Crash] = {}
         self.responded_at = -math.inf
         self.quarantined_until = -math.inf
         self.revision = 0
-        self.spread_share = spread_share
+        self.spread = spread
 
     def unexplained_crashes(
-        self, explained_servers: Iterable[str] = ()
+        self, explained: Iterable[str] = ()
     ) -> dict[str, Crash]:
-        """Returns the ends that no answer and no other request explains."""
+        """Returns crashes that no response and no other request explains."""
         since = self.responded_at + RECENT_RESPONSE_S
         return {
             server: crash
             for server, crash in self.crashes.items()
-            if crash.crashed_at > since and server not in explained_servers
+            if crash.crashed_at > since and server not in explained
         }
 
     def last_crash_at(self) -> float:
-        """Returns the loop time of the last end."""
+        """Returns the loop time of the last crash."""
         return max(
             (crash.crashed_at for crash in self.crashes.values()),
             default=-math.inf,
@@ -143,21 +140,21 @@
 
 
 class CrashTable:
-    """Requests with which servers ended.
+    """Requests that were running on servers when these crashed.
 
     Attributes:
-        period_s: How long a request is refused after a server's end.
-        records: What is known, by request.
+        period_s: How long a request is quarantined after a server's crash.
+        records: Records by request.
         revision: Counts the changes of records.
     """
 
     def __init__(self, period_s: float, rng: random.Random) -> None:
         self.period_s = period_s
         self.random = rng
-        self.records: dict[str, RequestRecord] = {}
+        self.records: dict[str, Record] = {}
         self.revision = 0
 
-    # What is learned.
+    # Updates.
 
     def record_crash(
         self,
@@ -166,13 +163,13 @@
         crash: Crash,
         responded_at: float = -math.inf,
     ) -> list[QuarantineChange]:
-        """Notes that a server ended with a request on it.
+        """Records that a server crashed while it ran a request.
 
         Args:
             fingerprint: The request.
-            server: The server's start.
-            crash: When it was sent and when the server ended.
-            responded_at: Loop time of the last answer that is known here.
+            server: The server's incarnation.
+            crash: When the request was sent and when the server crashed.
+            responded_at: Loop time of the last response known to this daemon.
         """
         record = self._get_or_add(fingerprint)
         record.responded_at = max(record.responded_at, responded_at)
@@ -183,9 +180,9 @@
     def record_response(
         self, fingerprint: str, at: float
     ) -> list[QuarantineChange]:
-        """Notes that a server answered a request and went on.
+        """Records that a server responded to a request and kept running.
 
-        Changes nothing unless a server ended with the request on it.
+        Changes nothing unless a server crashed while it ran the request.
         """
         record = self.records.get(fingerprint)
         if record is None or not self._record_response(record, at):
@@ -198,14 +195,13 @@
         now: float,
         response_times: Mapping[str, float],
     ) -> MergeResult:
-        """Takes what another daemon knows.
+        """Merges the records of a peer.
 
         Args:
-            records: What it knows.
+            records: Records of the peer.
             now: Loop time.
-            response_times: Loop time of the last answers that are known here,
-                by
-                request.
+            response_times: Loop times of the last responses known to this
+                daemon, by request.
         """
         before = self.revision
         unknown_to_peer = []
@@ -220,44 +216,42 @@
             age_ms = fields["answered_age_ms"]
             if age_ms >= 0:
                 self._record_response(record, now - age_ms / 1000)
-            local_response_at = response_times.get(
-                record.fingerprint, -math.inf
-            )
-            if self._record_response(record, local_response_at):
+            local_at = response_times.get(record.fingerprint, -math.inf)
+            if self._record_response(record, local_at):
                 unknown_to_peer.append(record.fingerprint)
         if self.revision == before:
             return MergeResult([], False, [])
         return MergeResult(self._update_quarantine(), True, unknown_to_peer)
 
     def expire(self, now: float) -> None:
-        """Forgets requests with which no server ended for long."""
+        """Removes requests that have crashed no server for a long time."""
         oldest = now - RETENTION_PERIODS * self.period_s
         for record in list(self.records.values()):
             if record.last_crash_at() < oldest:
                 del self.records[record.fingerprint]
 
-    # What is asked.
+    # Queries.
 
     def quarantined_until(self, fingerprint: str, now: float) -> float | None:
-        """Returns until when a request is refused, or None if it is not."""
+        """Returns the end of a request's quarantine, or None without one."""
         record = self.records.get(fingerprint)
         if record is None or record.quarantined_until <= now:
             return None
         return record.quarantined_until
 
-    def quarantined_records(self, now: float) -> list[RequestRecord]:
-        """Returns the requests that are refused."""
+    def quarantined_records(self, now: float) -> list[Record]:
+        """Returns the records of quarantined requests."""
         return [r for r in self.records.values() if r.quarantined_until > now]
 
     def crashed_servers(self, fingerprint: str) -> frozenset[str]:
-        """Returns the servers that ended since the request's last answer."""
+        """Returns the servers that crashed since the last response."""
         record = self.records.get(fingerprint)
         return (
             frozenset(record.unexplained_crashes()) if record else frozenset()
         )
 
     def latest_revision(self, min_crashes: int) -> int:
-        """Returns the latest revision of requests with enough ends."""
+        """Returns the latest revision of records with enough crashes."""
         return max(
             (
                 record.revision
@@ -270,15 +264,16 @@
     def export_changes(
         self, now: float, after: int = 0, min_crashes: int = 1
     ) -> list[RecordFields]:
-        """Returns what other daemons are told.
+        """Returns the changed records as fields of a message to peers.
 
         Args:
             now: Loop time.
-            after: Revision from which on changes are told.
-            min_crashes: Fewest ends of a request that is told.
+            after: Only records changed after this revision are returned.
+            min_crashes: Only records with at least so many crashes are
+                returned.
         """
         return [
-            _to_fields(record, now)
+            _fields(record, now)
             for record in self.records.values()
             if record.revision > after and len(record.crashes) >= min_crashes
         ]
@@ -286,26 +281,20 @@
     def export_records(
         self, fingerprints: Iterable[str], now: float
     ) -> list[RecordFields]:
-        """Returns what is known of some requests."""
-        candidates = (self.records.get(name) for name in fingerprints)
-        return [
-            _to_fields(record, now)
-            for record in candidates
-            if record is not None
-        ]
+        """Returns the records of some requests as fields of a message."""
+        found = (self.records.get(name) for name in fingerprints)
+        return [_fields(record, now) for record in found if record is not None]
 
-    # Within.
-
-    def _get_or_add(self, fingerprint: str) -> RequestRecord:
+    def _get_or_add(self, fingerprint: str) -> Record:
         record = self.records.get(fingerprint)
         if record is None:
             self._make_room()
-            record = RequestRecord(fingerprint, self.random.random())
+            record = Record(fingerprint, self.random.random())
             self.records[fingerprint] = record
         return record
 
     def _make_room(self) -> None:
-        """Drops the request with the fewest ends, of these the oldest."""
+        """Removes the request with the fewest crashes; of these, the oldest."""
         if len(self.records) < MAX_REQUESTS:
             return
         evicted = min(
@@ -314,10 +303,8 @@
         )
         del self.records[evicted.fingerprint]
 
-    def _add_crash(
-        self, record: RequestRecord, server: str, crash: Crash
-    ) -> bool:
-        """Adds an end; False if it is known or older than those kept."""
+    def _add_crash(self, record: Record, server: str, crash: Crash) -> bool:
+        """Adds a crash; False if it is known or older than the kept ones."""
         if server in record.crashes:
             return False
         if len(record.crashes) >= MAX_CRASHES:
@@ -331,8 +318,8 @@
         self._mark_changed(record)
         return True
 
-    def _record_response(self, record: RequestRecord, at: float) -> bool:
-        """Takes an answer; tells whether it changes what its ends mean."""
+    def _record_response(self, record: Record, at: float) -> bool:
+        """Records a response; returns whether it explains any crash."""
         before = len(record.unexplained_crashes())
         record.responded_at = max(record.responded_at, at)
         if len(record.unexplained_crashes()) == before:
@@ -340,24 +327,22 @@
         self._mark_changed(record)
         return True
 
-    def _mark_changed(self, record: RequestRecord) -> None:
+    def _mark_changed(self, record: Record) -> None:
         self.revision += 1
         record.revision = self.revision
 
     def _update_quarantine(self) -> list[QuarantineChange]:
-        """Decides anew which requests are refused."""
+        """Decides again which requests are quarantined."""
         changes = []
-        explained_servers: set[str] = set()
+        explained: set[str] = set()
         for record in self._candidates():
-            crashes = record.unexplained_crashes(explained_servers)
+            crashes = record.unexplained_crashes(explained)
             until = -math.inf
             if _indicates_cause(crashes):
-                explained_servers.update(record.crashes)
-                last_crash_at = max(
-                    crash.crashed_at for crash in crashes.values()
-                )
-                until = last_crash_at + self.period_s * (
-                    1 + RETRY_SPREAD * record.spread_share
+                explained.update(record.crashes)
+                last = max(crash.crashed_at for crash in crashes.values())
+                until = last + self.period_s * (
+                    1 + RETRY_SPREAD * record.spread
                 )
             if until != record.quarantined_until:
                 record.quarantined_until = until
@@ -368,10 +353,10 @@
                 )
         return changes
 
-    def _candidates(self) -> Iterator[RequestRecord]:
-        """Yields those with enough ends, with the most ends first.
+    def _candidates(self) -> Iterator[Record]:
+        """Yields records with enough crashes, those with the most first.
 
-        The order is the same at every daemon that knows the same.
+        The order is the same at every daemon with the same records.
         """
         candidates = [
             record
@@ -385,7 +370,7 @@
 
 
 def _indicates_cause(crashes: dict[str, Crash]) -> bool:
-    """Tells whether servers ended one after the other under a request."""
+    """Returns whether the request was sent on after one of the crashes."""
     if len(crashes) < MIN_CRASHES:
         return False
     last_sent_at = max(crash.sent_at for crash in crashes.values())
@@ -393,8 +378,8 @@
     return last_sent_at >= first_crashed_at
 
 
-def _to_fields(record: RequestRecord, now: float) -> RecordFields:
-    responded_at = record.responded_at
+def _fields(record: Record, now: float) -> RecordFields:
+    at = record.responded_at
     return RecordFields(
         fingerprint=record.fingerprint,
         ends=[
@@ -405,9 +390,7 @@
             )
             for server, crash in record.crashes.items()
         ],
-        answered_age_ms=_age_ms(responded_at, now)
-        if responded_at > -math.inf
-        else -1,
+        answered_age_ms=_age_ms(at, now) if at > -math.inf else -1,
     )
 
 
--- a/banyantiller/quarantine/crash_tracker.py
+++ b/banyantiller/quarantine/crash_tracker.py
@@ -1,9 +1,9 @@
-"""What one daemon sees of servers that end, and what follows from it.
+"""Relates requests without a response to servers that crashed.
 
-A request counts as having been on a server that ended if it got no answer there
-and the server's machine refuses new connections. A cut link refuses nothing, a
-server that reset one connection takes the next one, and a server that leaves
-is not looked at: whoever feeds this part sees to that.
+A server counts as crashed while it ran a request if the request got no
+response and the server's machine refuses new connections. A broken link doesn't
+refuse connections, and a server that resets one connection accepts the next
+one. Callers of this module leave out servers that are shutting down.
 """
 
 import collections
@@ -13,24 +13,25 @@
 
 from banyantiller.quarantine import crash_table
 
-# A request that was given up so shortly before its server was found gone may
-# have ended it: the server learns of it when the request's end arrives.
+# A request that was cancelled at most this long before its server was found
+# crashed may have caused the crash: the server learns of the cancellation only
+# when the end of the request reaches it.
 MAX_FAILURE_AGE_S = 0.5
-# Requests that were answered lately, so that one which others suspect is known
-# to be answered elsewhere at once.
+# Requests with recent responses that are kept, so that a request which peers
+# suspect is cleared at once.
 MAX_RESPONSES = 1024
-# Requests without an answer that are kept of one server; it executes fewer.
+# Requests without a response kept for each server; it runs fewer at a time.
 MAX_UNANSWERED = 64
 
 
 class UnansweredRequest(NamedTuple):
-    """A request that was sent to a server and got no answer there.
+    """A request that was sent to a server and got no response.
 
     Attributes:
         fingerprint: The request.
-        request_id: Identity of its sending.
+        request_id: Identifier of this sending of the request.
         sent_at: Loop time at which it was sent.
-        failed_at: Loop time at which its connection broke or was given up.
+        failed_at: Loop time at which its connection broke or it was cancelled.
     """
 
     fingerprint: str
@@ -40,13 +41,13 @@
 
 
 class Callbacks(NamedTuple):
-    """What is called with what was seen and concluded.
+    """Functions that a `CrashTracker` calls.
 
     Attributes:
-        publish: Of these requests something new was seen here; others are to be
-            told.
-        on_crash: A server ended with a request on it.
-        on_change: What is believed of a request has changed.
+        publish: Sends the records of these requests to peers; they contain
+            something that this daemon observed.
+        on_crash: Reports that a server crashed while it ran a request.
+        on_change: Reports that a quarantine started or ended.
     """
 
     publish: Callable[[Iterable[str]], None]
@@ -55,15 +56,15 @@
 
 
 class CrashTracker:
-    """Joins what becomes of requests with what becomes of servers.
+    """Records the results of requests and the crashes of servers.
 
-    A server is named by its start: another start has another name, which is the
-    same at every daemon.
+    A server is identified by its incarnation: a restarted server has another
+    name, which is the same at every daemon.
 
     Attributes:
-        table: Requests with which servers ended.
-        unanswered: Requests without an answer, by server.
-        response_times: Loop time of the last answers, by request.
+        table: Requests that were running on servers when these crashed.
+        unanswered: Requests without a response, by server.
+        response_times: Loop times of the last responses, by request.
     """
 
     def __init__(
@@ -74,11 +75,11 @@
         self.unanswered: dict[str, collections.deque[UnansweredRequest]] = {}
         self.response_times: dict[str, float] = {}
 
-    # What happens to requests and servers.
+    # Updates.
 
     def record_response(self, fingerprint: str, now: float) -> None:
-        """Notes that a server answered a request and went on."""
-        # The latest one last, so that the oldest is dropped first.
+        """Records that a server responded to a request and kept running."""
+        # Reinserts the latest response last, so that the oldest is evicted.
         self.response_times.pop(fingerprint, None)
         self.response_times[fingerprint] = now
         if len(self.response_times) > MAX_RESPONSES:
@@ -88,7 +89,7 @@
     def record_unanswered(
         self, server: str, request: UnansweredRequest
     ) -> None:
-        """Notes that a request got no answer from a server."""
+        """Records that a request got no response from a server."""
         unanswered = self.unanswered.get(server)
         if unanswered is None:
             unanswered = collections.deque(maxlen=MAX_UNANSWERED)
@@ -96,7 +97,7 @@
         unanswered.append(request)
 
     def record_refused_connection(self, server: str, now: float) -> None:
-        """Notes that a server's machine refuses connections to it."""
+        """Records that a server's machine refuses connections to it."""
         unanswered = self.unanswered.pop(server, ())
         recent = [
             request
@@ -120,7 +121,7 @@
     def receive_records(
         self, records: list[crash_table.RecordFields], now: float
     ) -> bool:
-        """Takes what another daemon knows; tells whether anything was new."""
+        """Merges the records of a peer; returns whether anything was new."""
         merged = self.table.merge_records(records, now, self.response_times)
         self._report_changes(merged.changes)
         if merged.unknown_to_peer:
@@ -128,9 +129,12 @@
         return merged.is_new
 
     def lift(self, fingerprint: str, now: float) -> bool:
-        """Forgets what counts against a request; False if nothing does.
+        """Lifts the quarantine of a request on behalf of an operator.
 
-        Called for an operator who knows better.
+        The crashes so far count as explained from now on.
+
+        Returns:
+            Whether there were any unexplained crashes.
         """
         if not self.table.crashed_servers(fingerprint):
             return False
@@ -138,7 +142,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Forgets what is out of date."""
+        """Removes outdated records."""
         self.table.expire(now)
         for server, unanswered in list(self.unanswered.items()):
             while (
@@ -148,30 +152,27 @@
             if not unanswered:
                 del self.unanswered[server]
 
-    # What calls ask.
+    # Queries.
 
     def quarantine_left_s(self, fingerprint: str, now: float) -> float | None:
-        """Returns how long a request is still refused, or None."""
+        """Returns how long a request is still quarantined, or None."""
         until = self.table.quarantined_until(fingerprint, now)
         return None if until is None else until - now
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tells whether a server ended with a request that none answered."""
+        """Returns whether a server crashed since the last response."""
         return bool(self.table.crashed_servers(fingerprint))
 
     def count_crashes(self, fingerprint: str, lost_server: str) -> int:
-        """Counts the servers that ended with a request on them.
+        """Counts the servers that crashed while they ran a request.
 
         Args:
             fingerprint: The request.
-            lost_server: A server that broke the connection just now, and
-                counts as
-                ended.
+            lost_server: A server that has just closed the connection, and
+                counts as crashed.
         """
         return len(self.table.crashed_servers(fingerprint) | {lost_server})
 
-    # Within.
-
     def _record_response(self, fingerprint: str, at: float) -> None:
         before = self.table.revision
         self._report_changes(self.table.record_response(fingerprint, at))
--- a/banyantiller/quarantine/fingerprint.py
+++ b/banyantiller/quarantine/fingerprint.py
@@ -1,22 +1,22 @@
-"""Tells whether two requests are the same request, sent again."""
+"""Digests by which a repeated request is recognised."""
 
 import hashlib
 
-# Separates these digests from others of the same bytes. It is no secret: all
-# daemons of a fleet have to find the same digest.
+# Separates these digests from others of the same bytes. It is not secret: all
+# daemons of a fleet must compute the same digest.
 DIGEST_KEY = b"banyantiller request"
 DIGEST_BYTES = 16
 LENGTH_BYTES = 8
 
 
 class Fingerprint:
-    """A digest of what stays the same when a request is sent again.
+    """A digest of the parts of a request that stay the same when it is resent.
 
-    That is method, host, target, caller and body. What a caller renews with
-    each sending, such as an identity or a deadline, is no part of it, and
-    neither is how the body was cut into pieces. A caller is who it
-    says in its own field: the address that it sends from may be another one
-    each time, and no server gets to see it.
+    These are method, host, target, caller and body. Values that a caller renews
+    with each sending, such as a request identifier or a deadline, are not
+    included, nor is the division of the body into chunks. The caller is what
+    the request's own field says: its address may differ with each sending, and
+    no server sees it.
     """
 
     __slots__ = ("_digest",)
@@ -24,14 +24,15 @@
     def __init__(
         self, method: bytes, host: bytes, target: bytes, caller: bytes
     ) -> None:
-        """Begins with what is known before the body.
+        """Starts with what is known before the body.
 
         Args:
             method: HTTP method.
-            host: Value of Host. Its port counts for nothing: daemons may listen
-                on different ones.
+            host: Value of Host. Its port is ignored: daemons may listen on
+                different ones.
             target: Path and query.
-            caller: What it says of who sends it, such as its key, or empty.
+            caller: What the request says of its sender, such as its key, or
+                empty.
         """
         self._digest = hashlib.blake2b(key=DIGEST_KEY, digest_size=DIGEST_BYTES)
         for part in (method, _normalize_host(host), target, caller):
@@ -39,11 +40,11 @@
             self._digest.update(part)
 
     def update(self, part: bytes) -> None:
-        """Adds the next piece of the body."""
+        """Adds the next part of the body."""
         self._digest.update(part)
 
     def hexdigest(self) -> str:
-        """Returns the digest of what was added so far, in hex."""
+        """Returns the digest of everything added so far, in hex."""
         return self._digest.hexdigest()
 
 
--- a/banyantiller/tests/quarantine/__init__.py
+++ b/banyantiller/tests/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway."""
+"""Tests of the quarantine."""
--- a/banyantiller/tests/quarantine/test_crash_tracker.py
+++ b/banyantiller/tests/quarantine/test_crash_tracker.py
@@ -1,4 +1,4 @@
-"""Tests of what one daemon sees of servers that end."""
+"""Tests of how one daemon relates requests to crashed servers."""
 
 import random
 
@@ -10,13 +10,13 @@
 
 
 class Recorder:
-    """A watch and what it told.
+    """A tracker and the arguments of its callbacks.
 
     Attributes:
-        watch: The watch.
-        news: Requests of which something new was seen.
-        ended: Servers that ended, with the identity of a request on each.
-        verdicts: Changes of what is believed.
+        tracker: The tracker.
+        published: Requests whose records were to be sent to peers.
+        crashes: Crashed servers, with the identifier of a request on each.
+        changes: Changes of quarantines.
     """
 
     def __init__(self):
@@ -34,7 +34,7 @@
         self.tracker = crash_tracker.CrashTracker(table, callbacks)
 
     def record_unanswered(self, server, fingerprint="a", at=NOW):
-        """A request got no answer from a server."""
+        """Records that a request got no response from a server."""
         request = crash_tracker.UnansweredRequest(
             fingerprint, f"id-{fingerprint}", at - 0.1, at
         )
@@ -42,7 +42,7 @@
 
 
 class WatchTest(testtools.TestCase):
-    def test_a_server_that_ends_takes_all_that_ran_there(self):
+    def test_crash_counts_for_all_requests_on_the_server(self):
         recorder = Recorder()
         recorder.record_unanswered("s1", "a")
         recorder.record_unanswered("s1", "b")
@@ -53,7 +53,7 @@
         self.assertTrue(recorder.tracker.is_suspect("a"))
         self.assertFalse(recorder.tracker.is_suspect("c"))
 
-    def test_one_that_was_given_up_long_before_has_no_part_in_it(self):
+    def test_request_cancelled_long_before_a_crash_is_not_counted(self):
         recorder = Recorder()
         recorder.record_unanswered("s1")
         recorder.tracker.record_refused_connection(
@@ -61,7 +61,7 @@
         )
         self.assertEqual([], recorder.crashes)
 
-    def test_what_is_kept_is_bounded(self):
+    def test_number_of_kept_requests_is_bounded(self):
         recorder = Recorder()
         for number in range(3 * crash_tracker.MAX_UNANSWERED):
             recorder.record_unanswered("s1", f"r{number}")
@@ -76,7 +76,9 @@
         recorder.tracker.expire(NOW + 10)
         self.assertEqual({}, recorder.tracker.unanswered)
 
-    def test_what_was_answered_here_lately_is_told_at_once(self):
+    def test_recent_response_is_published_when_a_peer_suspects_the_request(
+        self,
+    ):
         recorder = Recorder()
         recorder.tracker.record_response("a", NOW)
         record = crash_table.RecordFields(
@@ -95,7 +97,7 @@
         self.assertIsNone(recorder.tracker.quarantine_left_s("a", NOW + 1))
         self.assertEqual(["a"], recorder.published)
 
-    def test_each_change_of_belief_is_told_once(self):
+    def test_each_change_is_reported_once(self):
         recorder = Recorder()
         for number in range(3):
             recorder.record_unanswered(f"s{number}", at=NOW + number)
--- a/banyantiller/tests/quarantine/test_fingerprint.py
+++ b/banyantiller/tests/quarantine/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Tests of what makes two sendings the same request."""
+"""Tests of which requests have the same fingerprint."""
 
 import testtools
 
@@ -13,7 +13,7 @@
 
 
 class FingerprintTest(testtools.TestCase):
-    def test_pieces_of_a_body_make_no_difference(self):
+    def test_division_of_a_body_makes_no_difference(self):
         self.assertEqual(
             digest_of(body=(b"abc", b"", b"d")), digest_of(body=(b"abcd",))
         )
@@ -24,7 +24,7 @@
         )
 
     def test_the_port_of_a_host_makes_no_difference(self):
-        """Callers may reach each daemon at a port of its own."""
+        """Callers may reach each daemon at a different port."""
         self.assertEqual(digest_of(host=b"a"), digest_of(host=b"a:8001"))
         self.assertEqual(
             digest_of(host=b"[::1]:80"), digest_of(host=b"[::1]:81")
@@ -38,11 +38,11 @@
             digest_of(target=b"/x?y=1"),
             digest_of(caller=b"other"),
             digest_of(body=(b"b",)),
-            # The same bytes, cut elsewhere.
+            # The same bytes, divided differently.
             digest_of(host=b"a/", target=b"x"),
         ]
         self.assertEqual(len(others) + 1, len({digest_of(), *others}))
 
-    def test_processes_agree(self):
-        """Python's own hash differs between processes; this may not."""
+    def test_fingerprint_is_the_same_in_all_processes(self):
+        """Python's own hash differs between processes; this one must not."""
         self.assertEqual("30a6ca8cab829effea1338f1e685f6b7", digest_of())
