--- a/banyantiller/daemon/leaving_servers.py
+++ b/banyantiller/daemon/leaving_servers.py
@@ -56,7 +56,7 @@
 
     vm_list = daemon.settings.vm_list
     period_s = vm_list.period_s if vm_list is not None else 0.0
-    outlets = leaving.Outlets(
+    outlets = leaving.Callbacks(
         leave, daemon.proxy.server_back, daemon.peers.broadcast
     )
     return leaving.LeavingServers.from_settings(daemon.vms, period_s, outlets)
@@ -67,17 +67,17 @@
 
     def on_leaving(event: events.ServerLeaving) -> None:
         if event.reason == Reason.DRAIN_ANSWER:
-            part.drain_told(event.service, event.server)
+            part.record_draining(event.service, event.server)
 
     def on_returned(event: events.ServerReturned) -> None:
         now = asyncio.get_running_loop().time()
-        part.open_told(event.service, event.server, now)
+        part.record_not_draining(event.service, event.server, now)
 
     daemon.spread.subscribe(lambda held: part.configure(held.bundle.services))
     daemon.kernel.subscribe(events.ServerLeaving, on_leaving)
     daemon.kernel.subscribe(events.ServerReturned, on_returned)
     for kind in (messages.ServersLeaving, messages.ServersReturned):
-        daemon.peers.subscribe(kind, lambda _, told: part.peer_told(told))
+        daemon.peers.subscribe(kind, lambda _, told: part.receive_message(told))
 
 
 async def _follow(
@@ -89,7 +89,7 @@
         listed = await daemon.vms.read()
         if isinstance(listed, interface.VmsListed):
             _hint_peers(daemon, listed)
-            part.take_list(listed)
+            part.receive_vm_list(listed)
         await asyncio.sleep(daemon.settings.vm_list.period_s)
 
 
--- a/banyantiller/leaving/notices.py
+++ b/banyantiller/leaving/notices.py
@@ -3,9 +3,9 @@
 import dataclasses
 import math
 
-REPEATS = 4
-REMINDER_S = 5.0
-PEER_HOLD_S = 6 * REMINDER_S
+PUBLISH_REPEATS = 4
+REMINDER_PERIOD_S = 5.0
+PEER_NOTICE_TTL_S = 6 * REMINDER_PERIOD_S
 
 
 @dataclasses.dataclass(slots=True)
@@ -17,72 +17,72 @@
 
     Attributes:
         since: When it was said first, or None while it doesn't hold.
-        is_first_hand: Whether this daemon knows it without its peers.
-        heard_at: When a peer told it last.
-        passed_on_at: When that was passed on last.
-        tell_at: When to tell it next.
-        told: Times that it was told.
+        is_direct: Whether this daemon knows it without its peers.
+        received_at: When a peer told it last.
+        forwarded_at: When that was passed on last.
+        publish_at: When to tell it next.
+        publish_count: Times that it was told.
     """
 
     since: float | None = None
-    is_first_hand: bool = False
-    heard_at: float = -math.inf
-    passed_on_at: float = -math.inf
-    tell_at: float = math.inf
-    told: int = 0
+    is_direct: bool = False
+    received_at: float = -math.inf
+    forwarded_at: float = -math.inf
+    publish_at: float = math.inf
+    publish_count: int = 0
 
-    def holds(self) -> bool:
+    def is_active(self) -> bool:
         """Tells whether it is a reason now."""
         return self.since is not None
 
-    def begin(self, now: float) -> None:
+    def learn(self, now: float) -> None:
         """This daemon learned it first-hand."""
-        if self.is_first_hand:
+        if self.is_direct:
             return
         self.since = now
-        self.is_first_hand = True
-        self.told = 0
-        self.tell_at = now
+        self.is_direct = True
+        self.publish_count = 0
+        self.publish_at = now
 
-    def hear(self, said_at: float, now: float) -> None:
+    def receive(self, learned_at: float, now: float) -> None:
         """A peer told it, or told it again."""
-        if self.is_first_hand:
+        if self.is_direct:
             return
-        if now - self.passed_on_at >= REMINDER_S / 2:
-            self.passed_on_at = now
-            self.tell_at = now
-        self.heard_at = now
-        if not self.holds():
-            self.since = said_at
-            self.told = 0
+        if now - self.forwarded_at >= REMINDER_PERIOD_S / 2:
+            self.forwarded_at = now
+            self.publish_at = now
+        self.received_at = now
+        if not self.is_active():
+            self.since = learned_at
+            self.publish_count = 0
 
-    def end(self) -> None:
+    def clear(self) -> None:
         """It holds no longer."""
         self.since = None
-        self.is_first_hand = False
-        self.tell_at = math.inf
+        self.is_direct = False
+        self.publish_at = math.inf
 
     def expire(self, now: float) -> None:
         """Ends what the peers no longer tell."""
-        if self.holds() and not self.is_first_hand and now >= self.ends_at():
-            self.end()
+        if self.is_active() and not self.is_direct and now >= self.expires_at():
+            self.clear()
 
-    def ends_at(self) -> float:
+    def expires_at(self) -> float:
         """Returns when it ends by itself."""
-        if not self.holds() or self.is_first_hand:
+        if not self.is_active() or self.is_direct:
             return math.inf
-        return self.heard_at + PEER_HOLD_S
+        return self.received_at + PEER_NOTICE_TTL_S
 
-    def note_told(self, now: float, within_s: float) -> None:
+    def record_published(self, now: float, stop_within_s: float) -> None:
         """Plans the next time: some repeats in time, then reminders.
 
         Reminders come from daemons that know it first-hand; the others only
         pass them on.
         """
-        self.told += 1
-        if self.told < REPEATS:
-            self.tell_at = now + within_s / REPEATS
-        elif self.is_first_hand:
-            self.tell_at = now + REMINDER_S
+        self.publish_count += 1
+        if self.publish_count < PUBLISH_REPEATS:
+            self.publish_at = now + stop_within_s / PUBLISH_REPEATS
+        elif self.is_direct:
+            self.publish_at = now + REMINDER_PERIOD_S
         else:
-            self.tell_at = math.inf
+            self.publish_at = math.inf
--- a/banyantiller/leaving/task.py
+++ b/banyantiller/leaving/task.py
@@ -13,11 +13,11 @@
 from banyantiller.leaving import tracker
 from banyantiller.leaving.types import (
     Action,
-    Back,
-    Leave,
-    Server,
-    TellLeaving,
-    TellReturn,
+    PublishLeaving,
+    PublishReturn,
+    ResumeSending,
+    ServerKey,
+    StopSending,
 )
 from banyantiller.membership import messages
 from banyantiller.vmlist import interface
@@ -25,22 +25,22 @@
 
 log = structlog.get_logger("banyantiller.leaving")
 
-SHORTEST_PAUSE_S = 0.001
-LONGEST_PAUSE_S = 1.0
+MIN_PAUSE_S = 0.001
+MAX_PAUSE_S = 1.0
 
 
-class Outlets(NamedTuple):
+class Callbacks(NamedTuple):
     """What the task calls.
 
     Attributes:
-        leave: Gives a server nothing new: service, server, reason.
-        back: Gives a server requests again: service, server.
-        tell: Sends a message to all linked peers.
+        stop_sending: Gives a server nothing new: service, server, reason.
+        resume_sending: Gives a server requests again: service, server.
+        publish: Sends a message to all linked peers.
     """
 
-    leave: Callable[[str, str, str], None]
-    back: Callable[[str, str], None]
-    tell: Callable[[Any], object]
+    stop_sending: Callable[[str, str, str], None]
+    resume_sending: Callable[[str, str], None]
+    publish: Callable[[Any], object]
 
 
 class LeavingServers:
@@ -55,11 +55,11 @@
         self,
         vm_list: interface.VmList | None,
         period_s: float,
-        outlets: Outlets,
+        callbacks: Callbacks,
     ) -> None:
         self.vm_list = vm_list
         self.period_s = period_s
-        self.outlets = outlets
+        self.callbacks = callbacks
         self.tracker = tracker.LeavingTracker()
         self.vms = vm_tracker.VmTracker()
 
@@ -68,103 +68,111 @@
         cls,
         vm_list: interface.VmList | None,
         period_s: float,
-        outlets: Outlets,
+        callbacks: Callbacks,
     ) -> "LeavingServers":
         """Constructs the part.
 
         Args:
             vm_list: The platform's VM list, or None without one.
             period_s: Period of its reads.
-            outlets: What is called with the decisions.
+            callbacks: What is called with the decisions.
         """
-        return cls(vm_list, period_s, outlets)
+        return cls(vm_list, period_s, callbacks)
 
     def configure(self, services: Iterable[options.Service]) -> None:
         """Takes the bundle in force."""
-        self._act(self.tracker.configure(services, _now()))
+        self._apply(self.tracker.configure(services, _now()))
 
-    def drain_told(self, service: str, server: str) -> None:
+    def record_draining(self, service: str, server: str) -> None:
         """A server told this daemon that it drains."""
-        key = Server(service, server)
-        self._act(self.tracker.drain_told(key, _now()))
+        key = ServerKey(service, server)
+        self._apply(self.tracker.record_draining(key, _now()))
 
-    def open_told(self, service: str, server: str, asked_at: float) -> None:
+    def record_not_draining(
+        self, service: str, server: str, probed_at: float
+    ) -> None:
         """A server, asked at a loop time, said that it does not drain."""
-        key = Server(service, server)
-        self._act(self.tracker.open_told(key, asked_at, _now()))
+        key = ServerKey(service, server)
+        self._apply(self.tracker.record_not_draining(key, probed_at, _now()))
         entry = self.tracker.entries.get(key)
         if entry is not None and entry.reason is not None:
             # The data path gave it requests again, but another reason holds.
-            self.outlets.leave(service, server, entry.reason.value)
+            self.callbacks.stop_sending(service, server, entry.reason.value)
 
-    def refused(self, service: str, server: str) -> None:
+    def record_refused_connection(self, service: str, server: str) -> None:
         """A server refused a connection."""
-        self._act(self.tracker.refused(Server(service, server), _now()))
+        self._apply(
+            self.tracker.record_refused_connection(
+                ServerKey(service, server), _now()
+            )
+        )
 
-    def connected(self, service: str, server: str) -> None:
+    def record_connection(self, service: str, server: str) -> None:
         """A server accepted a connection."""
-        self._act(self.tracker.connected(Server(service, server), _now()))
+        self._apply(
+            self.tracker.record_connection(ServerKey(service, server), _now())
+        )
 
-    def peer_told(
+    def receive_message(
         self, message: messages.ServersLeaving | messages.ServersReturned
     ) -> None:
         """Takes a message of another daemon."""
         age_s = max(0, message.age_ms) / 1000
         now = _now()
         for name in message.servers:
-            key = Server(message.service, name)
+            key = ServerKey(message.service, name)
             if isinstance(message, messages.ServersLeaving):
-                actions = self.tracker.peer_told_leaving(
+                actions = self.tracker.receive_leaving(
                     key, message.by_vm_list, age_s, now
                 )
             else:
-                actions = self.tracker.peer_told_return(key, age_s, now)
-            self._act(actions)
+                actions = self.tracker.receive_return(key, age_s, now)
+            self._apply(actions)
 
-    def take_list(self, listed: interface.VmsListed) -> None:
+    def receive_vm_list(self, listed: interface.VmsListed) -> None:
         """Takes a list if it is newer than those read before."""
         before = self.vms.as_of
         changes = self.vms.observe(listed)
         if self.vms.as_of != before:
-            self._act(self.tracker.vms_read(changes, _now()))
+            self._apply(self.tracker.receive_vm_changes(changes, _now()))
 
     async def run(self) -> None:
         """Repeats, reminds and ends what is due."""
         while True:
             now = _now()
             due = self.tracker.next_tick()
-            pause_s = LONGEST_PAUSE_S if due is None else due - now
-            pause_s = max(pause_s, SHORTEST_PAUSE_S)
-            await asyncio.sleep(min(pause_s, LONGEST_PAUSE_S))
-            self._act(self.tracker.tick(_now()))
+            pause_s = MAX_PAUSE_S if due is None else due - now
+            pause_s = max(pause_s, MIN_PAUSE_S)
+            await asyncio.sleep(min(pause_s, MAX_PAUSE_S))
+            self._apply(self.tracker.tick(_now()))
 
-    async def follow_vms(self) -> None:
+    async def poll_vm_list(self) -> None:
         """Reads the VM list periodically; a failed read changes nothing."""
         while self.vm_list is not None:
             listed = await self.vm_list.read()
             if isinstance(listed, interface.VmsListed):
-                self.take_list(listed)
+                self.receive_vm_list(listed)
             await asyncio.sleep(self.period_s)
 
-    def _act(self, actions: list[Action]) -> None:
+    def _apply(self, actions: list[Action]) -> None:
         for action in actions:
             service, name = action.server
-            if isinstance(action, Leave):
+            if isinstance(action, StopSending):
                 log.info("leaving: nothing new.", server=name)
-                self.outlets.leave(service, name, action.reason.value)
-            elif isinstance(action, Back):
+                self.callbacks.stop_sending(service, name, action.reason.value)
+            elif isinstance(action, ResumeSending):
                 log.info("leaving: back again.", server=name)
-                self.outlets.back(service, name)
+                self.callbacks.resume_sending(service, name)
             else:
-                self.outlets.tell(_message(action))
+                self.callbacks.publish(_to_message(action))
 
 
-def _message(
-    action: TellLeaving | TellReturn,
+def _to_message(
+    action: PublishLeaving | PublishReturn,
 ) -> messages.ServersLeaving | messages.ServersReturned:
     service, name = action.server
     age_ms = round(action.age_s * 1000)
-    if isinstance(action, TellReturn):
+    if isinstance(action, PublishReturn):
         return messages.ServersReturned(service, (name,), age_ms)
     return messages.ServersLeaving(service, (name,), age_ms, action.by_vm_list)
 
--- a/banyantiller/leaving/types.py
+++ b/banyantiller/leaving/types.py
@@ -21,7 +21,7 @@
     REFUSED = "refused"
 
 
-class Server(NamedTuple):
+class ServerKey(NamedTuple):
     """Names one backend server of one service."""
 
     service: str
@@ -29,22 +29,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Leave:
+class StopSending:
     """Give a server nothing new from now on."""
 
-    server: Server
+    server: ServerKey
     reason: Reason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Back:
+class ResumeSending:
     """Give a server requests again."""
 
-    server: Server
+    server: ServerKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellLeaving:
+class PublishLeaving:
     """Tell the other daemons that a server leaves.
 
     Attributes:
@@ -53,13 +53,13 @@
         age_s: Time since this was learned first-hand.
     """
 
-    server: Server
+    server: ServerKey
     by_vm_list: bool
     age_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellReturn:
+class PublishReturn:
     """Tell the other daemons that a server drains no more.
 
     Attributes:
@@ -67,8 +67,8 @@
         age_s: Time since it was asked.
     """
 
-    server: Server
+    server: ServerKey
     age_s: float
 
 
-Action = Leave | Back | TellLeaving | TellReturn
+Action = StopSending | ResumeSending | PublishLeaving | PublishReturn
--- a/banyantiller/quarantine/crash_table.py
+++ b/banyantiller/quarantine/crash_table.py
@@ -370,7 +370,7 @@
 
 
 def _indicates_cause(crashes: dict[str, Crash]) -> bool:
-    """Returns whether the request was sent on after one of the crashes."""
+    """Returns whether the request was sent again after the first crash."""
     if len(crashes) < MIN_CRASHES:
         return False
     last_sent_at = max(crash.sent_at for crash in crashes.values())
--- a/banyantiller/tests/leaving/test_daemon.py
+++ b/banyantiller/tests/leaving/test_daemon.py
@@ -20,12 +20,12 @@
     async def answer(self, request: messages.Request) -> messages.Response:
         """Answers with the load of a server."""
         draining = int(self.draining)
-        told = (
+        report = (
             f"TEXT named_metrics.in_flight=1, named_metrics.draining={draining}"
         )
-        return messages.Response(200, ((METRICS, told),), b"done")
+        return messages.Response(200, ((METRICS, report),), b"done")
 
-    def out_of_use(self) -> list[int]:
+    def leaving_counts(self) -> list[int]:
         """Returns how many servers get nothing new, by daemon."""
         return [
             sum(len(d.leaving) for d in daemon.proxy.drivers.values())
@@ -43,12 +43,12 @@
             fleet.draining = True
             await whole.send(8001, "GET", "/orders/1")
             await asyncio.sleep(STOP_WITHIN_S)
-            self.assertEqual([1, 1, 1], fleet.out_of_use())
+            self.assertEqual([1, 1, 1], fleet.leaving_counts())
             await asyncio.sleep(100)
-            self.assertEqual([1, 1, 1], fleet.out_of_use())
+            self.assertEqual([1, 1, 1], fleet.leaving_counts())
             fleet.draining = False
             await asyncio.sleep(100)
-            self.assertEqual([0, 0, 0], fleet.out_of_use())
+            self.assertEqual([0, 0, 0], fleet.leaving_counts())
             await fleet.stop()
 
         self.run_paused(scenario())
--- a/banyantiller/tests/leaving/test_fleet.py
+++ b/banyantiller/tests/leaving/test_fleet.py
@@ -28,23 +28,25 @@
         self.part = task.LeavingServers.from_settings(
             fleet.vms[index],
             1.0,
-            task.Outlets(self.leave, self.back, self.tell),
+            task.Callbacks(
+                self.stop_sending, self.resume_sending, self.publish
+            ),
         )
         self.part.configure([SERVICE])
         self.tasks = [
             asyncio.create_task(self.part.run()),
-            asyncio.create_task(self.part.follow_vms()),
+            asyncio.create_task(self.part.poll_vm_list()),
         ]
 
-    def leave(self, service: str, server: str, reason: str) -> None:
+    def stop_sending(self, service: str, server: str, reason: str) -> None:
         self.stopped_at = asyncio.get_running_loop().time()
 
-    def back(self, service: str, server: str) -> None:
+    def resume_sending(self, service: str, server: str) -> None:
         self.stopped_at = None
 
-    def tell(self, message: Any) -> None:
-        for other in self.fleet.links[self.index]:
-            self.fleet.send(other, messages.encode(message))
+    def publish(self, message: Any) -> None:
+        for peer in self.fleet.links[self.index]:
+            self.fleet.send(peer, messages.encode(message))
 
     def stop(self) -> None:
         for running in self.tasks:
@@ -61,10 +63,10 @@
         self.vms = [memory.MemoryVmList((LIVE,), 1.0) for _ in range(SIZE)]
         self.links: list[set[int]] = [set() for _ in range(SIZE)]
         for index in range(SIZE):
-            others = [other for other in range(SIZE) if other != index]
-            for other in self.random.sample(others, LINKS // 2):
-                self.links[index].add(other)
-                self.links[other].add(index)
+            peers = [peer for peer in range(SIZE) if peer != index]
+            for peer in self.random.sample(peers, LINKS // 2):
+                self.links[index].add(peer)
+                self.links[peer].add(index)
         self.nodes = [Node(self, index) for index in range(SIZE)]
 
     def send(self, to: int, data: bytes) -> None:
@@ -76,7 +78,7 @@
         loop.call_later(delay_s, self.deliver, to, data)
 
     def deliver(self, to: int, data: bytes) -> None:
-        self.nodes[to].part.peer_told(messages.decode(data))
+        self.nodes[to].part.receive_message(messages.decode(data))
 
     def restart(self, index: int) -> None:
         self.nodes[index].stop()
@@ -90,7 +92,7 @@
         """Returns when the last daemon stopped; all must have."""
         return max(node.stopped_at for node in self.nodes)
 
-    def using(self) -> int:
+    def count_sending(self) -> int:
         return sum(node.stopped_at is None for node in self.nodes)
 
 
@@ -101,12 +103,12 @@
             for vms in fleet.vms:
                 vms.down = list_down
             await asyncio.sleep(10)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(STOP_WITHIN_S)
-            self.assertEqual(0, fleet.using())
+            self.assertEqual(0, fleet.count_sending())
             self.assertTrue(fleet.slowest_stop() <= 10 + STOP_WITHIN_S)
             await asyncio.sleep(150)
-            self.assertEqual(0, fleet.using())
+            self.assertEqual(0, fleet.count_sending())
             fleet.stop()
 
         for seed in range(10):
@@ -118,15 +120,15 @@
     ) -> None:
         async def scenario() -> None:
             fleet = Fleet(1)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(60)
             now = asyncio.get_running_loop().time()
-            fleet.nodes[3].part.open_told("registry", "s1", now)
+            fleet.nodes[3].part.record_not_draining("registry", "s1", now)
             await asyncio.sleep(2)
-            self.assertEqual(SIZE, fleet.using())
+            self.assertEqual(SIZE, fleet.count_sending())
             sent = fleet.sent
             await asyncio.sleep(600)
-            self.assertEqual(SIZE, fleet.using())
+            self.assertEqual(SIZE, fleet.count_sending())
             self.assertEqual(sent, fleet.sent)
             fleet.stop()
 
@@ -135,11 +137,11 @@
     def test_new_daemon_learns_from_a_reminder(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(2)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(100)
             fleet.restart(7)
             await asyncio.sleep(6)
-            self.assertEqual(0, fleet.using())
+            self.assertEqual(0, fleet.count_sending())
             fleet.stop()
 
         self.run_paused(scenario())
@@ -147,11 +149,11 @@
     def test_word_of_a_dead_daemon_ends(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(3, loss=0.1)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(50)
             fleet.restart(0)
             await asyncio.sleep(60)
-            self.assertEqual(SIZE, fleet.using())
+            self.assertEqual(SIZE, fleet.count_sending())
             fleet.stop()
 
         self.run_paused(scenario())
@@ -165,7 +167,7 @@
             for vms in fleet.vms[:7]:
                 vms.put(leaving)
             await asyncio.sleep(STOP_WITHIN_S)
-            self.assertEqual(0, fleet.using())
+            self.assertEqual(0, fleet.count_sending())
             fleet.stop()
 
         self.run_paused(scenario())
@@ -173,7 +175,7 @@
     def test_messages_stay_few_while_a_server_leaves(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(5)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(100)
             links = sum(len(linked) for linked in fleet.links)
             self.assertTrue(fleet.sent <= links * (4 + 100 / 5 + 1))
--- a/banyantiller/tests/spec/test_drain_conformance.py
+++ b/banyantiller/tests/spec/test_drain_conformance.py
@@ -53,7 +53,7 @@
         self.running = None
         self.calls = 0
         self.part = task.LeavingServers.from_settings(
-            None, 1.0, task.Outlets(self.leave, self.back, self.tell)
+            None, 1.0, task.Callbacks(self.leave, self.back, self.tell)
         )
         self.dispatcher = adaptive.create(
             SERVICE, self.states(), "d", "z1", index, now(), lambda _: False
@@ -92,17 +92,17 @@
         if isinstance(message, messages.ServersLeaving):
             self.note("hear_peer")
             self.ready = True
-        self.part.peer_told(message)
+        self.part.receive_message(message)
 
     def read(self):
         self.note("read")
         self.ready = True
-        self.part.take_list(vm_list(self.fleet.listed, now()))
+        self.part.receive_vm_list(vm_list(self.fleet.listed, now()))
 
     def failed_read(self):
         self.note("failed_read")
         if self.fleet.random.random() < 0.5:
-            self.part.take_list(vm_list(False, 0.0))
+            self.part.receive_vm_list(vm_list(False, 0.0))
 
     def send(self):
         if not self.ready or self.running is not None:
@@ -129,7 +129,7 @@
         self.running = None
         if draining and LEAVING not in self.reasons:
             self.leave("desk", LEAVING, "drain_answer")
-            self.part.drain_told("desk", LEAVING)
+            self.part.record_draining("desk", LEAVING)
 
     def end(self, attempt, draining):
         report = types.LoadReport(0.0, draining=draining)
@@ -140,7 +140,7 @@
     def probe_says_open(self):
         if self.reasons.get(LEAVING) == "drain_answer":
             self.back("desk", LEAVING)
-        self.part.open_told("desk", LEAVING, now())
+        self.part.record_not_draining("desk", LEAVING, now())
         report = types.LoadReport(0.0, source="probe")
         self.dispatcher.report(LEAVING, report, now())
 
@@ -241,9 +241,9 @@
 def forget_vm_list(part, server, asked_at, at):
     """Takes a probe's word, whatever the VM list says."""
     entry = part.entries[server]
-    entry.vm.end()
-    entry.opened(asked_at, at, returns=0)
-    return part._settle(server, entry, at)
+    entry.vm.clear()
+    entry.record_not_draining(asked_at, at, return_publish_count=0)
+    return part._update(server, entry, at)
 
 
 def follow_all(case, count):
@@ -274,15 +274,17 @@
         self.assertEqual({"send"}, kinds)
 
     def test_code_that_forgets_the_vm_list_after_a_probe_is_found(self):
-        self.patch(tracker.LeavingTracker, "open_told", forget_vm_list)
+        self.patch(
+            tracker.LeavingTracker, "record_not_draining", forget_vm_list
+        )
         self.assert_sends_are_found()
 
     def test_code_that_ignores_the_vm_list_is_found(self):
-        self.patch(tracker.LeavingTracker, "vms_read", lambda *_: [])
+        self.patch(tracker.LeavingTracker, "receive_vm_changes", lambda *_: [])
         self.assert_sends_are_found()
 
     def test_code_that_ignores_its_peers_is_found(self):
-        self.patch(tracker.LeavingTracker, "peer_told_leaving", lambda *_: [])
+        self.patch(tracker.LeavingTracker, "receive_leaving", lambda *_: [])
         self.assert_sends_are_found()
 
     def test_traces_that_no_run_explains_are_found(self):
