--- a/banyantiller/leaving/__init__.py
+++ b/banyantiller/leaving/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers that are leaving and must get nothing new."""
+"""Backend servers that are leaving and must get no new requests."""
--- a/banyantiller/leaving/notices.py
+++ b/banyantiller/leaving/notices.py
@@ -1,4 +1,4 @@
-"""One fact about a server, who said it, and when to tell it to the peers."""
+"""One fact about a server, its origin, and when to publish it to the peers."""
 
 import dataclasses
 import math
@@ -10,18 +10,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Notice:
-    """A reason to leave a server alone that daemons tell each other.
+    """A reason to send a server no new requests, published between daemons.
 
-    What this daemon knows first-hand holds until it ends here. What a peer
-    told holds while it is told again.
+    A notice that this daemon learned directly is active until it is cleared
+    here. A notice from a peer is active as long as peers repeat it.
 
     Attributes:
-        since: When it was said first, or None while it doesn't hold.
-        is_direct: Whether this daemon knows it without its peers.
-        received_at: When a peer told it last.
-        forwarded_at: When that was passed on last.
-        publish_at: When to tell it next.
-        publish_count: Times that it was told.
+        since: When it was first learned, or None while it isn't active.
+        is_direct: Whether this daemon learned it by itself.
+        received_at: When a peer last sent it.
+        forwarded_at: When one from a peer was last forwarded.
+        publish_at: When to publish it next.
+        publish_count: How often it was published.
     """
 
     since: float | None = None
@@ -32,11 +32,11 @@
     publish_count: int = 0
 
     def is_active(self) -> bool:
-        """Tells whether it is a reason now."""
+        """Returns whether the reason applies now."""
         return self.since is not None
 
     def learn(self, now: float) -> None:
-        """This daemon learned it first-hand."""
+        """Records that this daemon learned it directly."""
         if self.is_direct:
             return
         self.since = now
@@ -45,7 +45,7 @@
         self.publish_at = now
 
     def receive(self, learned_at: float, now: float) -> None:
-        """A peer told it, or told it again."""
+        """Records that a peer sent it, possibly again."""
         if self.is_direct:
             return
         if now - self.forwarded_at >= REMINDER_PERIOD_S / 2:
@@ -57,27 +57,32 @@
             self.publish_count = 0
 
     def clear(self) -> None:
-        """It holds no longer."""
+        """Records that the reason no longer applies."""
         self.since = None
         self.is_direct = False
         self.publish_at = math.inf
 
     def expire(self, now: float) -> None:
-        """Ends what the peers no longer tell."""
+        """Clears a notice that peers no longer repeat."""
         if self.is_active() and not self.is_direct and now >= self.expires_at():
             self.clear()
 
     def expires_at(self) -> float:
-        """Returns when it ends by itself."""
+        """Returns when the notice expires by itself."""
         if not self.is_active() or self.is_direct:
             return math.inf
         return self.received_at + PEER_NOTICE_TTL_S
 
     def record_published(self, now: float, stop_within_s: float) -> None:
-        """Plans the next time: some repeats in time, then reminders.
+        """Schedules the next publication: first repeats, then reminders.
 
-        Reminders come from daemons that know it first-hand; the others only
-        pass them on.
+        The repeats fall within the time in which all daemons have to stop
+        sending. Only a daemon that learned the notice directly sends
+        reminders; the others forward them.
+
+        Args:
+            now: Loop time.
+            stop_within_s: Time within which every daemon has to stop.
         """
         self.publish_count += 1
         if self.publish_count < PUBLISH_REPEATS:
--- a/banyantiller/leaving/task.py
+++ b/banyantiller/leaving/task.py
@@ -1,6 +1,6 @@
-"""Drives the tracker: reads the VM list, talks to peers, tells the data path.
+"""Drives the tracker: reads the VM list, sends messages, calls the data path.
 
-Everything that decides is in `banyantiller.leaving.tracker`.
+All decisions are made in `banyantiller.leaving.tracker`.
 """
 
 import asyncio
@@ -30,10 +30,10 @@
 
 
 class Callbacks(NamedTuple):
-    """What the task calls.
+    """Functions that the task calls.
 
     Attributes:
-        stop_sending: Gives a server nothing new: service, server, reason.
+        stop_sending: Gives a server no new requests: service, server, reason.
         resume_sending: Gives a server requests again: service, server.
         publish: Sends a message to all linked peers.
     """
@@ -44,11 +44,11 @@
 
 
 class LeavingServers:
-    """One daemon's knowledge of leaving servers, and the tasks around it.
+    """One daemon's state of leaving servers, and the tasks that update it.
 
     Attributes:
-        tracker: The decisions.
-        vms: Changes of the VM list.
+        tracker: Makes the decisions.
+        vms: Detects changes of the VM list.
     """
 
     def __init__(
@@ -75,32 +75,32 @@
         Args:
             vm_list: The platform's VM list, or None without one.
             period_s: Period of its reads.
-            callbacks: What is called with the decisions.
+            callbacks: Functions that carry out the decisions.
         """
         return cls(vm_list, period_s, callbacks)
 
     def configure(self, services: Iterable[options.Service]) -> None:
-        """Takes the bundle in force."""
+        """Applies the bundle in force."""
         self._apply(self.tracker.configure(services, _now()))
 
     def record_draining(self, service: str, server: str) -> None:
-        """A server told this daemon that it drains."""
+        """Records that a server reported to this daemon that it drains."""
         key = ServerKey(service, server)
         self._apply(self.tracker.record_draining(key, _now()))
 
     def record_not_draining(
         self, service: str, server: str, probed_at: float
     ) -> None:
-        """A server, asked at a loop time, said that it does not drain."""
+        """Records that a server, probed at a loop time, doesn't drain."""
         key = ServerKey(service, server)
         self._apply(self.tracker.record_not_draining(key, probed_at, _now()))
         entry = self.tracker.entries.get(key)
         if entry is not None and entry.reason is not None:
-            # The data path gave it requests again, but another reason holds.
+            # The data path resumed sending to it, but another reason applies.
             self.callbacks.stop_sending(service, server, entry.reason.value)
 
     def record_refused_connection(self, service: str, server: str) -> None:
-        """A server refused a connection."""
+        """Records that a server refused a connection."""
         self._apply(
             self.tracker.record_refused_connection(
                 ServerKey(service, server), _now()
@@ -108,7 +108,7 @@
         )
 
     def record_connection(self, service: str, server: str) -> None:
-        """A server accepted a connection."""
+        """Records that a server accepted a connection."""
         self._apply(
             self.tracker.record_connection(ServerKey(service, server), _now())
         )
@@ -116,7 +116,7 @@
     def receive_message(
         self, message: messages.ServersLeaving | messages.ServersReturned
     ) -> None:
-        """Takes a message of another daemon."""
+        """Processes a message of a peer."""
         age_s = max(0, message.age_ms) / 1000
         now = _now()
         for name in message.servers:
@@ -130,14 +130,14 @@
             self._apply(actions)
 
     def receive_vm_list(self, listed: interface.VmsListed) -> None:
-        """Takes a list if it is newer than those read before."""
+        """Processes a VM list if it is newer than those read before."""
         before = self.vms.as_of
         changes = self.vms.observe(listed)
         if self.vms.as_of != before:
             self._apply(self.tracker.receive_vm_changes(changes, _now()))
 
     async def run(self) -> None:
-        """Repeats, reminds and ends what is due."""
+        """Sends due repeats and reminders and expires due notices."""
         while True:
             now = _now()
             due = self.tracker.next_tick()
@@ -158,10 +158,10 @@
         for action in actions:
             service, name = action.server
             if isinstance(action, StopSending):
-                log.info("leaving: nothing new.", server=name)
+                log.info("leaving: server gets no new requests.", server=name)
                 self.callbacks.stop_sending(service, name, action.reason.value)
             elif isinstance(action, ResumeSending):
-                log.info("leaving: back again.", server=name)
+                log.info("leaving: server gets requests again.", server=name)
                 self.callbacks.resume_sending(service, name)
             else:
                 self.callbacks.publish(_to_message(action))
--- a/banyantiller/leaving/tracker.py
+++ b/banyantiller/leaving/tracker.py
@@ -1,21 +1,21 @@
-"""Decides which backend servers must get nothing new.
+"""Decides which backend servers must get no new requests.
 
-The tracker has no sockets and no clock: it takes what was learned, with the
-loop's time, and returns what to do. A server gets nothing new while at least
-one reason holds.
+The tracker has no sockets and no clock: its inputs are facts with the loop's
+time, and it returns the actions to carry out. A server gets no new requests
+while at least one reason applies.
 
-- A drain answer holds until the server itself, asked after it, says otherwise
-  to this daemon or to another one.
-- The VM list holds until a newer list says otherwise. A VM that came back ends
-  a drain answer as well.
-- Refused connections hold for a short time only, because trying again is
-  harmless: a refused request was not run.
+- A drain response applies until a later probe of the server itself, by this
+  daemon or by a peer, shows that it doesn't drain.
+- The VM list applies until a newer list says otherwise. The return of a VM
+  also ends a drain response.
+- Refused connections apply for a short time only, because a retry is harmless:
+  a refused request was not run.
 
-What this daemon learned first-hand is told to the others, several times
+What this daemon learned directly is published to the peers, several times
 within the bundle's time for leaving as messages may be lost, and then as a
 reminder, so that daemons that start later learn it too. What the VM list
-said is told only while fresh lists are read, so that one daemon with an old
-list can't keep a server from the whole fleet.
+says is published only while fresh lists are read, so that one daemon with an
+outdated list can't keep a server out of use in the whole fleet.
 """
 
 import dataclasses
@@ -46,12 +46,12 @@
 
 
 class ServerConfig(NamedTuple):
-    """What the bundle says of one server.
+    """Configuration of one server in the bundle.
 
     Attributes:
-        address: IP number and port; another one is another server.
+        address: IP number and port; a different one is a different server.
         vm: Name of its VM, or empty.
-        stop_within_s: Time within which every daemon has to stop.
+        stop_within_s: Time within which every daemon has to stop sending.
     """
 
     address: tuple[str, int]
@@ -61,19 +61,19 @@
 
 @dataclasses.dataclass(slots=True)
 class ServerEntry:
-    """What is known of one server; times are the loop's.
+    """State of one server; times are the loop's.
 
     Attributes:
-        config: What the bundle says of it.
-        drain: The server said that it drains.
-        vm: The VM list shows its VM as leaving or gone.
-        not_draining_at: When it was asked last and said that it does not drain.
-        publish_return_at: When to tell the peers of its return next.
-        return_publish_count: Times that the peers were told of its return.
+        config: Its configuration in the bundle.
+        drain: Notice that it reported that it drains.
+        vm: Notice that the VM list shows its VM as leaving or removed.
+        not_draining_at: Time of the latest probe that showed it not draining.
+        publish_return_at: When to publish its return next.
+        return_publish_count: How often its return was published.
         refusals: Refused connections in a row.
-        refused_until: End of the time in which it is not tried.
-        refused_pause_s: Length of the next such time.
-        reason: The reason passed on, or None while it gets requests.
+        refused_until: End of the pause after refused connections.
+        refused_pause_s: Length of the next such pause.
+        reason: The last reason reported, or None while it gets requests.
     """
 
     config: ServerConfig
@@ -88,7 +88,7 @@
     reason: Reason | None = None
 
     def current_reason(self, now: float) -> Reason | None:
-        """Returns the first reason that holds."""
+        """Returns the first reason that applies."""
         if self.vm.is_direct:
             return Reason.VM_LIST
         if self.drain.is_direct:
@@ -100,14 +100,20 @@
     def record_not_draining(
         self, probed_at: float, now: float, return_publish_count: int
     ) -> None:
-        """The server, asked at a time, said that it does not drain."""
+        """Records that the server, probed at a time, doesn't drain.
+
+        Args:
+            probed_at: When it was probed.
+            now: Loop time.
+            return_publish_count: Publications of its return that count as done.
+        """
         self.drain.clear()
         self.not_draining_at = max(self.not_draining_at, probed_at)
         self.return_publish_count = return_publish_count
         self.publish_return_at = now
 
     def due_times(self) -> tuple[float, ...]:
-        """Returns the times at which something has to be done."""
+        """Returns the times at which work is due."""
         is_refused = self.reason is Reason.REFUSED
         return (
             self.drain.publish_at,
@@ -120,12 +126,12 @@
 
 
 class LeavingTracker:
-    """Which servers of all services must get nothing new.
+    """Tracks which servers of all services must get no new requests.
 
     Attributes:
-        entries: What is known, by server.
-        vms_leaving: VMs that the newest VM list shows as leaving or gone.
-        vm_list_read_at: When a newer VM list was read last.
+        entries: State by server.
+        vms_leaving: VMs that the newest VM list shows as leaving or removed.
+        vm_list_read_at: When a newer VM list was last read.
     """
 
     def __init__(self) -> None:
@@ -136,7 +142,7 @@
     def configure(
         self, services: Iterable[options.Service], now: float
     ) -> list[Action]:
-        """Takes a bundle; forgets servers that are gone or moved."""
+        """Applies a bundle; drops servers that were removed or moved."""
         before = self.entries
         self.entries = {}
         for service in services:
@@ -155,7 +161,7 @@
     def receive_vm_changes(
         self, changes: Iterable[vm_tracker.VmChange], now: float
     ) -> list[Action]:
-        """Takes what a newer VM list changed, which may be nothing."""
+        """Applies the changes in a newer VM list; there may be none."""
         self.vm_list_read_at = now
         leaving_changes = (vm_tracker.Change.LEAVING, vm_tracker.Change.GONE)
         for change in changes:
@@ -168,7 +174,7 @@
         return self._update_all(now)
 
     def record_draining(self, server: ServerKey, now: float) -> list[Action]:
-        """The server itself said that it drains."""
+        """Records that the server itself reported that it drains."""
         entry = self.entries.get(server)
         if entry is None:
             return []
@@ -179,12 +185,12 @@
     def record_not_draining(
         self, server: ServerKey, probed_at: float, now: float
     ) -> list[Action]:
-        """The server itself said that it does not drain.
+        """Records that the server itself reported that it doesn't drain.
 
         Args:
             server: The server.
-            probed_at: When it was asked; an answer to an earlier question
-                says nothing about now.
+            probed_at: When it was probed; a response to a probe before the
+                drain report is outdated.
             now: Loop time.
         """
         entry = self.entries.get(server)
@@ -198,7 +204,7 @@
     def record_refused_connection(
         self, server: ServerKey, now: float
     ) -> list[Action]:
-        """A connection to the server was refused."""
+        """Records that the server refused a connection."""
         entry = self.entries.get(server)
         if entry is None:
             return []
@@ -211,7 +217,7 @@
         return self._update(server, entry, now)
 
     def record_connection(self, server: ServerKey, now: float) -> list[Action]:
-        """The server accepted a connection."""
+        """Records that the server accepted a connection."""
         entry = self.entries.get(server)
         if entry is None:
             return []
@@ -223,7 +229,7 @@
     def receive_leaving(
         self, server: ServerKey, by_vm_list: bool, age_s: float, now: float
     ) -> list[Action]:
-        """Another daemon told that a server leaves, learned `age_s` ago."""
+        """Processes a peer's report, `age_s` old, that a server leaves."""
         entry = self.entries.get(server)
         if entry is None:
             return []
@@ -237,7 +243,7 @@
     def receive_return(
         self, server: ServerKey, age_s: float, now: float
     ) -> list[Action]:
-        """Another daemon told that a server drains no more."""
+        """Processes a peer's report that a server no longer drains."""
         entry = self.entries.get(server)
         if entry is None:
             return []
@@ -253,7 +259,7 @@
         return self._update(server, entry, now)
 
     def tick(self, now: float) -> list[Action]:
-        """Does what is due: repeats, reminders and ends of reasons."""
+        """Does due work: publications, reminders and expiries."""
         for entry in self.entries.values():
             entry.drain.expire(now)
             entry.vm.expire(now)
@@ -270,7 +276,7 @@
         return min(due, default=None)
 
     def leaving_servers(self, service: str) -> frozenset[str]:
-        """Returns the servers of a service that get nothing new."""
+        """Returns the servers of a service that get no new requests."""
         return frozenset(
             server.name
             for server, entry in self.entries.items()
@@ -290,7 +296,7 @@
         if entry.config.vm in self.vms_leaving:
             entry.vm.learn(now)
         elif entry.vm.is_direct:
-            # A VM that came back runs a server that was started anew.
+            # A VM that returned runs a restarted server.
             entry.vm.clear()
             entry.record_not_draining(now, now, return_publish_count=0)
 
@@ -303,12 +309,13 @@
     def _update(
         self, server: ServerKey, entry: ServerEntry, now: float
     ) -> list[Action]:
-        """Returns what follows from the present state of a server."""
+        """Returns the actions that follow from a server's current state."""
         actions: list[Action] = []
         reason = entry.current_reason(now)
         if reason is not None and reason is not entry.reason:
-            # A later reason is passed on too: the data path ends a drain
-            # answer by itself, which it must not while the VM list holds.
+            # A later reason is reported too: the data path ends a drain
+            # response by itself, which it must not do while the VM list
+            # shows the VM as leaving.
             actions.append(StopSending(server, reason))
         elif reason is None and entry.reason is not None:
             actions.append(ResumeSending(server))
--- a/banyantiller/leaving/types.py
+++ b/banyantiller/leaving/types.py
@@ -1,4 +1,4 @@
-"""What the tracker of leaving servers answers to its inputs."""
+"""Actions that the tracker of leaving servers returns."""
 
 import dataclasses
 import enum
@@ -6,12 +6,12 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a server gets nothing new.
+    """Why a server gets no new requests.
 
     Attributes:
-        DRAIN_ANSWER: It said so to this daemon.
-        PEER: Another daemon learned that it leaves.
-        VM_LIST: The VM list shows its VM as leaving or gone.
+        DRAIN_ANSWER: It reported to this daemon that it drains.
+        PEER: A peer learned that it leaves.
+        VM_LIST: The VM list shows its VM as leaving or removed.
         REFUSED: It refuses connections of this daemon.
     """
 
@@ -22,7 +22,7 @@
 
 
 class ServerKey(NamedTuple):
-    """Names one backend server of one service."""
+    """Identifies one backend server of one service."""
 
     service: str
     name: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopSending:
-    """Give a server nothing new from now on."""
+    """Sends a server no new requests from now on."""
 
     server: ServerKey
     reason: Reason
@@ -38,19 +38,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResumeSending:
-    """Give a server requests again."""
+    """Sends a server requests again."""
 
     server: ServerKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishLeaving:
-    """Tell the other daemons that a server leaves.
+    """Publishes to the peers that a server leaves.
 
     Attributes:
         server: The server.
         by_vm_list: Whether the VM list says so; otherwise the server does.
-        age_s: Time since this was learned first-hand.
+        age_s: Time since this was learned directly.
     """
 
     server: ServerKey
@@ -60,11 +60,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishReturn:
-    """Tell the other daemons that a server drains no more.
+    """Publishes to the peers that a server no longer drains.
 
     Attributes:
         server: The server.
-        age_s: Time since it was asked.
+        age_s: Time since it was probed.
     """
 
     server: ServerKey
--- a/banyantiller/tests/leaving/test_daemon.py
+++ b/banyantiller/tests/leaving/test_daemon.py
@@ -1,4 +1,4 @@
-"""Whole daemons: what one learns of a leaving server reaches the others."""
+"""Tests that whole daemons publish leaving servers to one another."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 
 
 class Fleet(whole.Fleet):
-    """A fleet whose first server may say that it drains."""
+    """A fleet whose servers may report that they drain."""
 
     def __init__(self) -> None:
         super().__init__()
         self.draining = False
 
     async def answer(self, request: messages.Request) -> messages.Response:
-        """Answers with the load of a server."""
+        """Responds with the load of a server."""
         draining = int(self.draining)
         report = (
             f"TEXT named_metrics.in_flight=1, named_metrics.draining={draining}"
@@ -26,7 +26,7 @@
         return messages.Response(200, ((METRICS, report),), b"done")
 
     def leaving_counts(self) -> list[int]:
-        """Returns how many servers get nothing new, by daemon."""
+        """Returns how many servers get no new requests, by daemon."""
         return [
             sum(len(d.leaving) for d in daemon.proxy.drivers.values())
             for daemon in self.daemons
@@ -34,7 +34,7 @@
 
 
 class LeavingDaemonTest(base.TestCase):
-    def test_drain_told_to_one_daemon_stops_all_and_return_reaches_all(
+    def test_drain_reported_to_one_daemon_and_return_reach_all(
         self,
     ) -> None:
         async def scenario() -> None:
--- a/banyantiller/tests/leaving/test_fleet.py
+++ b/banyantiller/tests/leaving/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on the paused clock: all daemons stop in time, and come back."""
+"""A fleet on a simulated clock: all daemons stop in time, and resume."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Node:
-    """One daemon; keeps when it stopped and started to use the server."""
+    """One daemon; records when it stopped sending to the server."""
 
     def __init__(self, fleet: "Fleet", index: int) -> None:
         self.index = index
@@ -89,7 +89,7 @@
             node.stop()
 
     def slowest_stop(self) -> float:
-        """Returns when the last daemon stopped; all must have."""
+        """Returns when the last daemon stopped sending; all must have."""
         return max(node.stopped_at for node in self.nodes)
 
     def count_sending(self) -> int:
@@ -115,7 +115,7 @@
             for loss in (0.0, 0.3):
                 self.run_paused(scenario(seed, loss, list_down=seed % 2 == 0))
 
-    def test_return_reaches_all_and_a_stale_list_does_not_undo_it(
+    def test_return_reaches_all_and_stays_without_more_messages(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -146,7 +146,7 @@
 
         self.run_paused(scenario())
 
-    def test_word_of_a_dead_daemon_ends(self) -> None:
+    def test_notice_of_a_restarted_daemon_expires(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(3, loss=0.1)
             fleet.nodes[0].part.record_draining("registry", "s1")
@@ -158,7 +158,7 @@
 
         self.run_paused(scenario())
 
-    def test_one_daemon_sees_the_vm_list_and_others_see_old_ones(self) -> None:
+    def test_vm_list_read_by_some_daemons_stops_all(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(4)
             for index in range(1, SIZE):
@@ -172,7 +172,7 @@
 
         self.run_paused(scenario())
 
-    def test_messages_stay_few_while_a_server_leaves(self) -> None:
+    def test_number_of_messages_is_bounded_while_a_server_leaves(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(5)
             fleet.nodes[0].part.record_draining("registry", "s1")
--- a/banyantiller/tests/leaving/test_tracker.py
+++ b/banyantiller/tests/leaving/test_tracker.py
@@ -1,4 +1,4 @@
-"""Tests of the reasons for which a server gets nothing new."""
+"""Tests of the reasons for which a server gets no new requests."""
 
 import dataclasses
 import itertools
@@ -43,7 +43,7 @@
 
 
 def with_rounded_ages(actions: list[Action]) -> list[Action]:
-    """Returns the actions with ages that can be compared."""
+    """Returns the actions with ages rounded for comparison."""
     return [
         dataclasses.replace(a, age_s=round(a.age_s, 6))
         if isinstance(a, PublishLeaving | PublishReturn)
@@ -58,7 +58,7 @@
         self.tracker = tracker.LeavingTracker()
         self.assertEqual([], self.tracker.configure([make_service()], 0.0))
 
-    def test_drain_answer_holds_until_asked_after_it(self) -> None:
+    def test_drain_response_applies_until_a_later_probe(self) -> None:
         actions = self.tracker.record_draining(S1, 10.0)
         expected = [
             StopSending(S1, Reason.DRAIN_ANSWER),
@@ -76,7 +76,9 @@
             with_rounded_ages(actions),
         )
 
-    def test_peers_are_told_several_times_in_time_then_reminded(self) -> None:
+    def test_notice_is_published_several_times_in_time_then_as_reminder(
+        self,
+    ) -> None:
         self.tracker.record_draining(S1, 10.0)
         times = [10.0]
         while times[-1] < 30.0:
@@ -88,7 +90,9 @@
         intervals = {b - a for a, b in itertools.pairwise(times[3:])}
         self.assertEqual({5.0}, intervals)
 
-    def test_peer_word_is_passed_on_and_ends_without_reminders(self) -> None:
+    def test_notice_of_a_peer_is_forwarded_and_expires_without_reminders(
+        self,
+    ) -> None:
         actions = self.tracker.receive_leaving(S1, False, 0.5, 10.0)
         expected = [
             StopSending(S1, Reason.PEER),
@@ -102,17 +106,19 @@
         self.assertEqual([], sending_changes(self.tracker.tick(end - 0.1)))
         self.assertEqual([ResumeSending(S1)], self.tracker.tick(end))
 
-    def test_return_told_by_a_peer_must_be_later_than_the_drain(self) -> None:
+    def test_return_reported_by_a_peer_must_be_later_than_the_drain(
+        self,
+    ) -> None:
         self.tracker.record_draining(S1, 10.0)
         early = self.tracker.receive_return(S1, 1.5, 11.0)
         self.assertEqual([], sending_changes(early))
         late = self.tracker.receive_return(S1, 0.1, 12.0)
         self.assertEqual([ResumeSending(S1)], sending_changes(late))
-        # A word about the earlier drain that comes late changes nothing.
+        # A late message about the earlier drain changes nothing.
         old = self.tracker.receive_leaving(S1, False, 4.0, 13.0)
         self.assertEqual([], old)
 
-    def test_vm_list_holds_beside_a_drain_answer(self) -> None:
+    def test_vm_list_applies_beside_a_drain_response(self) -> None:
         self.tracker.record_draining(S1, 10.0)
         leaving = vm_change(vm_tracker.Change.LEAVING, "vm-s1")
         actions = self.tracker.receive_vm_changes([leaving], 11.0)
@@ -126,7 +132,7 @@
         returned = self.tracker.receive_vm_changes([back], 13.0)
         self.assertEqual([ResumeSending(S1)], sending_changes(returned))
 
-    def test_vm_that_comes_back_ends_a_drain_that_nobody_could_ask(
+    def test_returned_vm_ends_a_drain_without_a_probe(
         self,
     ) -> None:
         self.tracker.record_draining(S1, 10.0)
@@ -137,7 +143,7 @@
         self.assertEqual([ResumeSending(S1)], sending_changes(actions))
         self.assertIn(PublishReturn(S1, 0.0), actions)
 
-    def test_old_vm_list_is_not_told_on(self) -> None:
+    def test_outdated_vm_list_is_not_published(self) -> None:
         leaving = vm_change(vm_tracker.Change.LEAVING, "vm-s1")
         published = self.tracker.receive_vm_changes([leaving], 10.0)
         self.assertEqual(
@@ -157,7 +163,7 @@
             sending_changes(actions),
         )
 
-    def test_bundle_that_moves_a_server_forgets_what_it_said(self) -> None:
+    def test_bundle_that_moves_a_server_drops_its_state(self) -> None:
         self.tracker.record_draining(S1, 10.0)
         self.tracker.record_draining(S2, 10.0)
         self.tracker.configure([make_service()], 11.0)
@@ -166,7 +172,7 @@
         self.assertEqual(set(), self.tracker.leaving_servers("registry"))
         self.assertEqual([], self.tracker.record_draining(S2, 13.0))
 
-    def test_refusing_server_is_left_alone_and_tried_again(self) -> None:
+    def test_refusing_server_is_paused_and_retried(self) -> None:
         def refuse(now: float, times: int) -> list[Action]:
             actions = [
                 self.tracker.record_refused_connection(S1, now)
