--- a/banyantiller/routing/choice.py
+++ b/banyantiller/routing/choice.py
@@ -12,11 +12,11 @@
 from banyantiller.routing.views import ServerView
 
 MAX_CANDIDATES = 24
-SLOWDOWN_HALF_AGE = 10.0
+SLOWDOWN_HALF_AGE_SERVICE_TIMES = 10.0
 MAX_DOUBLINGS = 4
 FAILURE_PENALTY = 10.0
 FAILURE_HALF_AGE_S = 1.0
-MAX_REPORT_AGE = 4.0
+MAX_REPORT_AGE_DECAYS = 4.0
 NON_IDEMPOTENT_TRIAL_DELAY_S = 5.0
 
 
@@ -65,7 +65,7 @@
         if zone_enabled
         else 0.0
     )
-    oldest_report_at = now - MAX_REPORT_AGE * tuning.report_decay_s(
+    oldest_report_at = now - MAX_REPORT_AGE_DECAYS * tuning.report_decay_s(
         averages.service_time_s
     )
     for view in (*views[first:], *views[:first]):
@@ -145,7 +145,7 @@
     factor = 1.0
     if "slowness" not in tuning.disabled:
         half_age = (
-            SLOWDOWN_HALF_AGE
+            SLOWDOWN_HALF_AGE_SERVICE_TIMES
             * service_time_s
             * 2 ** min(view.overdue_cancellations, MAX_DOUBLINGS)
         )
--- a/banyantiller/routing/feedback.py
+++ b/banyantiller/routing/feedback.py
@@ -15,7 +15,7 @@
     }
 )
 MIN_FAILURE_STATUS = 500
-CHECK_MARGIN = 0.25
+CHECK_MARGIN_SERVICE_TIMES = 0.25
 DISTRUST_RISE = 0.1
 DISTRUST_FALL = 0.01
 
@@ -120,7 +120,9 @@
     if "trust" in state.tuning.disabled:
         return
     view = attempt.view
-    started_by = now - CHECK_MARGIN * state.averages.service_time_s
+    started_by = (
+        now - CHECK_MARGIN_SERVICE_TIMES * state.averages.service_time_s
+    )
     min_in_flight = view.count_started_by(started_by) - (
         attempt.started_at <= started_by
     )
--- a/banyantiller/routing/scheduling.py
+++ b/banyantiller/routing/scheduling.py
@@ -151,7 +151,7 @@
         )
 
     def start_waiting_calls(self, now: float) -> list[Action]:
-        """Starts waiting calls for which a server is available."""
+        """Starts or refuses waiting calls, as servers and deadlines require."""
         if self.recheck_at is None:
             return []
         actions: list[Action] = []
--- a/banyantiller/tests/routing/test_ejection.py
+++ b/banyantiller/tests/routing/test_ejection.py
@@ -165,12 +165,12 @@
     def test_leaving_server_gets_no_new_calls_and_completes_running_ones(self):
         driver = Driver(server_states(3))
         starts = [driver.submit()[0] for _ in range(3)]
-        (old,) = [s for s in starts if s.server == "b00"]
+        (running,) = [s for s in starts if s.server == "b00"]
         self.assertEqual([], self.mark_leaving(driver))
         self.assertNotIn("b00", send_calls(driver, 30))
         self.assertEqual(
-            [types.Relay(old.call_id, old.attempt_id)],
-            driver.receive_head(old.attempt_id, success()),
+            [types.Relay(running.call_id, running.attempt_id)],
+            driver.receive_head(running.attempt_id, success()),
         )
 
     def test_draining_response_stops_new_calls_at_once(self):
@@ -193,11 +193,11 @@
         driver = Driver(server_states(1, slots=1))
         driver.fill_servers(2)
         self.assertEqual([], driver.submit())
-        gone = tuple(
+        leaving = tuple(
             s._replace(leaving=True) for s in server_states(1, slots=1)
         )
         (refusal,) = driver.dispatcher.configure(
-            driver.service, gone, driver.now
+            driver.service, leaving, driver.now
         )
         self.assertEqual(ErrorKind.NO_SERVER, refusal.failure.kind)
         self.assertIsNotNone(refusal.failure.retry_after)
