--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -27,7 +27,7 @@
 from banyantiller.gateway import settings as options
 from banyantiller.gateway.decisions import budget, durations, selection, turns
 from banyantiller.http import messages
-from banyantiller.quarantine import table
+from banyantiller.quarantine import crash_table
 
 BACKLOG = 1024
 # Part of the fleet's retry budget that is used: the users count a request
@@ -96,7 +96,7 @@
         self.durations = durations.Durations()
         self.sampler = sampling.CallSampler()
         self.crash_detector = crash_detection.CrashDetector(
-            table.Table(settings.quarantine_s, rng),
+            crash_table.CrashTable(settings.quarantine_s, rng),
             self.pool_of,
             self.store_view.table.is_staying,
         )
--- a/banyantiller/gateway/quarantine_sync.py
+++ b/banyantiller/gateway/quarantine_sync.py
@@ -8,7 +8,7 @@
 sees the mark with its first question.
 
 A lost message is sent again, and order and duplicates make no difference: see
-`quarantine.table`.
+`quarantine.crash_table`.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 from banyantiller.gateway import crash_detection, events, peers
 from banyantiller.http import messages, outcomes
-from banyantiller.quarantine import table
+from banyantiller.quarantine import crash_table
 
 PATH = "/quarantine/"
 LIFT = PATH + "lift"
@@ -50,7 +50,7 @@
     """What daemons tell each other; `mark` names the state that it is of."""
 
     mark: str
-    records: list[table.RecordFields]
+    records: list[crash_table.RecordFields]
 
 
 class QuarantineSync:
@@ -148,7 +148,7 @@
             least = 1
         after = self._revision_of(request.query.get("since", ""))
         now = self.loop.time()
-        records = self.watch.table.tell(now, after, least)
+        records = self.watch.table.export_changes(now, after, least)
         shown = self.watch.table.revision if least == 1 else self.shown_revision
         reply = Message(mark=f"{self.incarnation}-{shown}", records=records)
         return messages.Response(200, (), msgspec.json.encode(reply))
@@ -180,8 +180,8 @@
 
     # What is learned.
 
-    def _learn(self, records: list[table.RecordFields]) -> None:
-        if self.watch.learn(records, self.loop.time()):
+    def _learn(self, records: list[crash_table.RecordFields]) -> None:
+        if self.watch.receive_records(records, self.loop.time()):
             self._show_later()
 
     def _show_later(self) -> None:
@@ -190,7 +190,7 @@
     async def _show(self) -> None:
         """Shows a new mark if something concerns the whole fleet."""
         await asyncio.sleep(SHOW_S)
-        newest = self.watch.table.newest(MIN_SHARED_CRASHES)
+        newest = self.watch.table.latest_revision(MIN_SHARED_CRASHES)
         if newest > self.shown_revision:
             self.shown_revision = newest
             self.on_mark_change()
@@ -202,7 +202,7 @@
         known = [
             record.fingerprint
             for record in self.watch.table.records.values()
-            if len(record.ends) >= MIN_SHARED_CRASHES
+            if len(record.crashes) >= MIN_SHARED_CRASHES
         ]
         if known:
             pause_s = GATHER_S + self.random.random() * REMIND_WITHIN_S
@@ -237,7 +237,7 @@
             sending = set(unsent)
             unsent.clear()
             now = self.loop.time()
-            records = self.watch.table.tell_of(sending, now)
+            records = self.watch.table.export_records(sending, now)
             body = msgspec.json.encode(Message(mark="", records=records))
             outcome = await peer.client.request(
                 "POST", PATH, ANSWER_S, (), body
--- a/banyantiller/leaving/notices.py
+++ b/banyantiller/leaving/notices.py
@@ -1,88 +1,93 @@
-"""One fact about a server, who said it, and when to tell it to the peers."""
+"""One fact about a server, its origin, and when to publish it to the peers."""
 
 import dataclasses
 import math
 
-REPEATS = 4
-REMINDER_S = 5.0
-PEER_HOLD_S = 6 * REMINDER_S
+PUBLISH_REPEATS = 4
+REMINDER_PERIOD_S = 5.0
+PEER_NOTICE_TTL_S = 6 * REMINDER_PERIOD_S
 
 
 @dataclasses.dataclass(slots=True)
 class Notice:
-    """A reason to leave a server alone that daemons tell each other.
+    """A reason to send a server no new requests, published between daemons.
 
-    What this daemon knows first-hand holds until it ends here. What a peer
-    told holds while it is told again.
+    A notice that this daemon learned directly is active until it is cleared
+    here. A notice from a peer is active as long as peers repeat it.
 
     Attributes:
-        since: When it was said first, or None while it doesn't hold.
-        is_first_hand: Whether this daemon knows it without its peers.
-        heard_at: When a peer told it last.
-        passed_on_at: When that was passed on last.
-        tell_at: When to tell it next.
-        told: Times that it was told.
+        since: When it was first learned, or None while it isn't active.
+        is_direct: Whether this daemon learned it by itself.
+        received_at: When a peer last sent it.
+        forwarded_at: When one from a peer was last forwarded.
+        publish_at: When to publish it next.
+        publish_count: How often it was published.
     """
 
     since: float | None = None
-    is_first_hand: bool = False
-    heard_at: float = -math.inf
-    passed_on_at: float = -math.inf
-    tell_at: float = math.inf
-    told: int = 0
-
-    def holds(self) -> bool:
-        """Tells whether it is a reason now."""
+    is_direct: bool = False
+    received_at: float = -math.inf
+    forwarded_at: float = -math.inf
+    publish_at: float = math.inf
+    publish_count: int = 0
+
+    def is_active(self) -> bool:
+        """Returns whether the reason applies now."""
         return self.since is not None
 
-    def begin(self, now: float) -> None:
-        """This daemon learned it first-hand."""
-        if self.is_first_hand:
+    def learn(self, now: float) -> None:
+        """Records that this daemon learned it directly."""
+        if self.is_direct:
             return
         self.since = now
-        self.is_first_hand = True
-        self.told = 0
-        self.tell_at = now
+        self.is_direct = True
+        self.publish_count = 0
+        self.publish_at = now
 
-    def hear(self, said_at: float, now: float) -> None:
-        """A peer told it, or told it again."""
-        if self.is_first_hand:
+    def receive(self, learned_at: float, now: float) -> None:
+        """Records that a peer sent it, possibly again."""
+        if self.is_direct:
             return
-        if now - self.passed_on_at >= REMINDER_S / 2:
-            self.passed_on_at = now
-            self.tell_at = now
-        self.heard_at = now
-        if not self.holds():
-            self.since = said_at
-            self.told = 0
-
-    def end(self) -> None:
-        """It holds no longer."""
+        if now - self.forwarded_at >= REMINDER_PERIOD_S / 2:
+            self.forwarded_at = now
+            self.publish_at = now
+        self.received_at = now
+        if not self.is_active():
+            self.since = learned_at
+            self.publish_count = 0
+
+    def clear(self) -> None:
+        """Records that the reason no longer applies."""
         self.since = None
-        self.is_first_hand = False
-        self.tell_at = math.inf
+        self.is_direct = False
+        self.publish_at = math.inf
 
     def expire(self, now: float) -> None:
-        """Ends what the peers no longer tell."""
-        if self.holds() and not self.is_first_hand and now >= self.ends_at():
-            self.end()
+        """Clears a notice that peers no longer repeat."""
+        if self.is_active() and not self.is_direct and now >= self.expires_at():
+            self.clear()
 
-    def ends_at(self) -> float:
-        """Returns when it ends by itself."""
-        if not self.holds() or self.is_first_hand:
+    def expires_at(self) -> float:
+        """Returns when the notice expires by itself."""
+        if not self.is_active() or self.is_direct:
             return math.inf
-        return self.heard_at + PEER_HOLD_S
+        return self.received_at + PEER_NOTICE_TTL_S
+
+    def record_published(self, now: float, stop_within_s: float) -> None:
+        """Schedules the next publication: first repeats, then reminders.
 
-    def note_told(self, now: float, within_s: float) -> None:
-        """Plans the next time: some repeats in time, then reminders.
+        The repeats fall within the time in which all daemons have to stop
+        sending. Only a daemon that learned the notice directly sends
+        reminders; the others forward them.
 
-        Reminders come from daemons that know it first-hand; the others only
-        pass them on.
+        Args:
+            now: Loop time.
+            stop_within_s: Time within which every daemon has to stop.
         """
-        self.told += 1
-        if self.told < REPEATS:
-            self.tell_at = now + within_s / REPEATS
-        elif self.is_first_hand:
-            self.tell_at = now + REMINDER_S
+        self.publish_count += 1
+        if self.publish_count < PUBLISH_REPEATS:
+            self.publish_at = now + stop_within_s / PUBLISH_REPEATS
+        elif self.is_direct:
+            self.publish_at = now + REMINDER_PERIOD_S
         else:
-            self.tell_at = math.inf
+            self.publish_at = math.inf
--- a/banyantiller/leaving/types.py
+++ b/banyantiller/leaving/types.py
@@ -1,4 +1,4 @@
-"""What the tracker of leaving servers answers to its inputs."""
+"""Actions that the tracker of leaving servers returns."""
 
 import dataclasses
 import enum
@@ -6,12 +6,12 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a server gets nothing new.
+    """Why a server gets no new requests.
 
     Attributes:
-        DRAIN_ANSWER: It said so to this daemon.
-        PEER: Another daemon learned that it leaves.
-        VM_LIST: The VM list shows its VM as leaving or gone.
+        DRAIN_ANSWER: It reported to this daemon that it drains.
+        PEER: A peer learned that it leaves.
+        VM_LIST: The VM list shows its VM as leaving or removed.
         REFUSED: It refuses connections of this daemon.
     """
 
@@ -21,54 +21,54 @@
     REFUSED = "refused"
 
 
-class Server(NamedTuple):
-    """Names one backend server of one service."""
+class ServerKey(NamedTuple):
+    """Identifies one backend server of one service."""
 
     service: str
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Leave:
-    """Give a server nothing new from now on."""
+class StopSending:
+    """Sends a server no new requests from now on."""
 
-    server: Server
+    server: ServerKey
     reason: Reason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Back:
-    """Give a server requests again."""
+class ResumeSending:
+    """Sends a server requests again."""
 
-    server: Server
+    server: ServerKey
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellLeaving:
-    """Tell the other daemons that a server leaves.
+class PublishLeaving:
+    """Publishes to the peers that a server leaves.
 
     Attributes:
         server: The server.
         by_vm_list: Whether the VM list says so; otherwise the server does.
-        age_s: Time since this was learned first-hand.
+        age_s: Time since this was learned directly.
     """
 
-    server: Server
+    server: ServerKey
     by_vm_list: bool
     age_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellReturn:
-    """Tell the other daemons that a server drains no more.
+class PublishReturn:
+    """Publishes to the peers that a server no longer drains.
 
     Attributes:
         server: The server.
-        age_s: Time since it was asked.
+        age_s: Time since it was probed.
     """
 
-    server: Server
+    server: ServerKey
     age_s: float
 
 
-Action = Leave | Back | TellLeaving | TellReturn
+Action = StopSending | ResumeSending | PublishLeaving | PublishReturn
--- a/banyantiller/routing/tuning.py
+++ b/banyantiller/routing/tuning.py
@@ -16,58 +16,58 @@
 
 
 class Tuning(NamedTuple):
-    """Numbers that decide how the policy weighs what it knows.
+    """Weights and thresholds of the policy.
 
     Attributes:
-        belief_age: Age at which a report's weight has fallen to 1/e, in
+        report_decay_age: Age at which a report's weight has fallen to 1/e, in
             service times.
-        doubt_from: Share of wrong reports from which all are believed less;
-            from twice of it on they count for nothing.
-        slow_from: Times slower than usual from which a server counts as
-            slow; less is taken for chance.
-        cross_zone_s: Latency that another availability zone adds.
-        backlog_at: Reported requests for each slot from which a server
+        distrust_threshold: Share of wrong reports above which all reports
+            lose weight; at twice this share they have none.
+        slow_threshold: Slowdown from which a server counts as slow; smaller
+            ones are treated as noise.
+        cross_zone_latency_s: Latency that another availability zone adds.
+        backlog_threshold: Reported requests per slot from which a server
             counts as overloaded.
-        hedge_quantile: Share of calls that should answer before a hedge.
-        hedge_early: Age at which a try on a suspect server is hedged, in
-            service times.
-        hedge_reserve: Tokens of the extra-call budget kept for retries.
-        burst: Most tokens of the extra-call budget.
-        given_up_factor: Times slower that a server is taken to be for each
-            overdue try given up there in a row after the first, which may be
-            chance.
-        silent_after: Overdue tries given up in a row that eject a server.
-        eject_s: First length of an ejection.
-        eject_longest_s: Longest ejection.
-        eject_share: Largest part of a group that may be ejected at once.
-        ramp_s: Time over which a cold server gets its full share.
-        ramp_factor: How many times slower a fresh server is taken to be.
+        hedge_quantile: Quantile of the latency at which a call is hedged.
+        slow_server_hedge_age: Age at which an attempt at a slow server is
+            hedged, in service times.
+        hedge_reserve: Tokens of the retry budget kept for retries.
+        max_retry_tokens: Capacity of the retry budget.
+        overdue_factor: Slowdown that each overdue attempt cancelled at a
+            server in a row adds after the first, which may be chance.
+        max_overdue_cancellations: Overdue attempts cancelled in a row that
+            eject a server.
+        eject_s: Length of the first ejection.
+        max_eject_s: Longest ejection.
+        max_ejected_share: Largest share of a group that may be ejected at once.
+        ramp_s: Time in which a new server reaches its full share.
+        ramp_factor: Slowdown assumed for a server that has just been added.
         probe_recovery: Whether probes test ejected servers.
-        off: Mechanisms that are switched off, for measurements only.
+        disabled: Mechanisms that are switched off, for benchmarks only.
     """
 
-    belief_age: float = 0.8
-    doubt_from: float = 0.03
-    slow_from: float = 2.0
-    cross_zone_s: float = 0.0016
-    backlog_at: float = 3.0
+    report_decay_age: float = 0.8
+    distrust_threshold: float = 0.03
+    slow_threshold: float = 2.0
+    cross_zone_latency_s: float = 0.0016
+    backlog_threshold: float = 3.0
     hedge_quantile: float = 0.97
-    hedge_early: float = 1.5
+    slow_server_hedge_age: float = 1.5
     hedge_reserve: float = 2.0
-    burst: float = 20.0
-    given_up_factor: float = 0.5
-    silent_after: int = 3
+    max_retry_tokens: float = 20.0
+    overdue_factor: float = 0.5
+    max_overdue_cancellations: int = 3
     eject_s: float = 0.2
-    eject_longest_s: float = 5.0
-    eject_share: float = 0.5
+    max_eject_s: float = 5.0
+    max_ejected_share: float = 0.5
     ramp_s: float = 0.5
     ramp_factor: float = 4.0
     probe_recovery: bool = True
-    off: frozenset[str] = frozenset()
+    disabled: frozenset[str] = frozenset()
 
-    def belief_s(self, service_s: float) -> float:
+    def report_decay_s(self, service_time_s: float) -> float:
         """Returns the age at which a report's weight has fallen to 1/e."""
-        return self.belief_age * service_s
+        return self.report_decay_age * service_time_s
 
 
 def for_objective(objective: str) -> Tuning:
