--- a/banyantiller/gateway/attempts.py
+++ b/banyantiller/gateway/attempts.py
@@ -17,7 +17,7 @@
 
 # Statuses with which a server tells of a fault of its own, and not of a time
 # that passed.
-FAULT_STATUSES = frozenset((500, 501, 502, 503))
+SERVER_FAULT_STATUSES = frozenset((500, 501, 502, 503))
 
 
 class Attempt:
@@ -64,11 +64,11 @@
                 entry.health.record_result(
                     not self.candidate.ready(math.inf), now
                 )
-            self._log(outcome.kind.value, "")
+            self._log_failure(outcome.kind.value, "")
         elif isinstance(outcome, exchange.BrokenResponse):
             self.call.progress.reason = outcome.reason
             entry.health.record_result(False, now)
-            self._log(outcome.kind.value, outcome.reason)
+            self._log_failure(outcome.kind.value, outcome.reason)
         else:
             entry.health.record_result(outcome.status < 500, now)
             self.gateway.prober.record_response_load(entry, outcome.headers)
@@ -81,25 +81,25 @@
                 self.gateway.durations.record_duration(
                     self.call.route.name, took_s
                 )
-            if outcome.status in FAULT_STATUSES:
+            if outcome.status in SERVER_FAULT_STATUSES:
                 instance = entry.server.instance
                 self.gateway.store_view.local_failures.record_failure(
                     instance, now
                 )
             if outcome.status >= 500:
-                self._log("server_error", f"status {outcome.status}")
+                self._log_failure("server_error", f"status {outcome.status}")
         return outcome
 
     async def _run(self) -> exchange.Outcome:
         server = self.entry.server
-        home = self.gateway.pool_of(server)
+        server_pool = self.gateway.pool_of(server)
         candidate = self.candidate
         if candidate.link is None:
             try:
                 # A kept connection that nobody proved alive just now may lose
                 # a request without a trace.
-                fresh = not self.call.idempotent
-                candidate.link = await home.acquire(fresh)
+                proven_only = not self.call.idempotent
+                candidate.link = await server_pool.acquire(proven_only)
             except (OSError, pool.PoolFullError) as error:
                 if isinstance(error, ConnectionRefusedError):
                     self.gateway.crash_detector.record_refused_connection(
@@ -116,9 +116,9 @@
         link = candidate.link
         if not self.entry.usable(self.loop.time()):
             # It left, or its zone was evacuated, while the connection opened.
-            home.put_idle(link)
+            server_pool.put_idle(link)
             return exchange.NotRun(ErrorKind.NO_SERVER)
-        self._note_sending()
+        self._record_send()
         self.entry.in_flight += 1
         outcome = None
         try:
@@ -129,37 +129,41 @@
                 self.call.deadline - self.loop.time(),
                 self.gateway.adapter.wire,
                 self.gateway.max_response_bytes,
-                self._note_head,
+                self._record_head,
             )
         finally:
             self.entry.in_flight -= 1
             if isinstance(outcome, exchange.CompleteResponse | exchange.NotRun):
-                home.release(link)
+                server_pool.release(link)
             else:
-                home.discard(link)
-                self._note_no_answer(outcome)
+                server_pool.discard(link)
+                self._record_no_response(outcome)
         return outcome
 
-    def _note_head(self, response: messages.Response) -> None:
+    def _record_head(self, response: messages.Response) -> None:
         self.gateway.server_limits.record_response(
             self.entry.server, response.headers, self.sent_at
         )
 
-    def _note_no_answer(self, outcome: exchange.BrokenResponse | None) -> None:
+    def _record_no_response(
+        self, outcome: exchange.BrokenResponse | None
+    ) -> None:
         """Notes that the server gave no answer; None if it was given up."""
         request = self.call.request
-        one = crash_tracker.UnansweredRequest(
+        unanswered = crash_tracker.UnansweredRequest(
             request.fingerprint,
             request.request_id,
             self.sent_at,
             self.loop.time(),
         )
-        lost = outcome is not None and outcome.kind is ErrorKind.CONNECTION_LOST
+        connection_lost = (
+            outcome is not None and outcome.kind is ErrorKind.CONNECTION_LOST
+        )
         self.gateway.crash_detector.record_no_response(
-            self.entry.server, one, lost
+            self.entry.server, unanswered, connection_lost
         )
 
-    def _note_sending(self) -> None:
+    def _record_send(self) -> None:
         now = self.loop.time()
         progress = self.call.progress
         progress.sends += 1
@@ -172,7 +176,7 @@
         self.sent = True
         self.sent_at = now
 
-    def _log(self, kind: str, reason: str) -> None:
+    def _log_failure(self, kind: str, reason: str) -> None:
         load = self.candidate.load
         self.gateway.tallies.failed_attempts[self.call.service, kind] += 1
         self.entry.failed_sends += 1
--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -14,15 +14,15 @@
     progress,
     protocols,
     replies,
+    requests,
     routes,
     server_choice,
     types,
 )
-from banyantiller.gateway import requests as reading
 from banyantiller.gateway.decisions import hedging, retry_after, waiting
 
 # Less time than this is too little to run anything.
-MIN_TIME_S = 0.01
+MIN_REMAINING_S = 0.01
 # Servers that ended with a request on them, in this call or before, after which
 # a call is not sent to another one.
 MAX_CRASHES_BEFORE_ATTEMPT = 2
@@ -48,7 +48,7 @@
     """
 
     def __init__(
-        self, gateway: protocols.CallContext, request: reading.Request
+        self, gateway: protocols.CallContext, request: requests.Request
     ) -> None:
         self.gateway = gateway
         self.loop = gateway.loop
@@ -58,10 +58,10 @@
         self.deadline = request.received + gateway.default_timeout_s
         self.attempted: set[str] = set()
         self.attempts: list[attempts.Attempt] = []
-        self.sole = False
-        self.next_second = 0.0
-        self.suspected = False
-        self.failed_answer: exchange.CompleteResponse | None = None
+        self.hedging_stopped = False
+        self.next_hedge_at = 0.0
+        self.server_suspected = False
+        self.failed_response: exchange.CompleteResponse | None = None
         self.outgoing = request.outgoing(gateway.adapter.wire)
         self.table: routes.RouteTable | None = None
         self.version = 0
@@ -97,18 +97,18 @@
     async def run(self) -> replies.Reply:
         """Returns the answer for the caller; the call is then over."""
         try:
-            reply = await self._answer()
+            reply = await self._serve()
         except asyncio.CancelledError:
-            self._finish(0, ErrorKind.CALLER_GONE)
+            self._record_end(0, ErrorKind.CALLER_GONE)
             raise
         except Exception:
             fault = call_events.CallFault(self.request.request_id)
             events.emit(fault, exc_info=True)
             reply = self._fail(ErrorKind.INTERNAL)
-        self._finish(reply.status, self.progress.error)
+        self._record_end(reply.status, self.progress.error)
         return reply
 
-    async def _answer(self) -> replies.Reply:
+    async def _serve(self) -> replies.Reply:
         if not self.gateway.store_view.complete.is_set():
             await self.gateway.store_view.wait_for_first_read()
         if self.route is None:
@@ -122,22 +122,24 @@
         self.gateway.budget_of(self.service).record_request(self.loop.time())
         try:
             async with asyncio.timeout_at(self.deadline):
-                return await self._try_servers(self.table)
+                return await self._run_attempts(self.table)
         except TimeoutError:
             if self.progress.maybe_ran:
                 return self._fail(ErrorKind.DEADLINE_AFTER_START)
-            return self._refuse(ErrorKind.DEADLINE_UNREACHABLE)
+            return self._fail_with_retry_after(ErrorKind.DEADLINE_UNREACHABLE)
 
-    async def _try_servers(self, table: routes.RouteTable) -> replies.Reply:
+    async def _run_attempts(self, table: routes.RouteTable) -> replies.Reply:
         """Tries servers until one answers; a second one may run beside."""
         service = table.document.services[self.service]
         try:
             while True:
-                if not self.attempts or self._second_is_due():
-                    reply = await self._start_another(service)
+                if not self.attempts or self._hedge_is_due():
+                    reply = await self._start_attempt(service)
                     if reply is not None:
                         return reply
-                reply = self._take(await self._next_ended(service))
+                reply = self._process_outcomes(
+                    await self._wait_for_attempts(service)
+                )
                 if reply is not None:
                     return reply
         finally:
@@ -145,28 +147,28 @@
                 self.progress.maybe_ran |= attempt.sent
                 await attempt.cancel()
 
-    async def _start_another(
+    async def _start_attempt(
         self, service: types.Service
     ) -> replies.Reply | None:
         """Sends to one more server; returns an answer if that can't be."""
-        beside = bool(self.attempts)
+        is_hedge = bool(self.attempts)
         if self._is_quarantined():
-            self.sole = True
-            return None if beside else self._give_up()
-        candidate = await self._choose(service, beside)
+            self.hedging_stopped = True
+            return None if is_hedge else self._end_without_server()
+        candidate = await self._choose_server(service, is_hedge)
         if candidate is None:
-            self.next_second = self.loop.time() + hedging.RETRY_PAUSE_S
-            return None if beside else self._give_up()
-        if self._is_quarantined() or not self._may_send(beside):
+            self.next_hedge_at = self.loop.time() + hedging.RETRY_PAUSE_S
+            return None if is_hedge else self._end_without_server()
+        if self._is_quarantined() or not self._can_send(is_hedge):
             self.gateway.prober.release([candidate])
-            self.sole = True
-            return None if beside else self._give_up()
+            self.hedging_stopped = True
+            return None if is_hedge else self._end_without_server()
         self.attempted.add(candidate.entry.server.instance)
         self.attempts.append(attempts.Attempt(self, candidate))
         return None
 
-    async def _choose(
-        self, service: types.Service, beside: bool
+    async def _choose_server(
+        self, service: types.Service, is_hedge: bool
     ) -> probing.Candidate | None:
         """Finds a server; one that is tried beside another must be good."""
         now = self.loop.time()
@@ -175,25 +177,25 @@
         usual_s = self.gateway.durations.usual_s(self.route.name, objective_s)
         limits = waiting.wait_limits(objective_s, usual_s, self.urgent, now)
         self.progress.usual_s = usual_s
-        wanted = server_choice.SelectionRequest(
+        selection_request = server_choice.SelectionRequest(
             self.route,
             service,
-            waiting.no_wait(now) if beside else limits,
+            waiting.no_wait(now) if is_hedge else limits,
             frozenset(self.attempted),
-            hedging.MAX_SCORE if beside and in_time else math.inf,
+            hedging.MAX_SCORE if is_hedge and in_time else math.inf,
         )
-        return await self.gateway.chooser.choose(wanted)
+        return await self.gateway.chooser.choose(selection_request)
 
-    def _may_send(self, beside: bool) -> bool:
+    def _can_send(self, is_hedge: bool) -> bool:
         if self.progress.sends == 0:
             return True
         if self.progress.sends >= self.route.max_attempts:
             return False
         budget = self.gateway.budget_of(self.service)
-        share = hedging.BUDGET_SHARE if beside else 1.0
+        share = hedging.BUDGET_SHARE if is_hedge else 1.0
         if budget.try_spend(self.loop.time(), share):
             return True
-        if not beside and budget.should_report_spent(self.loop.time()):
+        if not is_hedge and budget.should_report_spent(self.loop.time()):
             events.emit(
                 call_events.BudgetSpent(
                     id=self.request.request_id,
@@ -205,13 +207,17 @@
             )
         return False
 
-    def _second_is_due(self) -> bool:
+    def _hedge_is_due(self) -> bool:
         """Tells whether the running try has taken so long that another runs.
 
         Only where the request may be executed again: of any other request the
         answer may still come, and nothing better can be done.
         """
-        if self.sole or not self.idempotent or len(self.attempts) > 1:
+        if (
+            self.hedging_stopped
+            or not self.idempotent
+            or len(self.attempts) > 1
+        ):
             return False
         if self.gateway.crash_detector.watch.is_suspect(
             self.request.fingerprint
@@ -219,65 +225,75 @@
             return False
         if self.progress.sends >= self.route.max_attempts:
             return False
-        late = hedging.should_hedge(self._first())
-        return late and self.loop.time() >= self.next_second
+        late = hedging.should_hedge(self._first_attempt())
+        return late and self.loop.time() >= self.next_hedge_at
 
-    def _first(self) -> hedging.FirstAttempt:
+    def _first_attempt(self) -> hedging.FirstAttempt:
         waited_s = self.loop.time() - self.attempts[0].started_at
         return hedging.FirstAttempt(
-            waited_s, self.route.objective_s, self.suspected
+            waited_s, self.route.objective_s, self.server_suspected
         )
 
-    async def _next_ended(
+    async def _wait_for_attempts(
         self, service: types.Service
     ) -> list[attempts.Attempt]:
         """Waits until a try ends or it is time to look again."""
         tasks = {attempt.task for attempt in self.attempts}
         if not tasks:
             return []
-        look_s = hedging.recheck_after_s(self._first())
+        recheck_s = hedging.recheck_after_s(self._first_attempt())
         await asyncio.wait(
-            tasks, timeout=look_s, return_when=asyncio.FIRST_COMPLETED
+            tasks, timeout=recheck_s, return_when=asyncio.FIRST_COMPLETED
         )
-        ended = [attempt for attempt in self.attempts if attempt.task.done()]
-        if not ended and self.idempotent:
-            await self._doubt(service)
-        return ended
+        finished = [attempt for attempt in self.attempts if attempt.task.done()]
+        if not finished and self.idempotent:
+            await self._probe_slow_server(service)
+        return finished
 
-    async def _doubt(self, service: types.Service) -> None:
+    async def _probe_slow_server(self, service: types.Service) -> None:
         """Asks the server of the only try whether it lives.
 
         The try goes on in any case: the question may be lost where the answer
         is not.
         """
-        if self.sole or self.suspected or len(self.attempts) != 1:
+        if (
+            self.hedging_stopped
+            or self.server_suspected
+            or len(self.attempts) != 1
+        ):
             return
         entry = self.attempts[0].entry
         if not entry.usable(self.loop.time()):
             return
-        found = await self.gateway.prober.probe([entry], service.health_path)
-        self.gateway.prober.release(found)
-        if not found:
-            self.suspected = True
+        candidates = await self.gateway.prober.probe(
+            [entry], service.health_path
+        )
+        self.gateway.prober.release(candidates)
+        if not candidates:
+            self.server_suspected = True
             events.emit(
                 call_events.ServerSuspected(
                     self.request.request_id, entry.server.instance
                 )
             )
 
-    def _take(self, ended: list[attempts.Attempt]) -> replies.Reply | None:
+    def _process_outcomes(
+        self, finished: list[attempts.Attempt]
+    ) -> replies.Reply | None:
         """Takes the outcomes of tries; returns the answer, if there is one."""
-        for attempt in ended:
+        for attempt in finished:
             self.attempts.remove(attempt)
             outcome = attempt.finish()
             if isinstance(outcome, exchange.CompleteResponse):
-                if not self._worth_another(outcome):
-                    return self._relay(outcome)
-                self.failed_answer = outcome
+                if not self._should_retry(outcome):
+                    return self._forward_response(outcome)
+                self.failed_response = outcome
                 self.progress.maybe_ran = True
             elif isinstance(outcome, exchange.BrokenResponse):
                 self.progress.maybe_ran = True
-                if not self.idempotent or self._ends_servers(attempt, outcome):
+                if not self.idempotent or self._crashes_servers(
+                    attempt, outcome
+                ):
                     return self._fail(outcome.kind)
         return None
 
@@ -286,15 +302,15 @@
 
         Asked before each try: else every daemon ends servers with it anew.
         """
-        return self._quarantine_s() is not None
+        return self._quarantine_left_s() is not None
 
-    def _quarantine_s(self) -> float | None:
+    def _quarantine_left_s(self) -> float | None:
         """Returns how long it is still refused, in seconds, or None."""
         return self.gateway.crash_detector.watch.quarantine_left_s(
             self.request.fingerprint, self.loop.time()
         )
 
-    def _ends_servers(
+    def _crashes_servers(
         self, attempt: attempts.Attempt, broken: exchange.BrokenResponse
     ) -> bool:
         """Tells whether too many servers ended under it for another try.
@@ -310,27 +326,29 @@
         )
         return found >= MAX_CRASHES_BEFORE_ATTEMPT
 
-    def _worth_another(self, answer: exchange.CompleteResponse) -> bool:
+    def _should_retry(self, response: exchange.CompleteResponse) -> bool:
         """Tells whether another server may do better than this failure."""
         return (
-            answer.status >= 500
+            response.status >= 500
             and self.idempotent
             and self.progress.sends < self.route.max_attempts
-            and self.deadline - self.loop.time() > MIN_TIME_S
+            and self.deadline - self.loop.time() > MIN_REMAINING_S
         )
 
-    def _relay(self, answer: exchange.CompleteResponse) -> replies.Reply:
+    def _forward_response(
+        self, response: exchange.CompleteResponse
+    ) -> replies.Reply:
         return replies.Reply(
-            answer.status, answer.headers, answer.body, answer.length
+            response.status, response.headers, response.body, response.length
         )
 
-    def _give_up(self) -> replies.Reply:
+    def _end_without_server(self) -> replies.Reply:
         """Ends a call for which no further server is to be had."""
-        if self.failed_answer is not None:
-            return self._relay(self.failed_answer)
+        if self.failed_response is not None:
+            return self._forward_response(self.failed_response)
         if self.progress.maybe_ran:
             return self._fail(ErrorKind.CONNECTION_LOST)
-        wait_s = self._quarantine_s()
+        wait_s = self._quarantine_left_s()
         if wait_s is not None:
             return self._fail(ErrorKind.QUARANTINED, wait_s)
         now = self.loop.time()
@@ -341,15 +359,17 @@
             )
         shed = self.progress.sends > 0
         kind = ErrorKind.BACKEND_SHED if shed else ErrorKind.NO_SERVER
-        turn_in_s = self.gateway.chooser.seconds_until_turn(
+        wait_for_turn_s = self.gateway.chooser.seconds_until_turn(
             self.service, self.attempted
         )
-        if 0 < turn_in_s < math.inf:
+        if 0 < wait_for_turn_s < math.inf:
             self.progress.reason = "servers_limited"
-            return self._fail(kind, retry_after.turn_retry_after_s(turn_in_s))
-        return self._refuse(kind)
+            return self._fail(
+                kind, retry_after.turn_retry_after_s(wait_for_turn_s)
+            )
+        return self._fail_with_retry_after(kind)
 
-    def _refuse(self, kind: ErrorKind) -> replies.Reply:
+    def _fail_with_retry_after(self, kind: ErrorKind) -> replies.Reply:
         by_servers = kind is ErrorKind.BACKEND_SHED
         retry_after_s = retry_after.retry_after_s(
             self.gateway.random, by_servers
@@ -364,5 +384,5 @@
         ran = Ran.UNKNOWN if self.progress.maybe_ran else failure.answer.ran
         return replies.from_failure(failure, ran, self.gateway.settings.daemon)
 
-    def _finish(self, status: int, error: ErrorKind | None) -> None:
+    def _record_end(self, status: int, error: ErrorKind | None) -> None:
         self.gateway.record_call(self, status, error)
--- a/banyantiller/gateway/caller.py
+++ b/banyantiller/gateway/caller.py
@@ -9,12 +9,17 @@
 
 from banyantiller.errors import ErrorKind, Failure
 from banyantiller.gateway import call as calls
-from banyantiller.gateway import call_events, events, protocols, replies
-from banyantiller.gateway import requests as reading
+from banyantiller.gateway import (
+    call_events,
+    events,
+    protocols,
+    replies,
+    requests,
+)
 from banyantiller.quarantine import fingerprint
 
 # Requests that are read ahead of their answers on one connection.
-MAX_AHEAD = 16
+MAX_PIPELINED = 16
 # Longest time for a request body after its head, as for any answer.
 BODY_TIMEOUT_S = 30.0
 # Request bodies in memory over all connections: a body of the largest size
@@ -22,17 +27,17 @@
 # smallest VM.
 MAX_BODY_BYTES = 80 << 20
 # When a caller may come back with a body for which there was no room.
-FULL_S = 0.5
+FULL_RETRY_AFTER_S = 0.5
 # How long a caller may go on sending after its request was rejected: closing
 # with bytes unread would reset the connection before it reads the answer.
 LINGER_S = 1.0
 # In bytes. h11's own limit is fixed when a codec is made, but the limit in
 # force may change while a connection is open: this module checks instead.
-NO_CODEC_BOUND_BYTES = sys.maxsize
+CODEC_LIMIT_BYTES = sys.maxsize
 NOT_IMPLEMENTED_HINT = 501
 
 
-class Slot:
+class PipelinedRequest:
     """One request on a connection and the place of its answer.
 
     Attributes:
@@ -48,7 +53,7 @@
 
     def __init__(self, codec: h11.Connection) -> None:
         self.codec = codec
-        self.request: reading.Request | None = None
+        self.request: requests.Request | None = None
         self.body: list[bytes] = []
         self.size = 0
         self.fingerprint: fingerprint.Fingerprint | None = None
@@ -76,13 +81,13 @@
         self.gateway = gateway
         self.loop = gateway.loop
         self.transport: Any = None
-        self.slots: collections.deque[Slot] = collections.deque()
-        self.reading: Slot | None = None
+        self.pipeline: collections.deque[PipelinedRequest] = collections.deque()
+        self.incoming: PipelinedRequest | None = None
         self.codec = self._new_codec()
-        self.begun = False
-        self.since = self.loop.time()
-        self.ended = False
-        self.gone = False
+        self.request_started = False
+        self.waiting_since = self.loop.time()
+        self.reading_ended = False
+        self.closed = False
         self.rejected = False
         self.timer: asyncio.TimerHandle | None = None
         self.parsing = False
@@ -97,15 +102,15 @@
 
     def data_received(self, data: bytes) -> None:
         """Reads requests."""
-        if self.ended:
+        if self.reading_ended:
             return
-        if not self.begun:
-            self.begun = True
-            self.since = self.loop.time()
+        if not self.request_started:
+            self.request_started = True
+            self.waiting_since = self.loop.time()
             self._set_timer()
         self.codec.receive_data(data)
-        self._read()
-        if len(self.slots) >= MAX_AHEAD and not self.gone:
+        self._parse_requests()
+        if len(self.pipeline) >= MAX_PIPELINED and not self.closed:
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
@@ -114,14 +119,14 @@
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
         """Cancels what nobody waits for."""
-        self.gone = True
-        self.ended = True
+        self.closed = True
+        self.reading_ended = True
         self._stop_timer()
-        for slot in self.slots:
-            self.gateway.buffered_body_bytes -= slot.size
-            if slot.task is not None:
-                slot.task.cancel()
-        self.slots.clear()
+        for pending in self.pipeline:
+            self.gateway.buffered_body_bytes -= pending.size
+            if pending.task is not None:
+                pending.task.cancel()
+        self.pipeline.clear()
         self.gateway.remove_connection(self)
 
     def pause_writing(self) -> None:
@@ -130,56 +135,56 @@
 
     def resume_writing(self) -> None:
         """The caller caught up."""
-        if not self.gone:
+        if not self.closed:
             self.transport.resume_reading()
 
     # Called by the gateway.
 
     def drain(self) -> None:
         """Closes the connection as soon as nothing is due on it."""
-        if not self.slots and not self.begun:
+        if not self.pipeline and not self.request_started:
             self._close()
 
     def run_waiting_calls(self) -> None:
         """Runs the calls that need not wait under the document in force."""
-        for slot in tuple(self.slots):
-            self._start(slot)
+        for pending in tuple(self.pipeline):
+            self._start_call(pending)
 
     # Within.
 
     def _new_codec(self) -> h11.Connection:
         return h11.Connection(
-            h11.SERVER, max_incomplete_event_size=NO_CODEC_BOUND_BYTES
+            h11.SERVER, max_incomplete_event_size=CODEC_LIMIT_BYTES
         )
 
-    def _read(self) -> None:
+    def _parse_requests(self) -> None:
         if self.parsing:
             return
         self.parsing = True
         try:
-            while not self.ended and len(self.slots) < MAX_AHEAD:
+            while not self.reading_ended and len(self.pipeline) < MAX_PIPELINED:
                 event = self.codec.next_event()
-                if not self._take(event):
+                if not self._handle_event(event):
                     break
         except h11.RemoteProtocolError as error:
-            self._reject(_failure(error))
-        except reading.AmbiguousLengthError:
+            self._reject(_parse_failure(error))
+        except requests.AmbiguousLengthError:
             self._reject(Failure(ErrorKind.AMBIGUOUS_LENGTH))
         finally:
             self.parsing = False
-        self._flush()
+        self._write_due_replies()
 
-    def _take(self, event: Any) -> bool:
+    def _handle_event(self, event: Any) -> bool:
         """Takes one event; False if there is nothing to read."""
-        kind = type(event)
-        if kind is h11.Request:
-            self._head(event)
-        elif kind is h11.Data:
-            self._data(event.data)
-        elif kind is h11.EndOfMessage:
-            self._whole()
-        elif kind is h11.ConnectionClosed:
-            self.ended = True
+        event_type = type(event)
+        if event_type is h11.Request:
+            self._handle_head(event)
+        elif event_type is h11.Data:
+            self._handle_body_data(event.data)
+        elif event_type is h11.EndOfMessage:
+            self._handle_end()
+        elif event_type is h11.ConnectionClosed:
+            self.reading_ended = True
             return False
         else:
             if event is h11.NEED_DATA:
@@ -193,129 +198,131 @@
         Also covers the incomplete head of a chunk, which h11 keeps in the same
         place.
         """
-        known = self.gateway.store_view
+        view = self.gateway.store_view
         incomplete = self.codec.trailing_data[0]
-        if len(incomplete) > known.caller_limits.head_bytes:
-            self._reject(known.refusal_of(ErrorKind.HEAD_TOO_LARGE))
+        if len(incomplete) > view.caller_limits.head_bytes:
+            self._reject(view.refusal_of(ErrorKind.HEAD_TOO_LARGE))
 
-    def _head(self, event: h11.Request) -> None:
-        slot = Slot(self.codec)
-        self.reading = slot
-        self.slots.append(slot)
+    def _handle_head(self, event: h11.Request) -> None:
+        pending = PipelinedRequest(self.codec)
+        self.incoming = pending
+        self.pipeline.append(pending)
         now = self.loop.time()
-        slot.request = reading.read(event, self.gateway.adapter.wire, now)
-        slot.fingerprint = reading.fingerprint_of(
-            slot.request, self.gateway.adapter.wire
+        pending.request = requests.parse(event, self.gateway.adapter.wire, now)
+        pending.fingerprint = requests.start_fingerprint(
+            pending.request, self.gateway.adapter.wire
         )
-        self.since = now
+        self.waiting_since = now
         self._set_timer()
         if self.codec.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self.transport.write(self.codec.send(go_on))
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            self.transport.write(self.codec.send(interim))
 
-    def _data(self, data: bytes) -> None:
-        slot = self.reading
-        slot.size += len(data)
+    def _handle_body_data(self, data: bytes) -> None:
+        pending = self.incoming
+        pending.size += len(data)
         self.gateway.buffered_body_bytes += len(data)
-        known = self.gateway.store_view
-        if slot.size > known.caller_limits.body_bytes:
-            self._reject(known.refusal_of(ErrorKind.BODY_TOO_LARGE))
+        view = self.gateway.store_view
+        if pending.size > view.caller_limits.body_bytes:
+            self._reject(view.refusal_of(ErrorKind.BODY_TOO_LARGE))
         elif self.gateway.buffered_body_bytes > MAX_BODY_BYTES:
-            self._reject(Failure(ErrorKind.QUEUE_FULL, retry_after=FULL_S))
+            self._reject(
+                Failure(ErrorKind.QUEUE_FULL, retry_after=FULL_RETRY_AFTER_S)
+            )
         else:
-            slot.body.append(bytes(data))
-            slot.fingerprint.update(data)
+            pending.body.append(bytes(data))
+            pending.fingerprint.update(data)
 
-    def _whole(self) -> None:
+    def _handle_end(self) -> None:
         """Starts the call of a request that was read whole."""
-        slot = self.reading
-        self.reading = None
-        slot.request = slot.request._replace(
-            body=b"".join(slot.body),
+        pending = self.incoming
+        self.incoming = None
+        pending.request = pending.request._replace(
+            body=b"".join(pending.body),
             received=self.loop.time(),
-            fingerprint=slot.fingerprint.hexdigest(),
+            fingerprint=pending.fingerprint.hexdigest(),
         )
-        slot.body.clear()
-        slot.call = calls.Call(self.gateway, slot.request)
-        rest = self.codec.trailing_data[0]
+        pending.body.clear()
+        pending.call = calls.Call(self.gateway, pending.request)
+        remaining_data = self.codec.trailing_data[0]
         if self.codec.their_state is h11.DONE:
             self.codec = self._new_codec()
-            self.begun = bool(rest)
-            if rest:
-                self.codec.receive_data(rest)
+            self.request_started = bool(remaining_data)
+            if remaining_data:
+                self.codec.receive_data(remaining_data)
         else:
             # The caller said that this is its last request.
-            self.ended = True
-            self.begun = False
-        self.since = self.loop.time()
+            self.reading_ended = True
+            self.request_started = False
+        self.waiting_since = self.loop.time()
         self._set_timer()
-        self._start(slot)
+        self._start_call(pending)
 
-    def _start(self, slot: Slot) -> None:
+    def _start_call(self, pending: PipelinedRequest) -> None:
         """Runs a call; one that must not be repeated waits for its turn.
 
         An answer before it may close the connection, after which the caller
         takes the request for unread and sends it again.
         """
-        if slot.task is not None or slot.call is None:
+        if pending.task is not None or pending.call is None:
             return
-        slot.call.look_up_route()
-        if slot is self.slots[0] or slot.call.idempotent:
-            slot.task = self.loop.create_task(self._run(slot))
+        pending.call.look_up_route()
+        if pending is self.pipeline[0] or pending.call.idempotent:
+            pending.task = self.loop.create_task(self._run_call(pending))
 
-    async def _run(self, slot: Slot) -> None:
-        slot.reply = await slot.call.run()
-        self._flush()
+    async def _run_call(self, pending: PipelinedRequest) -> None:
+        pending.reply = await pending.call.run()
+        self._write_due_replies()
 
     def _reject(self, failure: Failure) -> None:
         """Answers a request that can't be read, and closes after it."""
-        slot = self.reading
-        if slot is None:
-            slot = Slot(self.codec)
-            self.slots.append(slot)
-        self.reading = None
-        self.ended = True
+        pending = self.incoming
+        if pending is None:
+            pending = PipelinedRequest(self.codec)
+            self.pipeline.append(pending)
+        self.incoming = None
+        self.reading_ended = True
         self.rejected = True
-        slot.body.clear()
-        slot.reply = replies.from_failure(
+        pending.body.clear()
+        pending.reply = replies.from_failure(
             failure, failure.answer.ran, self.gateway.settings.daemon
         )
-        request_id = slot.request.request_id if slot.request else ""
+        request_id = pending.request.request_id if pending.request else ""
         events.emit(call_events.RequestRejected(request_id, failure.kind))
 
-    def _flush(self) -> None:
+    def _write_due_replies(self) -> None:
         """Writes the answers whose turn has come."""
-        before = len(self.slots)
-        while self.slots and self.slots[0].reply is not None:
-            if self.gone:
+        before = len(self.pipeline)
+        while self.pipeline and self.pipeline[0].reply is not None:
+            if self.closed:
                 return
-            slot = self.slots.popleft()
-            self.gateway.buffered_body_bytes -= slot.size
-            if not self._write(slot):
+            pending = self.pipeline.popleft()
+            self.gateway.buffered_body_bytes -= pending.size
+            if not self._write_reply(pending):
                 return
-        if self.slots:
-            self._start(self.slots[0])
-        elif not self.gone:
-            self.since = self.loop.time()
+        if self.pipeline:
+            self._start_call(self.pipeline[0])
+        elif not self.closed:
+            self.waiting_since = self.loop.time()
             self._set_timer()
-        idle = not self.ended and not self.parsing and not self.gone
-        if idle and len(self.slots) < before:
-            self.loop.call_soon(self._read_on)
+        idle = not self.reading_ended and not self.parsing and not self.closed
+        if idle and len(self.pipeline) < before:
+            self.loop.call_soon(self._resume_parsing)
 
-    def _read_on(self) -> None:
+    def _resume_parsing(self) -> None:
         # Requests may be left over from when too many were waiting.
-        if self.ended or self.gone:
+        if self.reading_ended or self.closed:
             return
         if self.codec.trailing_data[0]:
-            self._read()
-        if len(self.slots) < MAX_AHEAD:
+            self._parse_requests()
+        if len(self.pipeline) < MAX_PIPELINED:
             self.transport.resume_reading()
 
-    def _write(self, slot: Slot) -> bool:
+    def _write_reply(self, pending: PipelinedRequest) -> bool:
         """Writes one answer; False if the connection ends with it."""
-        reply = slot.reply
-        draining = self.gateway.draining and not self.begun
-        closing = not self.slots and (self.ended or draining)
+        reply = pending.reply
+        draining = self.gateway.draining and not self.request_started
+        closing = not self.pipeline and (self.reading_ended or draining)
         headers = list(reply.headers)
         no_body = reply.status in (204, 304)
         if not no_body:
@@ -323,7 +330,7 @@
             headers.append(("content-length", str(length)))
         if closing:
             headers.append(("connection", "close"))
-        codec = slot.codec
+        codec = pending.codec
         head = h11.Response(
             status_code=reply.status,
             headers=[
@@ -332,7 +339,9 @@
             ],
         )
         data = codec.send(head)
-        is_head = slot.request is not None and slot.request.method == "HEAD"
+        is_head = (
+            pending.request is not None and pending.request.method == "HEAD"
+        )
         if reply.body and not is_head and not no_body:
             data += codec.send(h11.Data(data=reply.body))
         data += codec.send(h11.EndOfMessage())
@@ -343,9 +352,9 @@
         return True
 
     def _close(self) -> None:
-        self.ended = True
+        self.reading_ended = True
         self._stop_timer()
-        if self.gone:
+        if self.closed:
             return
         if self.rejected and self.transport.can_write_eof():
             self.transport.write_eof()
@@ -355,29 +364,29 @@
 
     def _set_timer(self) -> None:
         self._stop_timer()
-        if not self.gone:
-            due = self.since + self._patience_s()
-            self.timer = self.loop.call_at(due, self._expired)
+        if not self.closed:
+            due = self.waiting_since + self._timeout_s()
+            self.timer = self.loop.call_at(due, self._on_timeout)
 
-    def _patience_s(self) -> float:
-        if self.reading is not None:
+    def _timeout_s(self) -> float:
+        if self.incoming is not None:
             return BODY_TIMEOUT_S
-        if self.begun:
+        if self.request_started:
             return self.gateway.store_view.caller_limits.head_timeout_s
         return self.gateway.store_view.caller_limits.idle_timeout_s
 
-    def _expired(self) -> None:
+    def _on_timeout(self) -> None:
         self.timer = None
-        if self.loop.time() < self.since + self._patience_s():
+        if self.loop.time() < self.waiting_since + self._timeout_s():
             # The limit was raised meanwhile.
             self._set_timer()
-        elif self.reading is not None:
+        elif self.incoming is not None:
             self._reject(Failure(ErrorKind.BODY_TIMEOUT))
-            self._flush()
-        elif self.begun:
+            self._write_due_replies()
+        elif self.request_started:
             self._reject(Failure(ErrorKind.HEAD_TIMEOUT))
-            self._flush()
-        elif not self.slots:
+            self._write_due_replies()
+        elif not self.pipeline:
             self._close()
 
     def _stop_timer(self) -> None:
@@ -386,7 +395,7 @@
             self.timer = None
 
 
-def _failure(error: h11.RemoteProtocolError) -> Failure:
+def _parse_failure(error: h11.RemoteProtocolError) -> Failure:
     if error.error_status_hint == NOT_IMPLEMENTED_HINT:
         return Failure(ErrorKind.METHOD_UNSUPPORTED, str(error))
     return Failure(ErrorKind.MALFORMED_REQUEST, str(error))
--- a/banyantiller/gateway/early_listening.py
+++ b/banyantiller/gateway/early_listening.py
@@ -16,10 +16,10 @@
 # listen while they serve, separated by commas. Both are in the environment,
 # since the settings file can't be read before the program is loaded.
 LISTEN_VARIABLE = "BANYANTILLER_LISTEN"
-OTHERS_VARIABLE = "BANYANTILLER_OTHERS"
+PEERS_VARIABLE = "BANYANTILLER_OTHERS"
 # A daemon that lives accepts a connection within 4 ms, twice the longest way
 # between availability zones; five times that for a busy one.
-ANSWER_S = 0.02
+ACCEPT_TIMEOUT_S = 0.02
 # As many callers as the gateway's own listener lets wait.
 BACKLOG = 1024
 
@@ -34,15 +34,21 @@
         The listening socket, or None if the program shall listen when loaded.
     """
     variables = os.environ if environment is None else environment
-    own = _address(variables.get(LISTEN_VARIABLE, ""))
-    listed = variables.get(OTHERS_VARIABLE, "").split(",")
-    others = [found for found in map(_address, listed) if found is not None]
-    if own is None or not others or _any_lives(others):
+    local_address = _address(variables.get(LISTEN_VARIABLE, ""))
+    listed = variables.get(PEERS_VARIABLE, "").split(",")
+    peer_addresses = [
+        found for found in map(_address, listed) if found is not None
+    ]
+    if (
+        local_address is None
+        or not peer_addresses
+        or _any_accepts(peer_addresses)
+    ):
         return None
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
-        listener.bind(own)
+        listener.bind(local_address)
         listener.listen(BACKLOG)
     except OSError:
         # The gateway meets the same error when it listens, and reports it.
@@ -56,34 +62,37 @@
     return (host, int(port)) if host and port.isdigit() else None
 
 
-def _any_lives(others: list[tuple[str, int]]) -> bool:
+def _any_accepts(peer_addresses: list[tuple[str, int]]) -> bool:
     """Tells whether a connection to one of some addresses is accepted."""
-    asked = [socket.socket(socket.AF_INET, socket.SOCK_STREAM) for _ in others]
+    sockets = [
+        socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        for _ in peer_addresses
+    ]
     try:
-        waiting = [
-            one
-            for one, address in zip(asked, others, strict=True)
-            if _begin(one, address)
+        connecting = [
+            sock
+            for sock, address in zip(sockets, peer_addresses, strict=True)
+            if _start_connecting(sock, address)
         ]
-        while waiting:
-            _, ended, _ = select.select([], waiting, [], ANSWER_S)
-            if not ended:
+        while connecting:
+            _, finished, _ = select.select([], connecting, [], ACCEPT_TIMEOUT_S)
+            if not finished:
                 return False
-            for one in ended:
-                waiting.remove(one)
-                if not one.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+            for sock in finished:
+                connecting.remove(sock)
+                if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                     return True
         return False
     finally:
-        for one in asked:
-            one.close()
+        for sock in sockets:
+            sock.close()
 
 
-def _begin(one: socket.socket, address: tuple[str, int]) -> bool:
+def _start_connecting(sock: socket.socket, address: tuple[str, int]) -> bool:
     """Begins to connect; False if that fails at once."""
-    one.setblocking(False)
+    sock.setblocking(False)
     try:
-        one.connect(address)
+        sock.connect(address)
     except BlockingIOError:
         return True
     except OSError:
--- a/banyantiller/gateway/exchange.py
+++ b/banyantiller/gateway/exchange.py
@@ -23,13 +23,13 @@
 NOT_RUN_STATUSES = (421,)
 # To a caller these say that the request was not run. A server that sends one
 # without its mark for that may have run it, so they are not passed on.
-PROMISES = frozenset({408, 429, 503})
+IMPLIED_NOT_RUN_STATUSES = frozenset({408, 429, 503})
 # Answers of other requests that are read before the connection is given up.
-MAX_STRAY_ANSWERS = 3
-SUCCESS = range(200, 300)
+MAX_STRAY_RESPONSES = 3
+SUCCESS_STATUSES = range(200, 300)
 
 
-class Outgoing(NamedTuple):
+class OutgoingRequest(NamedTuple):
     """A request as it is sent to servers.
 
     Attributes:
@@ -97,7 +97,7 @@
 
 async def run(
     link: pool.Link,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
     instance: str,
     remaining_s: float,
     wire: types.WireNames,
@@ -118,10 +118,12 @@
         body_bytes: Largest answer body.
         on_head: Called with the head of the answer.
     """
-    request = _build(outgoing, instance, remaining_s, wire)
+    request = _build_request(outgoing, instance, remaining_s, wire)
     try:
         link.connection.write(request)
-        response, body = await _read_own(link, request, wire, body_bytes)
+        response, body = await _read_matching_response(
+            link, request, wire, body_bytes
+        )
         on_head(response)
     except connection.BodyTooLargeError as error:
         return BrokenResponse(ErrorKind.BACKEND_MALFORMED, str(error))
@@ -129,7 +131,7 @@
         return BrokenResponse(
             ErrorKind.CONNECTION_LOST, str(error) or type(error).__name__
         )
-    _keep_alive(link, response)
+    _apply_keep_alive(link, response)
     return classify_response(response, body, outgoing.request_id, wire)
 
 
@@ -152,24 +154,28 @@
         return NotRun(ErrorKind.NO_SERVER, moved=True)
     if response.header(wire.not_run.decode()):
         return NotRun(ErrorKind.BACKEND_SHED)
-    if status in PROMISES:
+    if status in IMPLIED_NOT_RUN_STATUSES:
         reason = f"status {status} without a word on whether it ran"
         return BrokenResponse(ErrorKind.BACKEND_MALFORMED, reason)
     echoed = response.header(wire.request_id.decode())
-    if echoed != request_id and (echoed or status in SUCCESS):
+    if echoed != request_id and (echoed or status in SUCCESS_STATUSES):
         return BrokenResponse(
             ErrorKind.BACKEND_MALFORMED, "not this request's answer"
         )
-    if status in SUCCESS and not response.header(wire.signature.decode()):
+    if status in SUCCESS_STATUSES and not response.header(
+        wire.signature.decode()
+    ):
         return BrokenResponse(
             ErrorKind.BACKEND_MALFORMED, "an answer is not signed"
         )
     stated = response.header("content-length")
     length = int(stated) if stated.isdigit() and not body else None
-    return CompleteResponse(status, forwarded(response.headers), body, length)
+    return CompleteResponse(
+        status, forwardable_headers(response.headers), body, length
+    )
 
 
-async def _read_own(
+async def _read_matching_response(
     link: pool.Link,
     request: messages.Request,
     wire: types.WireNames,
@@ -180,19 +186,19 @@
     A faulty server sends an answer twice; the second one is found where the
     next request's answer is due.
     """
-    own = request.header(wire.request_id.decode())
-    for _ in range(MAX_STRAY_ANSWERS):
+    expected_id = request.header(wire.request_id.decode())
+    for _ in range(MAX_STRAY_RESPONSES):
         response = await link.connection.read_head()
         body = await link.connection.read_body(body_bytes)
         echoed = response.header(wire.request_id.decode())
-        if not echoed or not own or echoed == own:
+        if not echoed or not expected_id or echoed == expected_id:
             return response, body
         link.connection.expect_again(request)
     raise connection.ConnectionLostError("only answers of other requests")
 
 
-def _build(
-    outgoing: Outgoing,
+def _build_request(
+    outgoing: OutgoingRequest,
     instance: str,
     remaining_s: float,
     wire: types.WireNames,
@@ -209,13 +215,13 @@
     )
 
 
-def _keep_alive(link: pool.Link, response: messages.Response) -> None:
+def _apply_keep_alive(link: pool.Link, response: messages.Response) -> None:
     stated = pool.idle_time(response.header("keep-alive"))
     if stated is not None:
         link.idle_s = min(stated, pool.IDLE_S)
 
 
-def forwarded(headers: messages.Headers) -> messages.Headers:
+def forwardable_headers(headers: messages.Headers) -> messages.Headers:
     """Returns the fields that don't concern one connection only."""
     named = {
         token.strip().lower()
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -32,13 +32,13 @@
 BACKLOG = 1024
 # Part of the fleet's retry budget that is used: the users count a request
 # where it was sent, this daemon where it arrived.
-BUDGET_USE = 0.9
+USABLE_BUDGET_RATIO = 0.9
 # A daemon's part of what the budget allows besides, and of a server's
 # connections, where daemons can't be counted: small fleets have none to ask.
-FLEET_SHARE = 1 / turns.UNCOUNTED_FLEET
+UNCOUNTED_FLEET_SHARE = 1 / turns.UNCOUNTED_FLEET
 # Part of what is shared that is used: a daemon that changes its group counts
 # in two for 3 s.
-SHARE_USE = 0.8
+USABLE_SHARE_RATIO = 0.8
 MIN_CONNECTIONS = 4
 # Longest wait for a request without a route.
 DEFAULT_TIMEOUT_S = 5.0
@@ -46,12 +46,12 @@
 HOUSEKEEPING_S = 0.25
 # After an order to end: how long new connections and requests are taken, so
 # that the platform, which asks once a second and acts on two misses, sees it.
-LISTEN_ON_S = 3.0
+DRAIN_LISTEN_S = 3.0
 # Connections that were accepted before listening ended are seen by then.
-ACCEPTED_S = 0.02
+ACCEPT_SETTLE_S = 0.02
 # Part of the time to end that is kept for closing and for the interpreter's
 # end, which takes 0.1 s of processor time.
-RESERVE_S = 0.8
+SHUTDOWN_RESERVE_S = 0.8
 
 
 class Gateway:
@@ -108,7 +108,7 @@
         )
         self.store_view.mirror.mark = self.quarantine_sync.mark
         self.quarantine_sync.on_mark_change = self.store_view.mirror.wake
-        self.server_limits = server_limits.ServerLimits(adapter, self._place)
+        self.server_limits = server_limits.ServerLimits(adapter, self._position)
         self.store_view.mirror.server_limits = self.server_limits
         for peer in self.store_view.reader.relays:
             peer.server_limits = self.server_limits
@@ -118,7 +118,7 @@
             probing.ProbeCallbacks(
                 self.store_view.remove_moved,
                 self.crash_detector.record_refused_connection,
-                self._note_health,
+                self._record_probe_limit,
             ),
             settings.zone,
         )
@@ -126,41 +126,41 @@
             self.store_view.table,
             self.prober,
             selection.ServerSelector(settings.daemon, settings.zone, rng),
-            self._connected,
+            self._find_connected,
             lambda: self.min_recent_share() * self.settings.cold_tolerance,
             self.server_limits,
         )
-        self.emptied = asyncio.Event()
+        self.all_closed = asyncio.Event()
         self.listener: asyncio.Server | None = None
 
     # Called by the daemon.
 
     async def start(
-        self, endpoint: Endpoint, waiting: socket.socket | None = None
+        self, endpoint: Endpoint, listener: socket.socket | None = None
     ) -> Endpoint:
         """Listens for callers and returns where.
 
         Args:
             endpoint: Where to listen.
-            waiting: Socket that listens already; of use if it is there.
+            listener: Listening socket, used if it is bound to `endpoint`.
 
         Raises:
             OSError: The address can't be bound.
         """
         wanted = (endpoint.address, endpoint.port)
-        if waiting is not None and waiting.getsockname() != wanted:
-            waiting.close()
-            waiting = None
+        if listener is not None and listener.getsockname() != wanted:
+            listener.close()
+            listener = None
         where = {"host": wanted[0], "port": wanted[1]}
-        if waiting is not None:
-            where = {"sock": waiting}
+        if listener is not None:
+            where = {"sock": listener}
         self.listener = await self.loop.create_server(
             lambda: caller.CallerConnection(self), backlog=BACKLOG, **where
         )
         bound = self.listener.sockets[0].getsockname()
         return Endpoint(bound[0], bound[1])
 
-    def not_ready(self) -> str:
+    def not_ready_reason(self) -> str:
         """Returns why callers should not be sent here, or an empty text."""
         if self.draining:
             return "the daemon is ending"
@@ -183,19 +183,19 @@
         """
         self.draining = True
         self.store_view.begin_shutdown()
-        ends = self.loop.time() + limit_s - RESERVE_S
-        await asyncio.sleep(min(LISTEN_ON_S, limit_s / 2))
+        deadline = self.loop.time() + limit_s - SHUTDOWN_RESERVE_S
+        await asyncio.sleep(min(DRAIN_LISTEN_S, limit_s / 2))
         if self.listener is not None:
             self.listener.close()
-        await asyncio.sleep(ACCEPTED_S)
+        await asyncio.sleep(ACCEPT_SETTLE_S)
         for connection in list(self.connections):
             connection.drain()
         # It may have been empty for a moment before.
-        self.emptied.clear()
-        self._note_emptied()
+        self.all_closed.clear()
+        self._signal_if_closed()
         try:
-            async with asyncio.timeout_at(ends):
-                await self.emptied.wait()
+            async with asyncio.timeout_at(deadline):
+                await self.all_closed.wait()
         except TimeoutError:
             events.emit(events.CallsCut(self._in_flight()))
         return self._in_flight()
@@ -212,16 +212,16 @@
             )
             self.crash_detector.watch.expire(now)
             self.min_recent_share()
-            for kept in self.pools.values():
-                kept.expire(now)
+            for server_pool in self.pools.values():
+                server_pool.expire(now)
             if self.store_view.routes is not None:
                 self.durations.retain_routes(self.store_view.routes.names)
 
     async def close(self) -> None:
         """Closes every connection at once."""
         self.quarantine_sync.close()
-        for kept in self.pools.values():
-            kept.close()
+        for server_pool in self.pools.values():
+            server_pool.close()
         await self.store_view.reader.close()
 
     async def handle_peer(self, request: messages.Request) -> messages.Response:
@@ -246,7 +246,7 @@
         if found is None:
             found = pool.Pool(server, MIN_CONNECTIONS, self.tallies.opened)
             self.pools[server.instance] = found
-        found.max_size = self._connections_of(server.service)
+        found.max_size = self._max_connections(server.service)
         return found
 
     def budget_of(self, service: str) -> budget.RetryBudget:
@@ -258,14 +258,14 @@
             self.budgets[service] = found
         # Settings may have changed; what was used counts on.
         found.window_s = self.settings.retry_window_s
-        found.ratio = self.settings.retry_ratio * BUDGET_USE
+        found.ratio = self.settings.retry_ratio * USABLE_BUDGET_RATIO
         found.extra = self.settings.retry_extra * self.min_recent_share()
         return found
 
     def min_recent_share(self) -> float:
         """Returns the least share that was held in the last retry window."""
         if not self.settings.seeds:
-            return FLEET_SHARE
+            return UNCOUNTED_FLEET_SHARE
         now = self.loop.time()
         self.shares.window_s = self.settings.retry_window_s
         self.shares.record(self.share(), now)
@@ -278,14 +278,14 @@
         be counted at all.
         """
         if not self.settings.seeds:
-            return FLEET_SHARE
-        return (self.store_view.reader.budget_share or 0.0) * SHARE_USE
+            return UNCOUNTED_FLEET_SHARE
+        return (self.store_view.reader.budget_share or 0.0) * USABLE_SHARE_RATIO
 
     def remove_connection(self, connection: caller.CallerConnection) -> None:
         """Forgets a caller's connection."""
         self.connections.discard(connection)
         if self.draining:
-            self._note_emptied()
+            self._signal_if_closed()
 
     def record_call(
         self, call: calls.Call, status: int, error: ErrorKind | None
@@ -297,11 +297,11 @@
         self.tallies.record_call(
             call.service, route, status, error, progress.sends, duration_s
         )
-        good = error is None and status < 500 and progress.sends <= 1
+        successful = error is None and status < 500 and progress.sends <= 1
         skipped = self.sampler.begin_second(self.loop.time())
         if skipped is not None:
             events.emit(call_events.CallsNotLogged(*skipped))
-        if self.sampler.should_log(good):
+        if self.sampler.should_log(successful):
             self._log_call(call, status, error, route, duration_s)
 
     def _log_call(
@@ -340,7 +340,7 @@
 
     # Within.
 
-    def _note_health(
+    def _record_probe_limit(
         self, server: types.Server, headers: messages.Headers, sent_at: float
     ) -> None:
         self.server_limits.record_response(
@@ -356,13 +356,13 @@
         for connection in tuple(self.connections):
             connection.run_waiting_calls()
 
-    def _place(self) -> turns.FleetPosition | None:
+    def _position(self) -> turns.FleetPosition | None:
         """Returns this daemon's place among those that take turns."""
         if self.settings.seeds:
             return self.store_view.reader.position
         return turns.uncounted_position(self.settings.daemon)
 
-    def _connected(
+    def _find_connected(
         self, entries: list[servers.ServerEntry]
     ) -> selection.Connected:
         """Returns to which servers there are connections."""
@@ -370,12 +370,12 @@
             (entry.server.instance, self.pools.get(entry.server.instance))
             for entry in entries
         ]
-        found = [(name, kept) for name, kept in pools if kept is not None]
-        idle = frozenset(name for name, kept in found if kept.has_idle())
-        busy = frozenset(name for name, kept in found if kept.busy)
+        found = [(name, held) for name, held in pools if held is not None]
+        idle = frozenset(name for name, held in found if held.has_idle())
+        busy = frozenset(name for name, held in found if held.busy)
         return selection.Connected(idle, busy - idle)
 
-    def _connections_of(self, service: str) -> int:
+    def _max_connections(self, service: str) -> int:
         found = self.store_view.service(service)
         if found is None:
             return MIN_CONNECTIONS
@@ -387,11 +387,11 @@
             found.close()
 
     def _in_flight(self) -> int:
-        return sum(len(connection.slots) for connection in self.connections)
+        return sum(len(connection.pipeline) for connection in self.connections)
 
-    def _note_emptied(self) -> None:
+    def _signal_if_closed(self) -> None:
         if not self.connections:
-            self.emptied.set()
+            self.all_closed.set()
 
 
 def _rounded_ms(age_s: float) -> float | None:
--- a/banyantiller/gateway/metrics.py
+++ b/banyantiller/gateway/metrics.py
@@ -17,7 +17,7 @@
 Tally = collections.Counter
 
 
-class Page:
+class MetricsPage:
     """All metrics of one gateway as text.
 
     Attributes:
@@ -28,7 +28,7 @@
     def __init__(self, gateway: "gateways.Gateway") -> None:
         self.gateway = gateway
         self.instruments = metrics.Metrics()
-        self.instruments.registry.register(Latency(gateway.tallies))
+        self.instruments.registry.register(LatencyCollector(gateway.tallies))
         self._add_counters()
         self._add_gauges()
 
@@ -69,12 +69,12 @@
                 ),
             )
         self._add_server_counters()
-        asker = self.gateway.prober
+        prober = self.gateway.prober
         self.instruments.counter(
             "banyantiller_gateway_questions",
             "",
             "Questions to servers for their load.",
-            lambda: [metrics.Reading(asker.probe_count)],
+            lambda: [metrics.Reading(prober.probe_count)],
         )
 
     def _add_server_counters(self) -> None:
@@ -102,12 +102,12 @@
 
     def _add_gauges(self) -> None:
         gateway = self.gateway
-        suspects = gateway.crash_detector.watch.table
+        crash_table = gateway.crash_detector.watch.table
         rows = (
             ("document_version", "Version in force.",
              lambda: gateway.store_view.version),
             ("ready", "Whether callers should be sent here.",
-             lambda: not gateway.not_ready()),
+             lambda: not gateway.not_ready_reason()),
             ("store_lost", "Whether the store gives no answer.",
              lambda: gateway.store_view.store_health.lost_at is not None),
             ("evacuated_zones", "Zones whose servers get no requests.",
@@ -118,9 +118,9 @@
              lambda: len(gateway.connections)),
             ("quarantined_requests", "Requests that are refused since servers"
              " ended under them.",
-             lambda: len(suspects.quarantined_records(gateway.loop.time()))),
+             lambda: len(crash_table.quarantined_records(gateway.loop.time()))),
             ("suspect_requests", "Requests with which servers ended lately.",
-             lambda: len(suspects.records)),
+             lambda: len(crash_table.records)),
         )  # fmt: skip
         for name, doc, read in rows:
             self.instruments.gauge(
@@ -147,7 +147,7 @@
         )
 
 
-class Latency(registry.Collector):
+class LatencyCollector(registry.Collector):
     """Histograms of the time from a request to its answer, by service."""
 
     def __init__(self, counts: tallies.Tallies) -> None:
@@ -155,22 +155,24 @@
 
     def collect(self) -> Iterator[core.HistogramMetricFamily]:
         """Yields one histogram with a label for the service."""
-        found = core.HistogramMetricFamily(
+        family = core.HistogramMetricFamily(
             "banyantiller_gateway_latency_seconds",
             "Time from a whole request to its answer.",
             labels=["service"],
         )
-        for service, total_s in self.counts.seconds.items():
-            each = [
+        for service, total_s in self.counts.total_duration_s.items():
+            bucket_counts = [
                 self.counts.latency[service, end] for end in tallies.BUCKETS_S
             ]
-            ends = [_label(end) for end in tallies.BUCKETS_S]
-            sums = list(itertools.accumulate(each))
-            found.add_metric(
-                [service], list(zip(ends, sums, strict=True)), total_s
+            bucket_labels = [_bucket_label(end) for end in tallies.BUCKETS_S]
+            cumulative = list(itertools.accumulate(bucket_counts))
+            family.add_metric(
+                [service],
+                list(zip(bucket_labels, cumulative, strict=True)),
+                total_s,
             )
-        yield found
+        yield family
 
 
-def _label(end_s: float) -> str:
+def _bucket_label(end_s: float) -> str:
     return "+Inf" if end_s == float("inf") else f"{end_s:g}"
--- a/banyantiller/gateway/protocols.py
+++ b/banyantiller/gateway/protocols.py
@@ -75,7 +75,7 @@
     gateway: CallContext
     loop: asyncio.AbstractEventLoop
     request: requests.Request
-    outgoing: exchange.Outgoing
+    outgoing: exchange.OutgoingRequest
     progress: progress.Progress
     route: types.Route | None
     service: str
--- a/banyantiller/gateway/requests.py
+++ b/banyantiller/gateway/requests.py
@@ -42,20 +42,22 @@
     received: float
     fingerprint: str = ""
 
-    def outgoing(self, wire: types.WireNames) -> exchange.Outgoing:
+    def outgoing(self, wire: types.WireNames) -> exchange.OutgoingRequest:
         """Returns the request as it is sent to servers."""
-        set_here = {wire.deadline_ms.decode(), wire.expected_instance.decode()}
-        return exchange.Outgoing(
+        replaced = {wire.deadline_ms.decode(), wire.expected_instance.decode()}
+        return exchange.OutgoingRequest(
             self.method,
             self.target,
-            tuple(item for item in self.headers if item[0] not in set_here),
+            tuple(item for item in self.headers if item[0] not in replaced),
             self.body,
             self.has_body,
             self.request_id,
         )
 
 
-def read(event: h11.Request, wire: types.WireNames, received: float) -> Request:
+def parse(
+    event: h11.Request, wire: types.WireNames, received: float
+) -> Request:
     """Reads a request head.
 
     Raises:
@@ -71,7 +73,7 @@
         method=event.method.decode("ascii"),
         target=event.target.decode("latin-1"),
         host=messages.find_header(headers, "host"),
-        headers=exchange.forwarded(headers),
+        headers=exchange.forwardable_headers(headers),
         body=b"",
         has_body=chunked or "content-length" in names,
         request_id=messages.find_header(headers, wire.request_id.decode()),
@@ -80,7 +82,7 @@
     )
 
 
-def fingerprint_of(
+def start_fingerprint(
     request: Request, wire: types.WireNames
 ) -> fingerprint.Fingerprint:
     """Begins the fingerprint of a request whose head was read."""
--- a/banyantiller/gateway/routes.py
+++ b/banyantiller/gateway/routes.py
@@ -6,7 +6,7 @@
 from banyantiller.gateway import types
 
 # Steps of this part of a circle never come close to where one was before.
-GOLDEN_SECTION = (math.sqrt(5) - 1) / 2
+GOLDEN_RATIO_STEP = (math.sqrt(5) - 1) / 2
 
 
 class RouteTable:
@@ -27,12 +27,12 @@
         self.document = document
         self.random = rng or random.Random()
         self.by_host: dict[str, list[types.Route]] = {}
-        self.points: dict[str, float] = {}
+        self.split_points: dict[str, float] = {}
         for route in document.routes:
             self.by_host.setdefault(route.host, []).append(route)
         for routes in self.by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
-        self.urgent = _urgent(document.routes)
+        self.urgent = _most_urgent(document.routes)
         self.names = frozenset(route.name for route in document.routes)
 
     def find(self, host: str, target: str) -> types.Route | None:
@@ -61,18 +61,18 @@
         total = sum(part.weight for part in route.weighted_services)
         if len(route.weighted_services) == 1 or total <= 0:
             return route.weighted_services[0].service
-        point = self.points.get(route.name, self.random.random())
-        self.points[route.name] = (point + GOLDEN_SECTION) % 1.0
+        split_point = self.split_points.get(route.name, self.random.random())
+        self.split_points[route.name] = (split_point + GOLDEN_RATIO_STEP) % 1.0
         weighted = [part for part in route.weighted_services if part.weight > 0]
-        left = point * total
+        remaining = split_point * total
         for part in weighted:
-            left -= part.weight
-            if left < 0:
+            remaining -= part.weight
+            if remaining < 0:
                 return part.service
         return weighted[-1].service
 
 
-def _urgent(routes: tuple[types.Route, ...]) -> frozenset[str]:
+def _most_urgent(routes: tuple[types.Route, ...]) -> frozenset[str]:
     ranks: dict[str, set[int]] = {}
     for route in routes:
         for part in route.weighted_services:
--- a/banyantiller/gateway/run.py
+++ b/banyantiller/gateway/run.py
@@ -18,16 +18,16 @@
 from banyantiller.telemetry import logs, sink
 
 SETTINGS_VARIABLE = "BANYANTILLER_NODE_FILE"
-EXIT_CUT = 1
+EXIT_CALLS_CUT = 1
 METRICS_PATH = "/metrics"
-TEXT = "text/plain; version=0.0.4; charset=utf-8"
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 # How often the settings file is looked at: it may change without a signal.
 SETTINGS_PERIOD_S = 1.0
-SIDE_LIMITS = messages.Limits(head_s=2.0, idle_s=10.0, connections=64)
+STATUS_LIMITS = messages.Limits(head_s=2.0, idle_s=10.0, connections=64)
 
 
 # A fleet of hundreds may ask one daemon while others are down.
-CONTROL_LIMITS = messages.Limits(head_s=2.0, idle_s=10.0, connections=1024)
+PEER_LIMITS = messages.Limits(head_s=2.0, idle_s=10.0, connections=1024)
 
 
 class Daemon:
@@ -47,7 +47,7 @@
         self,
         path: str,
         settings: options.Settings,
-        changed_at: int = 0,
+        settings_mtime_ns: int = 0,
         listener: socket.socket | None = None,
     ) -> None:
         self.path = path
@@ -55,18 +55,16 @@
         self.settings = settings
         registry = plugins.Registry.from_names(settings.plugins)
         create = registry.get("gateway", settings.adapter)
-        adapter = create(options.endpoint(settings.store))
+        adapter = create(options.parse_endpoint(settings.store))
         rng = random.Random(random.SystemRandom().getrandbits(64))
         self.gateway = gateways.Gateway(settings, adapter, rng)
         self.kernel = core.Kernel()
-        self.ready = server.HttpServer(self._answer_ready, SIDE_LIMITS)
-        self.metrics = server.HttpServer(self._answer_metrics, SIDE_LIMITS)
-        self.control = server.HttpServer(
-            self.gateway.handle_peer, CONTROL_LIMITS
-        )
-        self.page: Any = None
-        self.last_reason = "starting"
-        self.changed_at = changed_at
+        self.ready = server.HttpServer(self._answer_ready, STATUS_LIMITS)
+        self.metrics = server.HttpServer(self._answer_metrics, STATUS_LIMITS)
+        self.control = server.HttpServer(self.gateway.handle_peer, PEER_LIMITS)
+        self.metrics_page: Any = None
+        self.last_not_ready_reason = "starting"
+        self.settings_mtime_ns = settings_mtime_ns
         self.shutdown_requested = asyncio.Event()
 
     async def run(self) -> int:
@@ -75,8 +73,8 @@
         Returns:
             Number of calls that were cut.
         """
-        for follower in self.gateway.store_view.store_watchers():
-            self.kernel.start(follower.object_kind, follower.run)
+        for watcher in self.gateway.store_view.store_watchers():
+            self.kernel.start(watcher.object_kind, watcher.run)
         self.kernel.start("housekeeping", self.gateway.run_housekeeping)
         self.kernel.start("quarantine", self.gateway.quarantine_sync.run)
         self.kernel.start("settings", self._watch_settings)
@@ -106,37 +104,37 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def _listen(self) -> None:
-        callers = options.endpoint(self.settings.callers)
-        ready = options.endpoint(self.settings.ready)
+        callers = options.parse_endpoint(self.settings.callers)
+        ready = options.parse_endpoint(self.settings.ready)
         await self.ready.start(ready.address, ready.port)
         if self.settings.metrics_port:
             await self.metrics.start(
                 callers.address, self.settings.metrics_port
             )
         if self.settings.control:
-            control = options.endpoint(self.settings.control)
+            control = options.parse_endpoint(self.settings.control)
             await self.control.start(control.address, control.port)
         await self.gateway.start(callers, self.listener)
 
     def reload(self) -> None:
         """Reads the settings again; a bad file changes nothing."""
-        self.changed_at = _changed_at(self.path)
+        self.settings_mtime_ns = _mtime_ns(self.path)
         try:
-            fresh = options.load(self.path)
+            loaded = options.load(self.path)
         except exceptions.BanyantillerError as error:
             events.emit(events.SettingsRefused(str(error)))
             return
-        self.settings = fresh
-        self.gateway.settings = fresh
+        self.settings = loaded
+        self.gateway.settings = loaded
         events.emit(events.SettingsReloaded())
 
     async def _answer_ready(
         self, request: messages.Request
     ) -> messages.Response:
         del request
-        reason = self.gateway.not_ready()
-        if reason != self.last_reason:
-            self.last_reason = reason
+        reason = self.gateway.not_ready_reason()
+        if reason != self.last_not_ready_reason:
+            self.last_not_ready_reason = reason
             events.emit(events.ReadinessChanged(not reason, reason))
         return messages.Response(503 if reason else 200, (), reason.encode())
 
@@ -145,27 +143,29 @@
     ) -> messages.Response:
         if request.path != METRICS_PATH:
             return messages.Response(404)
-        if self.page is None:
+        if self.metrics_page is None:
             # Their libraries insist on the one for TLS. Loading takes half a
             # second: not on the thread of the calls.
             tls_imports.allow_tls()
             module = await asyncio.to_thread(
                 importlib.import_module, "banyantiller.gateway.metrics"
             )
-            self.page = module.Page(self.gateway)
+            self.metrics_page = module.MetricsPage(self.gateway)
         return messages.Response(
-            200, (("content-type", TEXT),), self.page.text()
+            200,
+            (("content-type", METRICS_CONTENT_TYPE),),
+            self.metrics_page.text(),
         )
 
     async def _watch_settings(self) -> None:
         while True:
             await asyncio.sleep(SETTINGS_PERIOD_S)
-            changed_at = _changed_at(self.path)
-            if changed_at != self.changed_at:
+            settings_mtime_ns = _mtime_ns(self.path)
+            if settings_mtime_ns != self.settings_mtime_ns:
                 self.reload()
 
 
-def _changed_at(path: str) -> int:
+def _mtime_ns(path: str) -> int:
     """Returns when a file was changed, in nanoseconds; 0 if it is missing."""
     try:
         return os.stat(path).st_mtime_ns
@@ -190,7 +190,7 @@
         sys.stderr.write("usage: python -m banyantiller.gateway SETTINGS\n")
         return exceptions.ConfigError.exit_code
     try:
-        return EXIT_CUT if asyncio.run(_main(path, listener)) else 0
+        return EXIT_CALLS_CUT if asyncio.run(_main(path, listener)) else 0
     except exceptions.BanyantillerError as error:
         sys.stderr.write(f"gateway: {error}\n")
         return error.exit_code
@@ -198,10 +198,10 @@
 
 async def _main(path: str, listener: socket.socket | None) -> int:
     # Before the file is read, so that a change meanwhile is seen.
-    changed_at = _changed_at(path)
+    settings_mtime_ns = _mtime_ns(path)
     settings = options.load(path)
     output = sink.Sink(sys.stdout.fileno())
     logs.configure(settings.log, output, daemon=settings.daemon)
-    daemon = Daemon(path, settings, changed_at, listener)
+    daemon = Daemon(path, settings, settings_mtime_ns, listener)
     daemon.install_signal_handlers()
     return await daemon.run()
--- a/banyantiller/gateway/sampling.py
+++ b/banyantiller/gateway/sampling.py
@@ -4,9 +4,9 @@
 
 # Lines a second for calls that went well: three times the usual rate of a
 # daemon, and 15 KB/s.
-GOOD_LINES_S = 40
+MAX_SUCCESSFUL_LINES_PER_S = 40
 # Lines a second for all others; more would only repeat the same failure.
-BAD_LINES_S = 400
+MAX_FAILED_LINES_PER_S = 400
 
 
 class SkippedCalls(NamedTuple):
@@ -40,8 +40,8 @@
         if int(now) == self.second:
             return None
         skipped = SkippedCalls(
-            max(0, self.successful - GOOD_LINES_S),
-            max(0, self.failed - BAD_LINES_S),
+            max(0, self.successful - MAX_SUCCESSFUL_LINES_PER_S),
+            max(0, self.failed - MAX_FAILED_LINES_PER_S),
         )
         self.second = int(now)
         self.successful = 0
@@ -52,6 +52,6 @@
         """Tells whether a call that ended now gets a line."""
         if successful:
             self.successful += 1
-            return self.successful <= GOOD_LINES_S
+            return self.successful <= MAX_SUCCESSFUL_LINES_PER_S
         self.failed += 1
-        return self.failed <= BAD_LINES_S
+        return self.failed <= MAX_FAILED_LINES_PER_S
--- a/banyantiller/gateway/settings.py
+++ b/banyantiller/gateway/settings.py
@@ -97,7 +97,7 @@
     if settings is not None:
         for name, text in _endpoints(settings):
             try:
-                endpoint(text)
+                parse_endpoint(text)
             except ValueError as error:
                 problems.error(name, f"{error}.")
     problems.raise_errors()
@@ -113,7 +113,7 @@
         yield f"seeds[{index}]", text
 
 
-def endpoint(text: str) -> Endpoint:
+def parse_endpoint(text: str) -> Endpoint:
     """Reads HOST:PORT.
 
     Raises:
--- a/banyantiller/gateway/store_view.py
+++ b/banyantiller/gateway/store_view.py
@@ -359,7 +359,9 @@
     """Returns the daemons that can be asked, without this one."""
     shares = settings.control not in settings.seeds
     return [
-        peers.Peer(options.endpoint(text), settings.daemon, shares, patience_s)
+        peers.Peer(
+            options.parse_endpoint(text), settings.daemon, shares, patience_s
+        )
         for text in settings.seeds
         if text != settings.control
     ]
--- a/banyantiller/gateway/tallies.py
+++ b/banyantiller/gateway/tallies.py
@@ -37,7 +37,7 @@
         self.latency: collections.Counter[tuple[str, float]] = (
             collections.Counter()
         )
-        self.seconds: collections.Counter[str] = collections.Counter()
+        self.total_duration_s: collections.Counter[str] = collections.Counter()
         self.failed_attempts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
@@ -62,4 +62,4 @@
             self.retries[service] += sends - 1
         bucket = next(end for end in BUCKETS_S if duration_s <= end)
         self.latency[service, bucket] += 1
-        self.seconds[service] += duration_s
+        self.total_duration_s[service] += duration_s
--- a/banyantiller/gateway/tls_imports.py
+++ b/banyantiller/gateway/tls_imports.py
@@ -7,7 +7,7 @@
 
 import sys
 
-LIBRARIES = ("ssl", "_hashlib")
+TLS_MODULES = ("ssl", "_hashlib")
 
 
 def block_tls() -> None:
@@ -15,12 +15,12 @@
 
     Has to be called before asyncio is imported.
     """
-    for name in LIBRARIES:
+    for name in TLS_MODULES:
         sys.modules[name] = None  # type: ignore[assignment]
 
 
 def allow_tls() -> None:
     """Lets the library be imported, for other libraries that insist on it."""
-    for name in LIBRARIES:
+    for name in TLS_MODULES:
         if sys.modules.get(name, sys) is None:
             del sys.modules[name]
--- a/banyantiller/tests/gateway/test_callers.py
+++ b/banyantiller/tests/gateway/test_callers.py
@@ -24,7 +24,7 @@
     def test_half_a_head_is_waited_for_and_not_polled(self):
         """Looking at it again and again would take the whole processor."""
         looks = []
-        read_on = caller_module.CallerConnection._read_on
+        read_on = caller_module.CallerConnection._resume_parsing
 
         def counted(connection):
             looks.append(connection)
@@ -42,11 +42,11 @@
             caller.writer.write(b"Attempt-Id: b\r\n\r\n")
             return answer.status, (await caller.read()).status
 
-        caller_module.CallerConnection._read_on = counted
+        caller_module.CallerConnection._resume_parsing = counted
         try:
             self.assertEqual((200, 200), self.play(body))
         finally:
-            caller_module.CallerConnection._read_on = read_on
+            caller_module.CallerConnection._resume_parsing = read_on
         self.assertLess(len(looks), 10)
 
     def test_unrepeatable_request_behind_another_waits_for_its_turn(self):
--- a/banyantiller/tests/gateway/test_draining.py
+++ b/banyantiller/tests/gateway/test_draining.py
@@ -21,7 +21,7 @@
             # The last connection closes, and a new one comes at the end of
             # the time in which new ones are taken.
             caller.close()
-            await asyncio.sleep(gateways.LISTEN_ON_S - 0.2)
+            await asyncio.sleep(gateways.DRAIN_LISTEN_S - 0.2)
             answer = asyncio.ensure_future(place.request("late"))
             cut = await ending
             return cut, await answer
@@ -37,7 +37,7 @@
             idle = await harness.Caller.connect(place)
             busy = await harness.Caller.connect(place)
             ending = asyncio.ensure_future(place.gateway.drain(GRACE_S))
-            await asyncio.sleep(gateways.LISTEN_ON_S - 0.1)
+            await asyncio.sleep(gateways.DRAIN_LISTEN_S - 0.1)
             busy.send("a")
             nothing = await idle.read()
             answer = await busy.read()
--- a/banyantiller/tests/gateway/test_early_listening.py
+++ b/banyantiller/tests/gateway/test_early_listening.py
@@ -33,7 +33,7 @@
     return early_listening.listen(
         {
             early_listening.LISTEN_VARIABLE: own,
-            early_listening.OTHERS_VARIABLE: others,
+            early_listening.PEERS_VARIABLE: others,
         }
     )
 
--- a/banyantiller/tests/gateway/test_evacuations.py
+++ b/banyantiller/tests/gateway/test_evacuations.py
@@ -248,7 +248,7 @@
             await place.start_gateway(name="d2")
             before = counted(place)
             answer = await place.request("r", "/file/x", "POST")
-            ready = place.gateway.not_ready()
+            ready = place.gateway.not_ready_reason()
             return answer.status, counted(place) == before, ready
 
         status, unasked, reason = self.play(body)
@@ -315,7 +315,10 @@
             late = place.gateway
             others.append(late)
             await asyncio.sleep(2)
-            return late.store_view.evacuations.evacuated, late.not_ready()
+            return (
+                late.store_view.evacuations.evacuated,
+                late.not_ready_reason(),
+            )
 
         self.assertEqual((frozenset({"zone-a"}), ""), self.play(body))
 
--- a/banyantiller/tests/gateway/test_log_and_metrics.py
+++ b/banyantiller/tests/gateway/test_log_and_metrics.py
@@ -61,7 +61,9 @@
         sampler.begin_second(1.0)
         good = sum(sampler.should_log(True) for _ in range(100))
         bad = sum(sampler.should_log(False) for _ in range(100))
-        self.assertEqual((sampling.GOOD_LINES_S, 100), (good, bad))
+        self.assertEqual(
+            (sampling.MAX_SUCCESSFUL_LINES_PER_S, 100), (good, bad)
+        )
         self.assertEqual((60, 0), sampler.begin_second(2.0))
         self.assertIsNone(sampler.begin_second(3.0))
 
@@ -69,7 +71,7 @@
         async def body(place):
             await place.request("a")
             await place.request("b", "/none/")
-            page = metrics.Page(place.gateway)
+            page = metrics.MetricsPage(place.gateway)
             text = page.text().decode()
             page.instruments.close()
             return text
@@ -93,7 +95,7 @@
         async def body(place):
             for number in range(5):
                 await place.request(f"a{number}")
-            page = metrics.Page(place.gateway)
+            page = metrics.MetricsPage(place.gateway)
             text = page.text().decode()
             page.instruments.close()
             return text
--- a/banyantiller/tests/gateway/test_mirror.py
+++ b/banyantiller/tests/gateway/test_mirror.py
@@ -159,7 +159,7 @@
             second = place.gateway
             await place.start_gateway(seeds=(seed,))
             await asyncio.sleep(1)
-            ready = place.gateway.not_ready()
+            ready = place.gateway.not_ready_reason()
             status = (await place.request("a")).status
             lost = place.gateway.store_view.store_health.lost_at is not None
             place.store.faults.down = False
--- a/banyantiller/tests/gateway/test_store_calls.py
+++ b/banyantiller/tests/gateway/test_store_calls.py
@@ -122,7 +122,7 @@
             await place.start_gateway((*SEEDS, own), "seed", 7101)
             asked.append(place.gateway)
             await asyncio.sleep(0.1)
-            return place.gateway.not_ready()
+            return place.gateway.not_ready_reason()
 
         self.assertEqual("", self.play(body))
 
@@ -172,7 +172,7 @@
             again = place.gateway
             asked.append(again)
             await asyncio.sleep(0.1)
-            return calls([again]), again.not_ready()
+            return calls([again]), again.not_ready_reason()
 
         self.assertEqual(([0], ""), self.play(body))
 
--- a/banyantiller/tests/gateway/test_store_watching.py
+++ b/banyantiller/tests/gateway/test_store_watching.py
@@ -163,7 +163,7 @@
             return (
                 answer.status,
                 answer.headers["request-ran"],
-                (place.gateway.not_ready()),
+                (place.gateway.not_ready_reason()),
             )
 
         status, ran, reason = self.play(body)
--- a/soak/world.py
+++ b/soak/world.py
@@ -261,7 +261,7 @@
             early_listening.LISTEN_VARIABLE: (
                 f"{runner.ADDRESS}:{daemon.callers_port}"
             ),
-            early_listening.OTHERS_VARIABLE: ",".join(others),
+            early_listening.PEERS_VARIABLE: ",".join(others),
         }
 
     def write_settings(self, daemon: gateways.Daemon) -> pathlib.Path:
