--- a/banyantiller/gateway/__init__.py
+++ b/banyantiller/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: routes calls by host and path to servers that register."""
+"""The gateway: routes calls by host and path to registered servers."""
--- a/banyantiller/gateway/__main__.py
+++ b/banyantiller/gateway/__main__.py
@@ -6,8 +6,9 @@
 from banyantiller.gateway import early_listening, tls_imports
 
 if __name__ == "__main__":
-    # New settings are told by SIGHUP, which ends a process that has not set up
-    # its handler yet; loading takes 0.3 s, and the settings are read after it.
+    # SIGHUP requests a reload of the settings, but would terminate the process
+    # until its handler is installed. Loading takes 0.3 s, and the settings are
+    # read after it, so that no change is missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     tls_imports.block_tls()
     listener = early_listening.listen()
--- a/banyantiller/gateway/attempts.py
+++ b/banyantiller/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One try of a call at one server."""
+"""One attempt: a call is sent to one server."""
 
 import asyncio
 import math
@@ -15,21 +15,21 @@
 from banyantiller.http import messages
 from banyantiller.quarantine import crash_tracker
 
-# Statuses with which a server tells of a fault of its own, and not of a time
-# that passed.
+# Statuses that report a fault of the server itself. 504 is not among them: it
+# reports an expired time limit.
 SERVER_FAULT_STATUSES = frozenset((500, 501, 502, 503))
 
 
 class Attempt:
-    """Sends a call to a server and waits for the answer.
+    """Sends a call to a server and waits for the response.
 
     Attributes:
         entry: The server.
-        candidate: What it told of its load.
-        started_at: Loop time at which the try began.
-        sent: Whether the server may be executing the call.
+        candidate: The server's reported load, and a connection if one is open.
+        started_at: Loop time at which the attempt started.
+        sent: Whether the request was sent, so that the server may execute it.
         sent_at: Loop time at which it was sent.
-        task: Runs the try; its result is the outcome.
+        task: Task of the attempt; its result is the outcome.
     """
 
     def __init__(
@@ -46,12 +46,12 @@
         self.task = self.loop.create_task(self._run())
 
     async def cancel(self) -> None:
-        """Gives up; closing the connection ends the server's work."""
+        """Cancels; closing the connection makes the server stop its work."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
 
     def finish(self) -> exchange.Outcome:
-        """Returns the outcome after noting what it says of the server."""
+        """Records the result in the server's health and returns the outcome."""
         outcome = self.task.result()
         entry = self.entry
         now = self.loop.time()
@@ -60,7 +60,7 @@
             if outcome.moved:
                 self.gateway.store_view.remove_moved(entry.server)
             if outcome.kind is not ErrorKind.NO_SERVER:
-                # One with a free slot that turns work away is at fault.
+                # A server that rejects work despite a free slot has failed.
                 entry.health.record_result(
                     not self.candidate.ready(math.inf), now
                 )
@@ -96,8 +96,8 @@
         candidate = self.candidate
         if candidate.link is None:
             try:
-                # A kept connection that nobody proved alive just now may lose
-                # a request without a trace.
+                # A request on an idle connection that was not verified just
+                # now may be lost without an error.
                 proven_only = not self.call.idempotent
                 candidate.link = await server_pool.acquire(proven_only)
             except (OSError, pool.PoolFullError) as error:
@@ -115,7 +115,7 @@
                 return exchange.NotRun(ErrorKind.CONNECT_FAILED)
         link = candidate.link
         if not self.entry.usable(self.loop.time()):
-            # It left, or its zone was evacuated, while the connection opened.
+            # The server left or its zone was evacuated during the connect.
             server_pool.put_idle(link)
             return exchange.NotRun(ErrorKind.NO_SERVER)
         self._record_send()
@@ -148,7 +148,7 @@
     def _record_no_response(
         self, outcome: exchange.BrokenResponse | None
     ) -> None:
-        """Notes that the server gave no answer; None if it was given up."""
+        """Records a missing response; `outcome` is None after a cancel."""
         request = self.call.request
         unanswered = crash_tracker.UnansweredRequest(
             request.fingerprint,
--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -1,4 +1,4 @@
-"""One request: its route, its tries at servers, and its answer."""
+"""Handles one call: its route, its attempts at servers and its response."""
 
 import asyncio
 import math
@@ -21,30 +21,32 @@
 )
 from banyantiller.gateway.decisions import hedging, retry_after, waiting
 
-# Less time than this is too little to run anything.
+# With less time left, a server could not execute the request.
 MIN_REMAINING_S = 0.01
-# Servers that ended with a request on them, in this call or before, after which
-# a call is not sent to another one.
+# Servers that crashed while they executed a request, in this call or in earlier
+# ones, after which the call is not sent to another server.
 MAX_CRASHES_BEFORE_ATTEMPT = 2
 
 
 class Call:
-    """A request that was read whole.
+    """A request that was read completely.
 
     Attributes:
         request: The request.
         route: Its route, or None.
-        service: Name of the service that takes it.
-        table: Routes that it is served by, or None before the first document.
+        service: Name of the service that it is routed to.
+        table: Route table that applies, or None before the first document.
         urgent: Whether its route is among the most urgent of the service.
-        deadline: Loop time at which it ends unanswered.
-        progress: How far it has come.
-        attempted: Servers that it was sent to or that turned it away.
-        attempts: Tries that are running.
-        sole: Whether no further server may be tried beside the running one.
-        next_second: Loop time from which a second server is looked for.
-        suspected: Whether the server of the running try seems to be dead.
-        failed_answer: A server's own failure, in case no other does better.
+        deadline: Loop time at which it fails for lack of a response.
+        progress: State that is logged when the call ends.
+        attempted: Instances of the servers that were tried so far.
+        attempts: Attempts that are running.
+        hedging_stopped: Whether no hedge may be started any more.
+        next_hedge_at: Loop time before which no hedge is started.
+        server_suspected: Whether the server of the running attempt did not
+            respond to a probe.
+        failed_response: Last 5xx response of a server, forwarded if no other
+            server responds successfully.
     """
 
     def __init__(
@@ -69,12 +71,12 @@
         self.urgent = False
 
     def look_up_route(self) -> None:
-        """Takes routes, its route and its timeout from the document in force.
+        """Sets the route and the deadline from the document in force.
 
-        Called again until the call runs: one that waits behind another on its
-        connection is served by the document in force when its turn comes. If
-        it is looked up only when the request is read, callers of daemons that
-        start get 404 for routes in force.
+        Called again until the call runs: a call that waits behind another on
+        its connection uses the document that is in force when it starts. If
+        the route were looked up only when the request is read, callers of a
+        daemon that is starting would get 404 for routes in force.
         """
         request = self.request
         self.table = self.gateway.store_view.routes
@@ -91,11 +93,11 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may be executed more than once."""
+        """Whether the request may be executed more than once."""
         return self.route is not None and self.route.idempotent
 
     async def run(self) -> replies.Reply:
-        """Returns the answer for the caller; the call is then over."""
+        """Runs the call and returns the reply for the caller."""
         try:
             reply = await self._serve()
         except asyncio.CancelledError:
@@ -129,7 +131,7 @@
             return self._fail_with_retry_after(ErrorKind.DEADLINE_UNREACHABLE)
 
     async def _run_attempts(self, table: routes.RouteTable) -> replies.Reply:
-        """Tries servers until one answers; a second one may run beside."""
+        """Sends to servers until one responds, with one hedge at most."""
         service = table.document.services[self.service]
         try:
             while True:
@@ -150,7 +152,12 @@
     async def _start_attempt(
         self, service: types.Service
     ) -> replies.Reply | None:
-        """Sends to one more server; returns an answer if that can't be."""
+        """Starts one more attempt.
+
+        Returns:
+            The reply that ends the call if neither a new nor a running
+            attempt is left, or None.
+        """
         is_hedge = bool(self.attempts)
         if self._is_quarantined():
             self.hedging_stopped = True
@@ -170,7 +177,7 @@
     async def _choose_server(
         self, service: types.Service, is_hedge: bool
     ) -> probing.Candidate | None:
-        """Finds a server; one that is tried beside another must be good."""
+        """Selects a server; a hedge within the objective needs a good score."""
         now = self.loop.time()
         objective_s = self.route.objective_s
         in_time = now < self.request.received + objective_s
@@ -208,10 +215,10 @@
         return False
 
     def _hedge_is_due(self) -> bool:
-        """Tells whether the running try has taken so long that another runs.
+        """Returns whether the running attempt is slow enough for a hedge.
 
-        Only where the request may be executed again: of any other request the
-        answer may still come, and nothing better can be done.
+        Only idempotent requests are hedged. Any other request may not be
+        executed twice, so the only option is to wait for its response.
         """
         if (
             self.hedging_stopped
@@ -237,7 +244,7 @@
     async def _wait_for_attempts(
         self, service: types.Service
     ) -> list[attempts.Attempt]:
-        """Waits until a try ends or it is time to look again."""
+        """Waits until an attempt ends or the next hedging check is due."""
         tasks = {attempt.task for attempt in self.attempts}
         if not tasks:
             return []
@@ -251,10 +258,10 @@
         return finished
 
     async def _probe_slow_server(self, service: types.Service) -> None:
-        """Asks the server of the only try whether it lives.
+        """Probes the server of the only attempt, to detect a dead server.
 
-        The try goes on in any case: the question may be lost where the answer
-        is not.
+        The attempt continues in any case: the probe may be lost although the
+        response to the request arrives.
         """
         if (
             self.hedging_stopped
@@ -280,7 +287,7 @@
     def _process_outcomes(
         self, finished: list[attempts.Attempt]
     ) -> replies.Reply | None:
-        """Takes the outcomes of tries; returns the answer, if there is one."""
+        """Processes ended attempts; returns the reply if there is one."""
         for attempt in finished:
             self.attempts.remove(attempt)
             outcome = attempt.finish()
@@ -298,14 +305,15 @@
         return None
 
     def _is_quarantined(self) -> bool:
-        """Tells whether it is refused since servers ended under it.
+        """Returns whether the request is quarantined for crashing servers.
 
-        Asked before each try: else every daemon ends servers with it anew.
+        Checked before each attempt: otherwise every daemon would crash more
+        servers with the same request.
         """
         return self._quarantine_left_s() is not None
 
     def _quarantine_left_s(self) -> float | None:
-        """Returns how long it is still refused, in seconds, or None."""
+        """Returns the rest of the quarantine in seconds, or None."""
         return self.gateway.crash_detector.watch.quarantine_left_s(
             self.request.fingerprint, self.loop.time()
         )
@@ -313,10 +321,10 @@
     def _crashes_servers(
         self, attempt: attempts.Attempt, broken: exchange.BrokenResponse
     ) -> bool:
-        """Tells whether too many servers ended under it for another try.
+        """Returns whether too many servers crashed for another attempt.
 
-        With one, it most likely was only there; after a second, the next
-        server would be risked for a request that perhaps ends it too.
+        After one crash the request most likely was not the cause. After a
+        second one, another attempt would risk crashing a further server.
         """
         if broken.kind is not ErrorKind.CONNECTION_LOST:
             return False
@@ -327,7 +335,7 @@
         return found >= MAX_CRASHES_BEFORE_ATTEMPT
 
     def _should_retry(self, response: exchange.CompleteResponse) -> bool:
-        """Tells whether another server may do better than this failure."""
+        """Returns whether a 5xx response should be retried elsewhere."""
         return (
             response.status >= 500
             and self.idempotent
@@ -343,7 +351,7 @@
         )
 
     def _end_without_server(self) -> replies.Reply:
-        """Ends a call for which no further server is to be had."""
+        """Returns the reply when no further attempt can be started."""
         if self.failed_response is not None:
             return self._forward_response(self.failed_response)
         if self.progress.maybe_ran:
--- a/banyantiller/gateway/caller.py
+++ b/banyantiller/gateway/caller.py
@@ -1,4 +1,4 @@
-"""One connection from a caller: requests in, answers out in order."""
+"""A caller's connection: reads requests and writes replies in order."""
 
 import asyncio
 import collections
@@ -18,37 +18,37 @@
 )
 from banyantiller.quarantine import fingerprint
 
-# Requests that are read ahead of their answers on one connection.
+# Maximum number of pipelined requests on one connection.
 MAX_PIPELINED = 16
-# Longest time for a request body after its head, as for any answer.
+# Maximum time from a request head to the end of its body, as for any response.
 BODY_TIMEOUT_S = 30.0
-# Request bodies in memory over all connections: a body of the largest size
-# allowed, 64 MB, and its copy in the socket's buffer fit into the 200 MB of the
-# smallest VM.
+# Maximum size of the request bodies in memory over all connections. A body of
+# the largest allowed size, 64 MB, and its copy in the socket's buffer fit into
+# the 200 MB of the smallest VM.
 MAX_BODY_BYTES = 80 << 20
-# When a caller may come back with a body for which there was no room.
+# Retry-After for a body that did not fit into memory.
 FULL_RETRY_AFTER_S = 0.5
-# How long a caller may go on sending after its request was rejected: closing
-# with bytes unread would reset the connection before it reads the answer.
+# How long a caller may keep sending after its request was rejected: closing
+# with unread bytes would reset the connection before it reads the reply.
 LINGER_S = 1.0
-# In bytes. h11's own limit is fixed when a codec is made, but the limit in
-# force may change while a connection is open: this module checks instead.
+# Disables h11's limit of incomplete events, which is fixed per codec. This
+# module checks the size, as the limit may change while a connection is open.
 CODEC_LIMIT_BYTES = sys.maxsize
 NOT_IMPLEMENTED_HINT = 501
 
 
 class PipelinedRequest:
-    """One request on a connection and the place of its answer.
+    """One request on a connection, and its reply.
 
     Attributes:
-        codec: h11's side of this one exchange.
-        request: The head, or None where it could not be read.
-        body: Parts of the body so far.
-        size: Bytes in `body`.
+        codec: h11 connection of this exchange.
+        request: The request, or None if its head could not be parsed.
+        body: Chunks of the body that were received so far.
+        size: Bytes of the body that were received so far.
         fingerprint: Digest of the request as far as it was read, or None.
-        call: The call, once the request is whole.
-        task: Runs the call.
-        reply: The answer, once there is one.
+        call: The call, once the request was read completely.
+        task: Task that runs the call.
+        reply: The reply, once there is one.
     """
 
     def __init__(self, codec: h11.Connection) -> None:
@@ -63,18 +63,19 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """Reads requests, also ahead, and writes their answers in order.
+    """Reads pipelined requests and writes their replies in order.
 
-    Each exchange has an h11 connection of its own, since h11 reads no request
-    before the answer to the one before it was sent.
+    Each exchange has its own h11 connection, since h11 reads no request before
+    the reply to the previous one was sent.
 
     Attributes:
-        slots: Requests without a written answer, in their order.
-        reading: The slot whose request is being read, or None.
+        pipeline: Requests without a written reply, in order.
+        incoming: The request whose body is being read, or None.
         codec: Reads the next request.
-        since: Loop time since which the present head or idleness lasts.
-        ended: Whether no further request is read.
-        rejected: Whether a request was answered before it was read whole.
+        request_started: Whether bytes of the next request were received.
+        waiting_since: Loop time from which the current timeout counts.
+        reading_ended: Whether no further request is read.
+        rejected: Whether a request was rejected before its end was read.
     """
 
     def __init__(self, gateway: protocols.ConnectionContext) -> None:
@@ -92,10 +93,8 @@
         self.timer: asyncio.TimerHandle | None = None
         self.parsing = False
 
-    # Called by the transport.
-
     def connection_made(self, transport: Any) -> None:
-        """Keeps the transport."""
+        """Registers the connection and starts the idle timeout."""
         self.transport = transport
         self.gateway.connections.add(self)
         self._set_timer()
@@ -114,11 +113,11 @@
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """The caller left; a half-closed connection counts as closed."""
+        """Closes the connection: half-closed connections are not supported."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
-        """Cancels what nobody waits for."""
+        """Cancels the calls of the connection."""
         self.closed = True
         self.reading_ended = True
         self._stop_timer()
@@ -130,28 +129,26 @@
         self.gateway.remove_connection(self)
 
     def pause_writing(self) -> None:
-        """The caller reads slowly: no further requests are read."""
+        """Stops reading requests while the caller reads slowly."""
         self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """The caller caught up."""
+        """Reads requests again."""
         if not self.closed:
             self.transport.resume_reading()
 
     # Called by the gateway.
 
     def drain(self) -> None:
-        """Closes the connection as soon as nothing is due on it."""
+        """Closes the connection if it is idle."""
         if not self.pipeline and not self.request_started:
             self._close()
 
     def run_waiting_calls(self) -> None:
-        """Runs the calls that need not wait under the document in force."""
+        """Starts the calls that the document in force allows to run now."""
         for pending in tuple(self.pipeline):
             self._start_call(pending)
 
-    # Within.
-
     def _new_codec(self) -> h11.Connection:
         return h11.Connection(
             h11.SERVER, max_incomplete_event_size=CODEC_LIMIT_BYTES
@@ -175,7 +172,7 @@
         self._write_due_replies()
 
     def _handle_event(self, event: Any) -> bool:
-        """Takes one event; False if there is nothing to read."""
+        """Handles one event; returns whether more may follow."""
         event_type = type(event)
         if event_type is h11.Request:
             self._handle_head(event)
@@ -193,10 +190,10 @@
         return True
 
     def _check_incomplete_size(self) -> None:
-        """Rejects a head that is too large before its end came.
+        """Rejects an incomplete head that exceeds the limit.
 
-        Also covers the incomplete head of a chunk, which h11 keeps in the same
-        place.
+        Also covers the incomplete header of a chunk, which h11 keeps in the
+        same buffer.
         """
         view = self.gateway.store_view
         incomplete = self.codec.trailing_data[0]
@@ -234,7 +231,7 @@
             pending.fingerprint.update(data)
 
     def _handle_end(self) -> None:
-        """Starts the call of a request that was read whole."""
+        """Starts the call of a request that was read completely."""
         pending = self.incoming
         self.incoming = None
         pending.request = pending.request._replace(
@@ -251,7 +248,7 @@
             if remaining_data:
                 self.codec.receive_data(remaining_data)
         else:
-            # The caller said that this is its last request.
+            # The caller closes the connection after this request.
             self.reading_ended = True
             self.request_started = False
         self.waiting_since = self.loop.time()
@@ -259,10 +256,11 @@
         self._start_call(pending)
 
     def _start_call(self, pending: PipelinedRequest) -> None:
-        """Runs a call; one that must not be repeated waits for its turn.
+        """Starts a call unless it has to wait for those before it.
 
-        An answer before it may close the connection, after which the caller
-        takes the request for unread and sends it again.
+        A request that is not idempotent waits: an earlier reply may close the
+        connection, after which the caller takes the request for unread and
+        sends it again.
         """
         if pending.task is not None or pending.call is None:
             return
@@ -275,7 +273,7 @@
         self._write_due_replies()
 
     def _reject(self, failure: Failure) -> None:
-        """Answers a request that can't be read, and closes after it."""
+        """Replies with an error and closes the connection after it."""
         pending = self.incoming
         if pending is None:
             pending = PipelinedRequest(self.codec)
@@ -291,7 +289,7 @@
         events.emit(call_events.RequestRejected(request_id, failure.kind))
 
     def _write_due_replies(self) -> None:
-        """Writes the answers whose turn has come."""
+        """Writes the replies that are ready, in the order of requests."""
         before = len(self.pipeline)
         while self.pipeline and self.pipeline[0].reply is not None:
             if self.closed:
@@ -310,7 +308,7 @@
             self.loop.call_soon(self._resume_parsing)
 
     def _resume_parsing(self) -> None:
-        # Requests may be left over from when too many were waiting.
+        # Requests may be buffered since the pipeline was full.
         if self.reading_ended or self.closed:
             return
         if self.codec.trailing_data[0]:
@@ -319,7 +317,7 @@
             self.transport.resume_reading()
 
     def _write_reply(self, pending: PipelinedRequest) -> bool:
-        """Writes one answer; False if the connection ends with it."""
+        """Writes a reply; returns whether the connection stays open."""
         reply = pending.reply
         draining = self.gateway.draining and not self.request_started
         closing = not self.pipeline and (self.reading_ended or draining)
@@ -378,7 +376,7 @@
     def _on_timeout(self) -> None:
         self.timer = None
         if self.loop.time() < self.waiting_since + self._timeout_s():
-            # The limit was raised meanwhile.
+            # The timeout was raised in the meantime.
             self._set_timer()
         elif self.incoming is not None:
             self._reject(Failure(ErrorKind.BODY_TIMEOUT))
--- a/banyantiller/gateway/early_listening.py
+++ b/banyantiller/gateway/early_listening.py
@@ -1,37 +1,38 @@
-"""Lets callers wait while the program loads, if they have nowhere else to go.
+"""Listens for callers while the program loads, if no peer is running.
 
-Loading takes 0.3 s. Where other daemons live, a caller that is refused at once
-does better there, so nothing is listened on. Where all daemons start at the
-same time, a refused caller meets the next one that refuses and gives up: then
-this one listens before it loads, and answers when it can. Over 15 days that
-end with a restart of all daemons 249 callers got no connection at last, and 365
-when none listened before it was loaded.
+Loading takes 0.3 s. While peers are running, a caller whose connection is
+refused at once is served sooner by one of them, so this daemon does not listen
+yet. If all daemons start at the same time, a refused caller is refused by the
+next daemon as well and gives up. In this case the daemon listens before it
+loads, and serves the connection when it can. Over 15 days that end with a
+restart of all daemons, 249 callers got no connection; without early listening
+it was 365.
 """
 
 import os
 import select
 import socket
 
-# The address that callers are taken at, and addresses of other daemons that
-# listen while they serve, separated by commas. Both are in the environment,
-# since the settings file can't be read before the program is loaded.
+# The address to listen on for callers, and the addresses of peers that listen
+# while they serve, separated by commas. Both are environment variables, since
+# the settings file can't be read before the program is loaded.
 LISTEN_VARIABLE = "BANYANTILLER_LISTEN"
 PEERS_VARIABLE = "BANYANTILLER_OTHERS"
-# A daemon that lives accepts a connection within 4 ms, twice the longest way
-# between availability zones; five times that for a busy one.
+# A running daemon accepts a connection within 4 ms, which is twice the longest
+# latency between availability zones; a busy one gets five times that.
 ACCEPT_TIMEOUT_S = 0.02
-# As many callers as the gateway's own listener lets wait.
+# The same as the backlog of the gateway's own listener.
 BACKLOG = 1024
 
 
 def listen(environment: dict[str, str] | None = None) -> socket.socket | None:
-    """Listens for callers unless another daemon does.
+    """Listens for callers unless a peer accepts connections.
 
     Args:
-        environment: Where both variables are; the process's own if None.
+        environment: Environment variables; those of the process if None.
 
     Returns:
-        The listening socket, or None if the program shall listen when loaded.
+        The listening socket, or None if the gateway listens after loading.
     """
     variables = os.environ if environment is None else environment
     local_address = _address(variables.get(LISTEN_VARIABLE, ""))
@@ -51,7 +52,7 @@
         listener.bind(local_address)
         listener.listen(BACKLOG)
     except OSError:
-        # The gateway meets the same error when it listens, and reports it.
+        # The gateway gets the same error when it listens, and reports it.
         listener.close()
         return None
     return listener
@@ -63,7 +64,7 @@
 
 
 def _any_accepts(peer_addresses: list[tuple[str, int]]) -> bool:
-    """Tells whether a connection to one of some addresses is accepted."""
+    """Returns whether any of the peers accepts a connection."""
     sockets = [
         socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         for _ in peer_addresses
@@ -89,7 +90,7 @@
 
 
 def _start_connecting(sock: socket.socket, address: tuple[str, int]) -> bool:
-    """Begins to connect; False if that fails at once."""
+    """Starts to connect; returns False if that fails at once."""
     sock.setblocking(False)
     try:
         sock.connect(address)
--- a/banyantiller/gateway/exchange.py
+++ b/banyantiller/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request at one server: what is sent, and what its answer means."""
+"""Sends one request to one server and classifies the response."""
 
 import dataclasses
 from collections.abc import Callable
@@ -21,10 +21,11 @@
 )
 NOT_FORWARDED = HOP_BY_HOP | {"content-length", "expect"}
 NOT_RUN_STATUSES = (421,)
-# To a caller these say that the request was not run. A server that sends one
-# without its mark for that may have run it, so they are not passed on.
+# Callers take these statuses to mean that the request was not executed. A
+# server that sends one without the header for that may have executed it, so
+# the status is not forwarded.
 IMPLIED_NOT_RUN_STATUSES = frozenset({408, 429, 503})
-# Answers of other requests that are read before the connection is given up.
+# Responses of other requests that are skipped before the attempt fails.
 MAX_STRAY_RESPONSES = 3
 SUCCESS_STATUSES = range(200, 300)
 
@@ -35,10 +36,10 @@
     Attributes:
         method: HTTP method.
         target: Path and query as the caller sent them.
-        headers: Fields to forward, names in lower case.
-        body: The whole body.
+        headers: Header fields to forward, names in lower case.
+        body: The complete body.
         has_body: Whether the caller sent a body, even an empty one.
-        request_id: Identity of the request, or empty.
+        request_id: ID of the request, or empty.
     """
 
     method: str
@@ -51,13 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompleteResponse:
-    """The server's own whole answer to this request.
+    """A complete response of the server to this request.
 
     Attributes:
         status: Status code.
-        headers: Fields to forward, names in lower case.
-        body: The whole body.
-        length: Length that the answer to a HEAD request states, or None.
+        headers: Header fields to forward, names in lower case.
+        body: The complete body.
+        length: Content length of a response without a body, as to a HEAD
+            request, or None.
     """
 
     status: int
@@ -68,11 +70,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The server certainly did not execute the request.
+    """The server did definitely not execute the request.
 
     Attributes:
         kind: Kind of the failure.
-        moved: Whether another server has the address now.
+        moved: Whether the address now belongs to another server.
     """
 
     kind: ErrorKind
@@ -81,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BrokenResponse:
-    """The request was sent, and no usable answer came.
+    """The request was sent, but no valid response was received.
 
     Attributes:
         kind: Kind of the failure.
@@ -104,19 +106,19 @@
     body_bytes: int,
     on_head: Callable[[messages.Response], None],
 ) -> Outcome:
-    """Sends a request and reads its whole answer.
+    """Sends a request and reads its complete response.
 
-    The connection is not closed or given back; after `BrokenResponse` it must
-    be closed.
+    The connection is neither closed nor released; the caller must close it
+    after `BrokenResponse`.
 
     Args:
         link: Connection to the server.
         outgoing: The request.
-        instance: Instance that it is meant for.
-        remaining_s: Time that is left for it, in seconds.
+        instance: Instance that the request is addressed to.
+        remaining_s: Time until the deadline, in seconds.
         wire: Names of header fields.
-        body_bytes: Largest answer body.
-        on_head: Called with the head of the answer.
+        body_bytes: Maximum size of the response body, in bytes.
+        on_head: Called with the response once it was read.
     """
     request = _build_request(outgoing, instance, remaining_s, wire)
     try:
@@ -141,12 +143,12 @@
     request_id: str,
     wire: types.WireNames,
 ) -> Outcome:
-    """Decides what an answer means.
+    """Returns the outcome that a response stands for.
 
     Args:
-        response: Head of the answer.
-        body: Its whole body.
-        request_id: Identity of the request.
+        response: Head of the response.
+        body: Its complete body.
+        request_id: ID of the request.
         wire: Names of header fields.
     """
     status = response.status
@@ -155,18 +157,20 @@
     if response.header(wire.not_run.decode()):
         return NotRun(ErrorKind.BACKEND_SHED)
     if status in IMPLIED_NOT_RUN_STATUSES:
-        reason = f"status {status} without a word on whether it ran"
+        reason = (
+            f"status {status} does not say whether the request was executed"
+        )
         return BrokenResponse(ErrorKind.BACKEND_MALFORMED, reason)
     echoed = response.header(wire.request_id.decode())
     if echoed != request_id and (echoed or status in SUCCESS_STATUSES):
         return BrokenResponse(
-            ErrorKind.BACKEND_MALFORMED, "not this request's answer"
+            ErrorKind.BACKEND_MALFORMED, "response belongs to another request"
         )
     if status in SUCCESS_STATUSES and not response.header(
         wire.signature.decode()
     ):
         return BrokenResponse(
-            ErrorKind.BACKEND_MALFORMED, "an answer is not signed"
+            ErrorKind.BACKEND_MALFORMED, "response is not signed"
         )
     stated = response.header("content-length")
     length = int(stated) if stated.isdigit() and not body else None
@@ -181,10 +185,10 @@
     wire: types.WireNames,
     body_bytes: int,
 ) -> tuple[messages.Response, bytes]:
-    """Reads answers until one belongs to the request.
+    """Reads responses until one belongs to the request.
 
-    A faulty server sends an answer twice; the second one is found where the
-    next request's answer is due.
+    A faulty server may send a response twice; the duplicate then arrives in
+    place of the response to the next request on the connection.
     """
     expected_id = request.header(wire.request_id.decode())
     for _ in range(MAX_STRAY_RESPONSES):
@@ -194,7 +198,9 @@
         if not echoed or not expected_id or echoed == expected_id:
             return response, body
         link.connection.expect_again(request)
-    raise connection.ConnectionLostError("only answers of other requests")
+    raise connection.ConnectionLostError(
+        "received only responses of other requests"
+    )
 
 
 def _build_request(
@@ -222,7 +228,7 @@
 
 
 def forwardable_headers(headers: messages.Headers) -> messages.Headers:
-    """Returns the fields that don't concern one connection only."""
+    """Returns the header fields that are not hop-by-hop."""
     named = {
         token.strip().lower()
         for name, value in headers
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway of one daemon: what is in force, and who is being served."""
+"""The gateway of one daemon: its shared state and its life cycle."""
 
 import asyncio
 import math
@@ -30,44 +30,44 @@
 from banyantiller.quarantine import crash_table
 
 BACKLOG = 1024
-# Part of the fleet's retry budget that is used: the users count a request
-# where it was sent, this daemon where it arrived.
+# Part of the fleet's retry budget that is used. Those who check the budget
+# count a request where it was sent, this daemon counts it where it arrived.
 USABLE_BUDGET_RATIO = 0.9
-# A daemon's part of what the budget allows besides, and of a server's
-# connections, where daemons can't be counted: small fleets have none to ask.
+# A daemon's share of the extra retries and of a server's connections if daemons
+# can't be counted: small fleets have no relays to count them.
 UNCOUNTED_FLEET_SHARE = 1 / turns.UNCOUNTED_FLEET
-# Part of what is shared that is used: a daemon that changes its group counts
-# in two for 3 s.
+# Part of the share that is used: a daemon that changes its relay is counted at
+# both for 3 s.
 USABLE_SHARE_RATIO = 0.8
 MIN_CONNECTIONS = 4
-# Longest wait for a request without a route.
+# Maximum time for a call without a route.
 DEFAULT_TIMEOUT_S = 5.0
 MAX_RESPONSE_BYTES = 16 << 20
 HOUSEKEEPING_S = 0.25
-# After an order to end: how long new connections and requests are taken, so
-# that the platform, which asks once a second and acts on two misses, sees it.
+# How long a draining daemon accepts connections and requests, so that the
+# platform, which checks readiness each second, notices: it acts on two misses.
 DRAIN_LISTEN_S = 3.0
-# Connections that were accepted before listening ended are seen by then.
+# Within this time, connections accepted before listening ended are registered.
 ACCEPT_SETTLE_S = 0.02
-# Part of the time to end that is kept for closing and for the interpreter's
-# end, which takes 0.1 s of processor time.
+# Part of the drain time that is reserved for closing connections and for the
+# interpreter's exit, which takes 0.1 s of processor time.
 SHUTDOWN_RESERVE_S = 0.8
 
 
 class Gateway:
-    """Takes calls from callers and relays the answers of servers.
+    """Routes calls to servers and forwards their responses to callers.
 
     Attributes:
         settings: Settings in force.
-        adapter: What is known of the surroundings.
-        store_view: What is known of the store: routes, limits and servers.
-        draining: Whether an order to end was given.
+        adapter: Access to the store and the formats of the environment.
+        store_view: State read from the store: routes, limits and servers.
+        draining: Whether the daemon is shutting down.
         connections: Open connections of callers.
         buffered_body_bytes: Bytes of request bodies in memory.
-        durations: How long requests usually take.
-        crash_detector: Which requests were on servers that ended.
-        quarantine_sync: Tells other daemons of them.
-        server_limits: Limits that servers name.
+        durations: Usual durations of requests.
+        crash_detector: Finds requests that were on servers that crashed.
+        quarantine_sync: Exchanges quarantined requests with peers.
+        server_limits: Rate limits that servers name.
     """
 
     def __init__(
@@ -133,15 +133,13 @@
         self.all_closed = asyncio.Event()
         self.listener: asyncio.Server | None = None
 
-    # Called by the daemon.
-
     async def start(
         self, endpoint: Endpoint, listener: socket.socket | None = None
     ) -> Endpoint:
-        """Listens for callers and returns where.
+        """Starts to listen for callers and returns the bound endpoint.
 
         Args:
-            endpoint: Where to listen.
+            endpoint: Address and port to listen on.
             listener: Listening socket, used if it is bound to `endpoint`.
 
         Raises:
@@ -161,25 +159,25 @@
         return Endpoint(bound[0], bound[1])
 
     def not_ready_reason(self) -> str:
-        """Returns why callers should not be sent here, or an empty text."""
+        """Returns why the daemon is not ready, or an empty text if it is."""
         if self.draining:
-            return "the daemon is ending"
+            return "the daemon is shutting down"
         if self.store_view.routes is None:
             return "no document is in force"
         if not self.store_view.servers_listed:
-            return "the servers are not known"
+            return "the list of servers was not read yet"
         if not self.store_view.evacuations.listed:
             return "the evacuated zones are not known"
         return ""
 
     async def drain(self, limit_s: float) -> int:
-        """Ends without cutting a call.
+        """Waits until all connections of callers are closed.
 
         Args:
             limit_s: Time until the process is killed, in seconds.
 
         Returns:
-            Number of calls that were still in flight at the end.
+            Number of calls that are cut, as they are still in flight.
         """
         self.draining = True
         self.store_view.begin_shutdown()
@@ -190,7 +188,7 @@
         await asyncio.sleep(ACCEPT_SETTLE_S)
         for connection in list(self.connections):
             connection.drain()
-        # It may have been empty for a moment before.
+        # It may be set if no connection was open for a moment.
         self.all_closed.clear()
         self._signal_if_closed()
         try:
@@ -201,7 +199,7 @@
         return self._in_flight()
 
     async def run_housekeeping(self) -> None:
-        """Forgets what is out of date, now and then, until cancelled."""
+        """Removes expired state periodically until it is cancelled."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
             now = self.loop.time()
@@ -218,25 +216,23 @@
                 self.durations.retain_routes(self.store_view.routes.names)
 
     async def close(self) -> None:
-        """Closes every connection at once."""
+        """Closes every connection to servers and peers."""
         self.quarantine_sync.close()
         for server_pool in self.pools.values():
             server_pool.close()
         await self.store_view.reader.close()
 
     async def handle_peer(self, request: messages.Request) -> messages.Response:
-        """Answers another daemon."""
+        """Handles a request of a peer."""
         if request.path.startswith(quarantine_sync.PATH):
             return self.quarantine_sync.handle(request)
         return await self.store_view.mirror.handle(request)
 
-    # Called by connections and calls.
-
     def pool_of(self, server: types.Server) -> pool.Pool:
-        """Returns the connections to a server.
+        """Returns the connection pool of a server.
 
-        For a server that has left or started again, returns a closed pool that
-        keeps nothing: pools are found by instance, which a later start shares.
+        For a server that left or restarted, returns a closed pool that keeps
+        nothing: pools are keyed by instance, which a restarted server may keep.
         """
         if not self.store_view.table.is_registered(server):
             closed = pool.Pool(server, MIN_CONNECTIONS, self.tallies.opened)
@@ -256,14 +252,14 @@
             rounding = budget.rounding(self.settings.daemon, service)
             found = budget.RetryBudget(0.0, 0.0, 0.0, rounding)
             self.budgets[service] = found
-        # Settings may have changed; what was used counts on.
+        # Settings may have changed; retries already spent still count.
         found.window_s = self.settings.retry_window_s
         found.ratio = self.settings.retry_ratio * USABLE_BUDGET_RATIO
         found.extra = self.settings.retry_extra * self.min_recent_share()
         return found
 
     def min_recent_share(self) -> float:
-        """Returns the least share that was held in the last retry window."""
+        """Returns the smallest share during the last retry window."""
         if not self.settings.seeds:
             return UNCOUNTED_FLEET_SHARE
         now = self.loop.time()
@@ -272,17 +268,16 @@
         return self.shares.minimum(now)
 
     def share(self) -> float:
-        """Returns this daemon's part of what the fleet may use.
+        """Returns this daemon's share of the fleet's budgets, from 0 to 1.
 
-        Until the daemons that share it were counted it is nothing, if they can
-        be counted at all.
+        If the daemons can be counted, the share is 0 until they were.
         """
         if not self.settings.seeds:
             return UNCOUNTED_FLEET_SHARE
         return (self.store_view.reader.budget_share or 0.0) * USABLE_SHARE_RATIO
 
     def remove_connection(self, connection: caller.CallerConnection) -> None:
-        """Forgets a caller's connection."""
+        """Removes a closed connection of a caller."""
         self.connections.discard(connection)
         if self.draining:
             self._signal_if_closed()
@@ -290,7 +285,7 @@
     def record_call(
         self, call: calls.Call, status: int, error: ErrorKind | None
     ) -> None:
-        """Counts and logs the end of a call."""
+        """Counts and logs a finished call."""
         progress = call.progress
         duration_s = self.loop.time() - call.request.received
         route = call.route.name if call.route is not None else ""
@@ -338,8 +333,6 @@
         )
         events.emit(ended)
 
-    # Within.
-
     def _record_probe_limit(
         self, server: types.Server, headers: messages.Headers, sent_at: float
     ) -> None:
@@ -348,16 +341,16 @@
         )
 
     def _run_waiting_calls(self) -> None:
-        """Runs reads that were sent ahead of their answers at a start.
+        """Starts pipelined reads once the first document is in force.
 
-        Before the first document no request is known to be idempotent, so that
-        each waits for those before it on its connection.
+        Before the first document no request is known to be idempotent, so each
+        waits for those before it on its connection.
         """
         for connection in tuple(self.connections):
             connection.run_waiting_calls()
 
     def _position(self) -> turns.FleetPosition | None:
-        """Returns this daemon's place among those that take turns."""
+        """Returns this daemon's position among those that take turns."""
         if self.settings.seeds:
             return self.store_view.reader.position
         return turns.uncounted_position(self.settings.daemon)
@@ -365,7 +358,7 @@
     def _find_connected(
         self, entries: list[servers.ServerEntry]
     ) -> selection.Connected:
-        """Returns to which servers there are connections."""
+        """Returns which servers have an idle or only busy connections."""
         pools = [
             (entry.server.instance, self.pools.get(entry.server.instance))
             for entry in entries
--- a/banyantiller/gateway/metrics.py
+++ b/banyantiller/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics page of the gateway; loaded when it is first asked for."""
+"""The metrics page of the gateway; loaded at the first request for it."""
 
 import collections
 import itertools
@@ -21,7 +21,7 @@
     """All metrics of one gateway as text.
 
     Attributes:
-        gateway: What is measured.
+        gateway: The gateway that is measured.
         instruments: Counters and gauges.
     """
 
@@ -42,11 +42,11 @@
         rows = (
             ("calls", "Finished calls.", counts.calls,
              ("service", "route", "status")),
-            ("failures", "Calls ended by this daemon, by kind.", counts.errors,
+            ("failures", "Calls that this daemon failed.", counts.errors,
              ("service", "kind")),
-            ("repeats", "Repeated sends to servers.", counts.retries,
+            ("repeats", "Retries and hedges sent to servers.", counts.retries,
              ("service",)),
-            ("tries_failed", "Tries that failed, by kind.",
+            ("tries_failed", "Failed attempts by kind.",
              counts.failed_attempts,
              ("service", "kind")),
             ("connections_opened", "New connections to servers.",
@@ -55,8 +55,8 @@
              ("outcome",)),
             ("registrations", "Registrations by outcome.",
              counts.registrations, ("outcome",)),
-            ("store_calls", "Calls to the store.", store.calls, ("verb",)),
-            ("peer_questions", "Questions to other daemons for changes.",
+            ("store_calls", "Requests to the store.", store.calls, ("verb",)),
+            ("peer_questions", "Queries to peers for changes.",
              self.gateway.store_view.reader.query_outcomes, ("outcome",)),
         )  # fmt: skip
         for name, doc, tally, labels in rows:
@@ -73,17 +73,17 @@
         self.instruments.counter(
             "banyantiller_gateway_questions",
             "",
-            "Questions to servers for their load.",
+            "Load probes sent to servers.",
             lambda: [metrics.Reading(prober.probe_count)],
         )
 
     def _add_server_counters(self) -> None:
-        """Adds what is counted by server, for those that are registered."""
+        """Adds the counters of each registered server."""
         entries = self.gateway.store_view.table.entries
         rows = (
             ("server_sends", "Requests sent to a server.",
              lambda entry: entry.sends),
-            ("server_failures", "Of these, those without a usable answer.",
+            ("server_failures", "Requests sent to a server that failed.",
              lambda entry: entry.failed_sends),
         )  # fmt: skip
         for name, doc, read in rows:
@@ -104,22 +104,22 @@
         gateway = self.gateway
         crash_table = gateway.crash_detector.watch.table
         rows = (
-            ("document_version", "Version in force.",
+            ("document_version", "Version of the document in force.",
              lambda: gateway.store_view.version),
-            ("ready", "Whether callers should be sent here.",
+            ("ready", "Whether the daemon is ready for callers.",
              lambda: not gateway.not_ready_reason()),
-            ("store_lost", "Whether the store gives no answer.",
+            ("store_lost", "Whether the store does not respond.",
              lambda: gateway.store_view.store_health.lost_at is not None),
             ("evacuated_zones", "Zones whose servers get no requests.",
              lambda: len(gateway.store_view.evacuations.evacuated)),
-            ("limited_servers", "Servers that name a limit.",
+            ("limited_servers", "Servers that name a rate limit.",
              gateway.server_limits.count_limited),
             ("connections", "Open connections of callers.",
              lambda: len(gateway.connections)),
-            ("quarantined_requests", "Requests that are refused since servers"
-             " ended under them.",
+            ("quarantined_requests", "Requests that are rejected since they"
+             " crashed servers.",
              lambda: len(crash_table.quarantined_records(gateway.loop.time()))),
-            ("suspect_requests", "Requests with which servers ended lately.",
+            ("suspect_requests", "Requests on servers that crashed lately.",
              lambda: len(crash_table.records)),
         )  # fmt: skip
         for name, doc, read in rows:
@@ -132,7 +132,7 @@
         self.instruments.gauge(
             "banyantiller_gateway_servers",
             "",
-            "Servers that may get requests.",
+            "Servers that can get requests.",
             lambda: [
                 metrics.Reading(
                     len(
@@ -148,7 +148,7 @@
 
 
 class LatencyCollector(registry.Collector):
-    """Histograms of the time from a request to its answer, by service."""
+    """Histograms of the time from a request to its reply, by service."""
 
     def __init__(self, counts: tallies.Tallies) -> None:
         self.counts = counts
@@ -157,7 +157,7 @@
         """Yields one histogram with a label for the service."""
         family = core.HistogramMetricFamily(
             "banyantiller_gateway_latency_seconds",
-            "Time from a whole request to its answer.",
+            "Time from the end of a request to its reply.",
             labels=["service"],
         )
         for service, total_s in self.counts.total_duration_s.items():
--- a/banyantiller/gateway/progress.py
+++ b/banyantiller/gateway/progress.py
@@ -1,4 +1,4 @@
-"""How far a call has come."""
+"""State of a running call."""
 
 import dataclasses
 
@@ -8,20 +8,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far a call has come; its log line is made from this.
+    """State of a running call, from which its log line is built.
 
     Attributes:
-        sends: Servers that it was sent to.
-        maybe_ran: Whether an earlier server may have executed it.
+        sends: Number of times that it was sent to a server.
+        maybe_ran: Whether a server may have executed it.
         instances: Servers that it was sent to, in order.
-        load: Load of the last one when it was chosen.
-        answered_count: Servers that it was chosen from.
-        load_age_s: Age of that load at sending, in seconds.
-        sent_after_s: Time from its arrival to its last sending, in seconds.
-        usual_s: Usual duration of its route's requests when a server was
-            looked for, in seconds; how long it waited depends on it.
-        error: Kind of the failure that the caller is told, or None.
-        reason: Why the last try failed, or empty.
+        load: Load of the last server when it was selected.
+        answered_count: Number of servers that answered the probes of the last
+            selection.
+        load_age_s: Age of that load when the request was sent, in seconds.
+        sent_after_s: Time from its arrival to the last send, in seconds.
+        usual_s: Usual duration of the route's requests at the last selection,
+            in seconds; it limits how long the call waits for a server.
+        error: Kind of the failure that is reported to the caller, or None.
+        reason: Why the last attempt failed, or empty.
     """
 
     sends: int = 0
--- a/banyantiller/gateway/protocols.py
+++ b/banyantiller/gateway/protocols.py
@@ -1,7 +1,7 @@
-"""What the parts of the data path need of whoever they belong to.
+"""Interfaces that the parts of the data path need of their owners.
 
-Connections own calls, and calls own tries; each needs something of its owner,
-which is stated here so that no module imports the one that imports it.
+Connections own calls, and calls own attempts. Each uses its owner through a
+protocol of this module, which avoids circular imports.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 
 class CallContext(Protocol):
-    """What a call needs of the gateway; see `gateway.Gateway`."""
+    """Interface of the gateway for calls; see `gateway.Gateway`."""
 
     settings: options.Settings
     adapter: types.Adapter
@@ -44,33 +44,33 @@
     max_response_bytes: int
 
     def pool_of(self, server: types.Server) -> pool.Pool:
-        """Returns the connections to a server."""
+        """Returns the connection pool of a server."""
 
     def budget_of(self, service: str) -> budget.RetryBudget:
         """Returns the retry budget of a service."""
 
     def share(self) -> float:
-        """Returns this daemon's part of what the fleet may use."""
+        """Returns this daemon's share of the fleet's budgets."""
 
     def record_call(
         self, call: Any, status: int, error: ErrorKind | None
     ) -> None:
-        """Counts and logs the end of a call."""
+        """Counts and logs a finished call."""
 
 
 class ConnectionContext(CallContext, Protocol):
-    """What a caller's connection needs of the gateway."""
+    """Interface of the gateway for connections of callers."""
 
     connections: set[Any]
     buffered_body_bytes: int
     draining: bool
 
     def remove_connection(self, connection: Any) -> None:
-        """Forgets a caller's connection."""
+        """Removes a closed connection of a caller."""
 
 
 class RunningCall(Protocol):
-    """What a try needs of its call; see `call.Call`."""
+    """Interface of a call for its attempts; see `call.Call`."""
 
     gateway: CallContext
     loop: asyncio.AbstractEventLoop
@@ -83,4 +83,4 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may be executed more than once."""
+        """Whether the request may be executed more than once."""
--- a/banyantiller/gateway/replies.py
+++ b/banyantiller/gateway/replies.py
@@ -1,4 +1,4 @@
-"""Answers on their way to a caller."""
+"""Replies to callers."""
 
 from typing import NamedTuple
 
@@ -9,13 +9,13 @@
 
 
 class Reply(NamedTuple):
-    """A whole answer.
+    """A complete reply.
 
     Attributes:
         status: Status code.
-        headers: Fields without those of one connection and the length.
-        body: The body; a HEAD request's reply may have a length and no body.
-        length: Length to state, or None for that of the body.
+        headers: Header fields except hop-by-hop ones and Content-Length.
+        body: The body; empty in the reply to a HEAD request.
+        length: Content length to send, or None for the length of `body`.
     """
 
     status: int
@@ -25,13 +25,13 @@
 
 
 def from_failure(failure: Failure, ran: Ran, daemon: str) -> Reply:
-    """Builds the answer for a failure.
+    """Builds the reply for a failure.
 
-    `Retry-After` may have a fraction here: callers wait a second at most, and
-    whole seconds would make every refusal final.
+    `Retry-After` may be a fraction of a second: callers wait a second at most,
+    so whole seconds would make every rejection final.
 
     Args:
-        failure: What went wrong.
+        failure: The failure.
         ran: Whether the request was executed.
         daemon: Name of this daemon.
     """
--- a/banyantiller/gateway/requests.py
+++ b/banyantiller/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Reads a request head into what the gateway needs of it."""
+"""Parses request heads of callers."""
 
 from typing import NamedTuple
 
@@ -12,23 +12,24 @@
 
 
 class AmbiguousLengthError(Exception):
-    """A head states its body's length in two ways."""
+    """A head has both a content length and a transfer coding."""
 
 
 class Request(NamedTuple):
-    """One request as a caller sent it.
+    """A request of a caller.
 
     Attributes:
         method: HTTP method.
         target: Path and query.
-        host: Value of Host.
-        headers: Fields to forward, names in lower case.
-        body: The whole body.
+        host: Value of the Host header.
+        headers: Header fields to forward, names in lower case.
+        body: The complete body.
         has_body: Whether the head announces a body.
-        request_id: Identity of this sending, or empty.
-        remaining_s: Time that the caller waits, in seconds, or None.
-        received: Loop time of the end of its head.
-        fingerprint: Digest that tells the same request, sent again.
+        request_id: ID that the caller gave this attempt, or empty.
+        remaining_s: How long the caller waits for a reply, in seconds, or None.
+        received: Loop time of the end of the head, or of the whole request once
+            it was read.
+        fingerprint: Digest that is the same for each repetition of a request.
     """
 
     method: str
@@ -58,10 +59,10 @@
 def parse(
     event: h11.Request, wire: types.WireNames, received: float
 ) -> Request:
-    """Reads a request head.
+    """Parses a request head.
 
     Raises:
-        AmbiguousLengthError: It has both a length and a transfer coding.
+        AmbiguousLengthError: It has a content length and a transfer coding.
     """
     headers = messages.decode_headers(event.headers)
     names = [name for name, _ in headers]
@@ -85,7 +86,7 @@
 def start_fingerprint(
     request: Request, wire: types.WireNames
 ) -> fingerprint.Fingerprint:
-    """Begins the fingerprint of a request whose head was read."""
+    """Returns the fingerprint of a request before its body was added."""
     caller = messages.find_header(request.headers, wire.caller.decode())
     return fingerprint.Fingerprint(
         request.method.encode("ascii"),
--- a/banyantiller/gateway/routes.py
+++ b/banyantiller/gateway/routes.py
@@ -1,11 +1,11 @@
-"""Finds the route of a request and the service that takes it."""
+"""Finds the route of a request and selects its service."""
 
 import math
 import random
 
 from banyantiller.gateway import types
 
-# Steps of this part of a circle never come close to where one was before.
+# Repeated steps of this size, modulo 1, spread evenly over the unit interval.
 GOLDEN_RATIO_STEP = (math.sqrt(5) - 1) / 2
 
 
@@ -14,10 +14,11 @@
 
     Attributes:
         document: The document in force.
-        by_host: Routes of a host, longest prefix first.
-        points: Where the next request of a split route falls, from 0 to 1.
-        urgent: Names of the routes before which no other of the same service
-            ranks, in services whose routes differ in rank.
+        by_host: Routes of each host, longest prefix first.
+        split_points: Position of the next request of each split route, from 0
+            to 1; the weights divide this range between the services.
+        urgent: Names of the routes with the most urgent priority of their
+            services, for services whose routes differ in priority.
         names: Names of all routes.
     """
 
@@ -36,10 +37,10 @@
         self.names = frozenset(route.name for route in document.routes)
 
     def find(self, host: str, target: str) -> types.Route | None:
-        """Returns the route with the longest prefix of the path, or None.
+        """Returns the route with the longest matching path prefix, or None.
 
         Args:
-            host: Value of Host; a port is ignored.
+            host: Value of the Host header; a port is ignored.
             target: Request target; a query is ignored.
         """
         path = target.partition("?")[0]
@@ -52,11 +53,12 @@
     def choose_service(self, route: types.Route) -> str:
         """Returns the service for the next request of a route.
 
-        Points at equal steps of the golden section around a circle of shares
-        fall into each part by its share, even if they are few. Each daemon
-        begins at a point of its own, so that the first requests of many daemons
-        are divided by weight as well: of 312 daemons with one request each 0.95
-        go to a part of that weight, where even chances sent 0.54.
+        Points at steps of the golden ratio are divided between the services
+        close to their weights, even if there are few requests. Each daemon
+        starts at a random point, so that the first requests of many daemons are
+        divided by weight as well: with one request at each of 312 daemons, a
+        service of weight 0.95 gets 0.95 of them. An even division of the first
+        requests sent it 0.54.
         """
         total = sum(part.weight for part in route.weighted_services)
         if len(route.weighted_services) == 1 or total <= 0:
--- a/banyantiller/gateway/run.py
+++ b/banyantiller/gateway/run.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: start, reload and graceful end."""
+"""The gateway as a program: start, reload and graceful shutdown."""
 
 import asyncio
 import importlib
@@ -21,26 +21,24 @@
 EXIT_CALLS_CUT = 1
 METRICS_PATH = "/metrics"
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# How often the settings file is looked at: it may change without a signal.
+# Interval at which the settings file is checked for changes without a SIGHUP.
 SETTINGS_PERIOD_S = 1.0
 STATUS_LIMITS = messages.Limits(head_s=2.0, idle_s=10.0, connections=64)
-
-
-# A fleet of hundreds may ask one daemon while others are down.
+# Hundreds of peers may query one daemon while others are down.
 PEER_LIMITS = messages.Limits(head_s=2.0, idle_s=10.0, connections=1024)
 
 
 class Daemon:
-    """The parts of a gateway daemon and their life.
+    """A gateway daemon: starts, reloads and stops its components.
 
     Attributes:
         path: Path of the settings file, read again on SIGHUP.
         settings: Settings in force.
         gateway: Serves callers.
-        changed_at: When the settings file was changed that is in force, in
-            nanoseconds.
-        shutdown_requested: Set once the daemon was told to end.
-        listener: Socket on which callers wait already, or None.
+        settings_mtime_ns: Modification time of the settings file that was read
+            last, in nanoseconds.
+        shutdown_requested: Set by SIGTERM and SIGINT.
+        listener: Socket that listens for callers already, or None.
     """
 
     def __init__(
@@ -68,7 +66,7 @@
         self.shutdown_requested = asyncio.Event()
 
     async def run(self) -> int:
-        """Runs until it is told to end, then drains.
+        """Runs until a shutdown is requested, then drains.
 
         Returns:
             Number of calls that were cut.
@@ -82,7 +80,7 @@
             await self._listen()
         except OSError as error:
             raise exceptions.ConfigError(
-                f"An address can't be listened on: {error}."
+                f"Cannot listen on an address: {error}."
             ) from error
         events.emit(events.Started(self.settings.callers))
         await self.shutdown_requested.wait()
@@ -97,7 +95,7 @@
         return cut
 
     def install_signal_handlers(self) -> None:
-        """Ends on SIGTERM and SIGINT, and reads the settings on SIGHUP."""
+        """Shuts down on SIGTERM and SIGINT; reloads settings on SIGHUP."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.shutdown_requested.set)
         loop.add_signal_handler(signal.SIGINT, self.shutdown_requested.set)
@@ -117,7 +115,7 @@
         await self.gateway.start(callers, self.listener)
 
     def reload(self) -> None:
-        """Reads the settings again; a bad file changes nothing."""
+        """Reloads the settings; an invalid file changes nothing."""
         self.settings_mtime_ns = _mtime_ns(self.path)
         try:
             loaded = options.load(self.path)
@@ -144,8 +142,8 @@
         if request.path != METRICS_PATH:
             return messages.Response(404)
         if self.metrics_page is None:
-            # Their libraries insist on the one for TLS. Loading takes half a
-            # second: not on the thread of the calls.
+            # The metrics libraries need the TLS library. Loading them takes
+            # 0.5 s, so it is done outside the event loop's thread.
             tls_imports.allow_tls()
             module = await asyncio.to_thread(
                 importlib.import_module, "banyantiller.gateway.metrics"
@@ -166,7 +164,7 @@
 
 
 def _mtime_ns(path: str) -> int:
-    """Returns when a file was changed, in nanoseconds; 0 if it is missing."""
+    """Returns a file's modification time in nanoseconds; 0 if missing."""
     try:
         return os.stat(path).st_mtime_ns
     except OSError:
@@ -179,11 +177,11 @@
     Args:
         argv: Arguments after the program's name: the settings file, or
             nothing if the environment names it.
-        listener: Socket on which callers wait already, or None.
+        listener: Socket that listens for callers already, or None.
 
     Returns:
-        0 after a graceful end, 1 when calls were cut, or the exit code of
-        the error that kept the daemon from starting.
+        0 after a graceful shutdown, 1 if calls were cut, or the exit code of
+        the error that prevented the start.
     """
     path = argv[0] if argv else os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
@@ -197,7 +195,7 @@
 
 
 async def _main(path: str, listener: socket.socket | None) -> int:
-    # Before the file is read, so that a change meanwhile is seen.
+    # Taken before the file is read, to notice a change during the read.
     settings_mtime_ns = _mtime_ns(path)
     settings = options.load(path)
     output = sink.Sink(sys.stdout.fileno())
--- a/banyantiller/gateway/sampling.py
+++ b/banyantiller/gateway/sampling.py
@@ -1,20 +1,20 @@
-"""Which calls get a log line: all that failed, and as many good ones as fit."""
+"""Decides which calls are logged, by limits on lines per second."""
 
 from typing import NamedTuple
 
-# Lines a second for calls that went well: three times the usual rate of a
+# Log lines per second for successful calls: three times the usual rate of a
 # daemon, and 15 KB/s.
 MAX_SUCCESSFUL_LINES_PER_S = 40
-# Lines a second for all others; more would only repeat the same failure.
+# Log lines per second for all others; more would only repeat the same failure.
 MAX_FAILED_LINES_PER_S = 400
 
 
 class SkippedCalls(NamedTuple):
-    """Calls of the last second without a line.
+    """Calls of the last second that were not logged.
 
     Attributes:
-        successful: Calls that went well.
-        failed: Calls that failed.
+        successful: Number of successful calls.
+        failed: Number of failed or retried calls.
     """
 
     successful: int
@@ -22,12 +22,12 @@
 
 
 class CallSampler:
-    """Counts the lines of each second.
+    """Counts the calls of each second.
 
     Attributes:
-        second: The present second of the loop's clock.
-        successful: Good calls in it.
-        failed: Other calls in it.
+        second: The current second of the event loop's clock.
+        successful: Successful calls in it.
+        failed: Failed or retried calls in it.
     """
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         self.failed = 0
 
     def begin_second(self, now: float) -> SkippedCalls | None:
-        """Begins a new second; returns what the last one left out, if any."""
+        """Starts a new second; returns the skipped calls of the last one."""
         if int(now) == self.second:
             return None
         skipped = SkippedCalls(
@@ -49,7 +49,7 @@
         return skipped if any(skipped) else None
 
     def should_log(self, successful: bool) -> bool:
-        """Tells whether a call that ended now gets a line."""
+        """Returns whether a call that ended now is logged."""
         if successful:
             self.successful += 1
             return self.successful <= MAX_SUCCESSFUL_LINES_PER_S
--- a/banyantiller/gateway/settings.py
+++ b/banyantiller/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Every setting of the gateway, declared once with its default."""
+"""Settings of the gateway, with their defaults."""
 
 from collections.abc import Iterator
 from typing import Annotated, NamedTuple
@@ -13,20 +13,20 @@
 
     daemon: Annotated[str, Option("Name of this daemon.")]
     zone: Annotated[str, Option("Availability zone of this daemon.")]
-    callers: Annotated[str, Option("IP number and port for callers.")]
-    ready: Annotated[str, Option("IP number and port for readiness.")]
-    store: Annotated[str, Option("IP number and port of the store.")]
+    callers: Annotated[str, Option("IP address and port for callers.")]
+    ready: Annotated[str, Option("IP address and port of readiness.")]
+    store: Annotated[str, Option("IP address and port of the store.")]
     control: Annotated[
-        str, Option("IP number and port for other daemons; empty for none.")
+        str, Option("IP address and port for peers; empty for none.")
     ] = ""
     seeds: Annotated[
         tuple[str, ...],
-        Option("IP numbers and ports of daemons to ask.", most=16),
+        Option("IP addresses and ports of the relays.", most=16),
     ] = ()
     apply_s: Annotated[
         float,
         Option(
-            "Time from the store's answer until a document is in force.",
+            "Time from the store's response until a document is in force.",
             unit="s",
             low=1,
         ),
@@ -42,20 +42,18 @@
     drain_s: Annotated[
         float,
         Option(
-            "Time from the order to end until the process is killed.",
+            "Time from a shutdown request until the process is killed.",
             unit="s",
             low=0.5,
         ),
     ] = 6.0
     retry_ratio: Annotated[
         float,
-        Option(
-            "Repeated sends for each request, over the fleet.", low=0, high=1
-        ),
+        Option("Retries per request, over the fleet.", low=0, high=1),
     ] = 0.2
     retry_extra: Annotated[
         float,
-        Option("Repeated sends in a window besides, over the fleet.", low=0),
+        Option("Additional retries in a window, over the fleet.", low=0),
     ] = 0.0
     retry_window_s: Annotated[
         float, Option("Window of the retry budget.", unit="s", low=0.1)
@@ -63,14 +61,14 @@
     cold_tolerance: Annotated[
         float,
         Option(
-            "How many times the rate that it states a cold server bears.",
+            "Factor on the request rate that a cold server states it can take.",
             low=0.1,
         ),
     ] = 1.0
     quarantine_s: Annotated[
         float,
         Option(
-            "Time for which a request under which servers ended is refused.",
+            "Time for which a request that crashed servers is rejected.",
             unit="s",
             low=1,
         ),
@@ -78,7 +76,7 @@
     plugins: Annotated[
         tuple[str, ...], Option("Plug-ins to load, as MODULE:FUNCTION.")
     ] = ("banyantiller.platform.plugin:register",)
-    adapter: Annotated[str, Option("Plug-in that speaks to the store.")] = (
+    adapter: Annotated[str, Option("Plug-in that connects to the store.")] = (
         "objects"
     )
     metrics_port: Annotated[
@@ -88,10 +86,10 @@
 
 
 def load(path: str) -> Settings:
-    """Loads and checks the settings of a gateway daemon.
+    """Loads and validates the settings of a gateway daemon.
 
     Raises:
-        ConfigError: With every error that was found.
+        ConfigError: The settings are invalid; it lists every error.
     """
     settings, problems = loading.load(documents.read_file(path), path, Settings)
     if settings is not None:
@@ -114,10 +112,10 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Reads HOST:PORT.
+    """Parses an endpoint of the form HOST:PORT.
 
     Raises:
-        ValueError: It is something else.
+        ValueError: The text has another form.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
--- a/banyantiller/gateway/tallies.py
+++ b/banyantiller/gateway/tallies.py
@@ -1,26 +1,26 @@
-"""Plain counters of the gateway, read when metrics are asked for."""
+"""Counters of the gateway, read when metrics are requested."""
 
 import collections
 import math
 
 from banyantiller.errors import ErrorKind
 
-# Upper ends of the latency buckets, in seconds: from a good lookup to the
-# longest wait of a caller.
+# Upper bounds of the latency buckets, in seconds: from a fast read to the
+# longest time that a caller waits.
 BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 1.5, 2.5, 5.0, math.inf)
 
 
 class Tallies:
-    """Counts of calls, tries and questions.
+    """Counts of calls, attempts, connections and documents.
 
     Attributes:
         calls: Finished calls by service, route and status.
-        errors: Calls ended by a failure of this program's, by service and
+        errors: Calls that ended with an error of the gateway, by service and
             kind.
-        retries: Repeated sends by service.
-        latency: Calls by service and upper end of the latency bucket.
-        seconds: Total time of calls by service, in seconds.
-        failed_attempts: Tries that failed, by service and kind.
+        retries: Attempts after the first one of a call, by service.
+        latency: Calls by service and upper bound of the latency bucket.
+        total_duration_s: Total duration of calls by service, in seconds.
+        failed_attempts: Failed attempts by service and kind.
         opened: New connections to servers by reason.
         documents: Documents by outcome: "in_force" or "unreadable".
         registrations: Registrations by outcome: "read" or "unreadable".
--- a/banyantiller/gateway/tls_imports.py
+++ b/banyantiller/gateway/tls_imports.py
@@ -1,8 +1,8 @@
-"""Keeps the TLS library out of the gateway, which speaks no TLS.
+"""Keeps the TLS library from being loaded, as the gateway does not use TLS.
 
-Importing asyncio loads it otherwise: 4.5 MB of the 27 MB that are resident once
-everything is loaded. Importing hashlib loads the greater part of it as well,
-though the interpreter has the digests that are used here itself.
+Otherwise importing asyncio loads it, which takes 4.5 MB of 27 MB resident
+memory. Importing hashlib loads most of it as well, although the interpreter has
+its own implementation of the digests that are used here.
 """
 
 import sys
@@ -11,16 +11,16 @@
 
 
 def block_tls() -> None:
-    """Makes imports of the library fail, which its users here cope with.
+    """Makes imports of the library fail; the modules that try it handle that.
 
-    Has to be called before asyncio is imported.
+    Must be called before asyncio is imported.
     """
     for name in TLS_MODULES:
         sys.modules[name] = None  # type: ignore[assignment]
 
 
 def allow_tls() -> None:
-    """Lets the library be imported, for other libraries that insist on it."""
+    """Allows imports of the library, for other libraries that need it."""
     for name in TLS_MODULES:
         if sys.modules.get(name, sys) is None:
             del sys.modules[name]
