--- a/banyantiller/tests/gateway/harness.py
+++ b/banyantiller/tests/gateway/harness.py
@@ -60,7 +60,7 @@
     async def read(self):
         """Reads the next answer; None if the connection ends before it."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         codec = h11.Connection(h11.CLIENT)
         codec.send(
             h11.Request(method="GET", target="/", headers=[("host", HOST)])
@@ -89,7 +89,7 @@
                 headers = {
                     n.decode(): v.decode("latin-1") for n, v in head.headers
                 }
-                took_s = loop.time() - began
+                took_s = loop.time() - started_at
                 return Response(head.status_code, headers, body, took_s)
 
     def close(self):
@@ -273,8 +273,8 @@
         """Runs `body(world)` in a world of its own."""
 
         async def whole():
-            async with GatewayHarness(**more) as place:
-                return await body(place)
+            async with GatewayHarness(**more) as env:
+                return await body(env)
 
         return self.run_paused(whole())
 
--- a/banyantiller/tests/gateway/test_callers.py
+++ b/banyantiller/tests/gateway/test_callers.py
@@ -8,8 +8,8 @@
 
 class CallersTest(harness.TestCase):
     def test_pipelined_reads_run_at_once_and_are_answered_in_order(self):
-        async def body(place):
-            caller = await harness.Caller.connect(place)
+        async def body(env):
+            caller = await harness.Caller.connect(env)
             for name in ("a", "b", "c"):
                 caller.send(name)
             answers = [await caller.read() for _ in range(3)]
@@ -17,22 +17,22 @@
             return answers
 
         answers = self.play(body)
-        texts = [answer.body.split()[0] for answer in answers]
-        self.assertEqual([b"a", b"b", b"c"], texts)
+        request_ids = [answer.body.split()[0] for answer in answers]
+        self.assertEqual([b"a", b"b", b"c"], request_ids)
         self.assertLess(sum(answer.took_s for answer in answers), 0.12)
 
-    def test_half_a_head_is_waited_for_and_not_polled(self):
+    def test_incomplete_head_is_not_parsed_repeatedly(self):
         """Looking at it again and again would take the whole processor."""
-        looks = []
-        read_on = caller_module.CallerConnection._resume_parsing
+        parse_calls = []
+        resume_parsing = caller_module.CallerConnection._resume_parsing
 
-        def counted(connection):
-            looks.append(connection)
-            if len(looks) < 50:
-                read_on(connection)
+        def count_and_resume(connection):
+            parse_calls.append(connection)
+            if len(parse_calls) < 50:
+                resume_parsing(connection)
 
-        async def body(place):
-            caller = await harness.Caller.connect(place)
+        async def body(env):
+            caller = await harness.Caller.connect(env)
             caller.writer.write(b"GET /read/x HTTP/1.1\r\nHost: desk")
             await asyncio.sleep(0.5)
             caller.writer.write(b".example\r\nAttempt-Id: a\r\n\r\nGET /re")
@@ -42,40 +42,44 @@
             caller.writer.write(b"Attempt-Id: b\r\n\r\n")
             return answer.status, (await caller.read()).status
 
-        caller_module.CallerConnection._resume_parsing = counted
+        caller_module.CallerConnection._resume_parsing = count_and_resume
         try:
             self.assertEqual((200, 200), self.play(body))
         finally:
-            caller_module.CallerConnection._resume_parsing = read_on
-        self.assertLess(len(looks), 10)
+            caller_module.CallerConnection._resume_parsing = resume_parsing
+        self.assertLess(len(parse_calls), 10)
 
-    def test_unrepeatable_request_behind_another_waits_for_its_turn(self):
-        async def body(place):
-            caller = await harness.Caller.connect(place)
+    def test_pipelined_request_that_is_not_idempotent_waits(self):
+        async def body(env):
+            caller = await harness.Caller.connect(env)
             caller.send("a")
             caller.send("b", "/file/x", "POST", b"deposit")
             await asyncio.sleep(0.03)
-            early = place.ran("b")
+            runs_before = env.ran("b")
             answers = [await caller.read() for _ in range(2)]
             caller.close()
-            return early, [answer.status for answer in answers], place.ran("b")
+            return (
+                runs_before,
+                [answer.status for answer in answers],
+                env.ran("b"),
+            )
 
         self.assertEqual((0, [200, 200], 1), self.play(body))
 
-    def test_caller_that_leaves_ends_the_work(self):
-        async def body(place):
-            caller = await harness.Caller.connect(place)
+    def test_disconnect_of_the_caller_cancels_the_request(self):
+        async def body(env):
+            caller = await harness.Caller.connect(env)
             caller.send("a")
             await asyncio.sleep(0.03)
             caller.close()
             await asyncio.sleep(0.02)
-            return sum(one.dropped for one in place.servers.values())
+            return sum(one.dropped for one in env.servers.values())
 
         self.assertEqual(1, self.play(body))
 
-    def test_too_large_body_is_answered_while_it_is_still_sent(self):
-        async def body(place):
-            caller = await harness.Caller.connect(place)
+    def test_too_large_body_is_rejected_while_it_is_being_sent(self):
+        async def body(env):
+            caller = await harness.Caller.connect(env)
             caller.writer.write(
                 b"POST /file/x HTTP/1.1\r\nhost: desk.example\r\n"
                 b"content-length: 200000\r\n\r\n"
@@ -86,30 +90,30 @@
             answer = await caller.read()
             await asyncio.sleep(1.5)
             left = (
-                len(place.gateway.connections),
-                place.gateway.buffered_body_bytes,
+                len(env.gateway.connections),
+                env.gateway.buffered_body_bytes,
             )
             return answer.status, left
 
         self.assertEqual((413, (0, 0)), self.play(body))
 
-    def test_bodies_without_room_are_refused_as_not_run(self):
-        async def body(place):
-            place.gateway.buffered_body_bytes = caller_module.MAX_BODY_BYTES
-            answer = await place.request("a", "/file/x", "POST", b"deposit")
+    def test_body_that_exceeds_the_memory_limit_is_rejected_as_not_run(self):
+        async def body(env):
+            env.gateway.buffered_body_bytes = caller_module.MAX_BODY_BYTES
+            answer = await env.request("a", "/file/x", "POST", b"deposit")
             return answer.status, answer.headers["request-ran"]
 
         self.assertEqual((503, "no"), self.play(body))
 
-    def test_path_without_a_route_is_told_so(self):
-        async def body(place):
-            return (await place.request("a", "/none/")).status
+    def test_path_without_a_route_gets_404(self):
+        async def body(env):
+            return (await env.request("a", "/none/")).status
 
         self.assertEqual(404, self.play(body))
 
-    def test_ambiguous_length_is_refused_and_nothing_is_sent(self):
-        async def body(place):
-            caller = await harness.Caller.connect(place)
+    def test_ambiguous_length_is_rejected_and_nothing_is_forwarded(self):
+        async def body(env):
+            caller = await harness.Caller.connect(env)
             caller.writer.write(
                 b"POST /file/x HTTP/1.1\r\nhost: desk.example\r\n"
                 b"content-length: 5\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -117,14 +121,14 @@
             )
             answer = await caller.read()
             rest = await caller.read()
-            seen = [h for s in place.servers.values() for h in s.seen]
+            seen = [h for s in env.servers.values() for h in s.seen]
             return answer.status, rest, seen
 
         self.assertEqual((400, None, []), self.play(body))
 
-    def test_chunked_body_arrives_whole(self):
-        async def body(place):
-            caller = await harness.Caller.connect(place)
+    def test_chunked_body_is_forwarded_completely(self):
+        async def body(env):
+            caller = await harness.Caller.connect(env)
             caller.writer.write(
                 b"POST /file/x HTTP/1.1\r\nhost: desk.example\r\n"
                 b"attempt-id: a\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -132,23 +136,27 @@
             )
             answer = await caller.read()
             caller.close()
-            bodies = [b for s in place.servers.values() for b in s.bodies]
+            bodies = [b for s in env.servers.values() for b in s.bodies]
             return answer.status, bodies
 
         self.assertEqual((200, [b"abcde"]), self.play(body))
 
-    def test_idle_connection_ends_after_the_limit_and_not_before(self):
-        async def body(place):
-            caller = await harness.Caller.connect(place)
+    def test_idle_connection_is_closed_at_the_idle_timeout(self):
+        async def body(env):
+            caller = await harness.Caller.connect(env)
             caller.send("a")
             await caller.read()
             await asyncio.sleep(14)
             caller.send("b")
             second = await caller.read()
-            began = asyncio.get_running_loop().time()
-            end = await caller.read()
-            return second.status, end, asyncio.get_running_loop().time() - began
+            started_at = asyncio.get_running_loop().time()
+            closed = await caller.read()
+            return (
+                second.status,
+                closed,
+                asyncio.get_running_loop().time() - started_at,
+            )
 
-        status, end, idle_s = self.play(body)
-        self.assertEqual((200, None), (status, end))
+        status, closed, idle_s = self.play(body)
+        self.assertEqual((200, None), (status, closed))
         self.assertLess(abs(idle_s - 15), 0.5)
--- a/banyantiller/tests/gateway/test_early_listening.py
+++ b/banyantiller/tests/gateway/test_early_listening.py
@@ -15,11 +15,11 @@
 @contextlib.contextmanager
 def bound(listening):
     """Yields the address of a socket that listens, or only holds its port."""
-    with socket.socket() as one:
-        one.bind((ADDRESS, 0))
+    with socket.socket() as sock:
+        sock.bind((ADDRESS, 0))
         if listening:
-            one.listen()
-        yield f"{ADDRESS}:{one.getsockname()[1]}"
+            sock.listen()
+        yield f"{ADDRESS}:{sock.getsockname()[1]}"
 
 
 def free_address():
@@ -28,53 +28,53 @@
         return address
 
 
-def listen(own, others):
+def listen(local_address, peers):
     """Listens early, if at all."""
     return early_listening.listen(
         {
-            early_listening.LISTEN_VARIABLE: own,
-            early_listening.PEERS_VARIABLE: others,
+            early_listening.LISTEN_VARIABLE: local_address,
+            early_listening.PEERS_VARIABLE: peers,
         }
     )
 
 
-class EarlyTest(base.TestCase):
-    def test_daemon_whose_peers_are_down_lets_callers_wait(self):
-        own = free_address()
-        with bound(False) as one, bound(False) as other:
-            listener = listen(own, f"{one},{other}")
+class EarlyListeningTest(base.TestCase):
+    def test_daemon_listens_early_if_its_peers_are_down(self):
+        local_address = free_address()
+        with bound(False) as first, bound(False) as second:
+            listener = listen(local_address, f"{first},{second}")
         self.addCleanup(listener.close)
-        host, port = own.split(":")
+        host, port = local_address.split(":")
         with socket.create_connection((host, int(port)), timeout=5) as caller:
             accepted, _ = listener.accept()
             accepted.close()
             self.assertEqual(b"", caller.recv(1))
 
-    def test_daemon_with_a_living_peer_refuses_until_it_is_loaded(self):
+    def test_daemon_with_a_running_peer_does_not_listen_early(self):
         with bound(False) as dead, bound(True) as alive:
             self.assertIsNone(listen(free_address(), f"{dead},{alive}"))
 
-    def test_nothing_is_done_without_both_addresses(self):
-        for own, others in (
+    def test_no_early_listening_without_both_addresses(self):
+        for local_address, peers in (
             ("", free_address()),
             (free_address(), ""),
             ("nowhere", free_address()),
         ):
-            self.assertIsNone(listen(own, others))
+            self.assertIsNone(listen(local_address, peers))
 
-    def test_address_that_is_taken_is_left_to_the_gateway(self):
-        with bound(True) as own, bound(False) as dead:
-            self.assertIsNone(listen(own, dead))
+    def test_address_in_use_is_not_an_error(self):
+        with bound(True) as local_address, bound(False) as dead:
+            self.assertIsNone(listen(local_address, dead))
 
 
-class StartTest(harness.TestCase):
-    def test_gateway_takes_the_listening_socket_if_it_is_its_own(self):
+class GatewayStartTest(harness.TestCase):
+    def test_early_listener_of_another_address_is_closed(self):
         async def starts(listener, endpoint):
-            async with harness.GatewayHarness() as place:
-                place.gateway.listener.close()
-                return await place.gateway.start(endpoint, listener)
+            async with harness.GatewayHarness() as env:
+                env.gateway.listener.close()
+                return await env.gateway.start(endpoint, listener)
 
-        class Waiting:
+        class EarlyListener:
             closed = False
 
             def getsockname(self):
@@ -83,31 +83,36 @@
             def close(self):
                 self.closed = True
 
-        waiting = Waiting()
-        found = self.run_paused(starts(waiting, Endpoint(ADDRESS, 0)))
+        listener = EarlyListener()
+        found = self.run_paused(starts(listener, Endpoint(ADDRESS, 0)))
         self.assertNotEqual(1, found.port)
-        self.assertTrue(waiting.closed)
+        self.assertTrue(listener.closed)
 
     def test_call_before_the_first_document_waits_for_it(self):
-        async def body(place):
-            await place.start_gateway()
-            return (await place.request("a")).status
+        async def body(env):
+            await env.start_gateway()
+            return (await env.request("a")).status
 
         self.assertEqual(200, self.play(body))
 
-    def test_call_is_refused_soon_if_there_is_no_document(self):
-        async def body(place):
-            place.store.faults.silent = True
-            await place.start_gateway()
+    def test_call_without_any_document_is_rejected_soon(self):
+        async def body(env):
+            env.store.faults.silent = True
+            await env.start_gateway()
             loop = asyncio.get_running_loop()
-            began = loop.time()
-            first = await place.request("a")
-            waited_s = loop.time() - began
-            began = loop.time()
-            second = await place.request("b")
-            return first.status, waited_s, second.status, loop.time() - began
-
-        first, waited_s, second, at_once_s = self.play(body)
+            started_at = loop.time()
+            first = await env.request("a")
+            waited_s = loop.time() - started_at
+            started_at = loop.time()
+            second = await env.request("b")
+            return (
+                first.status,
+                waited_s,
+                second.status,
+                loop.time() - started_at,
+            )
+
+        first, waited_s, second, second_s = self.play(body)
         self.assertEqual((503, 503), (first, second))
         self.assertLess(waited_s, 0.25)
-        self.assertLess(at_once_s, 0.05)
+        self.assertLess(second_s, 0.05)
--- a/banyantiller/tests/gateway/test_fleet_start.py
+++ b/banyantiller/tests/gateway/test_fleet_start.py
@@ -9,13 +9,13 @@
 PORTS = (7001, 7002, 7003)
 SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
 # Daemons besides those that are asked, in a small and in a larger fleet.
-FEW = 4
-MANY = 12
+SMALL_FLEET = 4
+LARGE_FLEET = 12
 # Enough that no caller is turned away.
-SLOTS = 100
+SERVER_SLOTS = 100
 # A daemon that was asked in vain is not asked for 2 s; twice that, and the time
 # until those that are asked listen, cover all calls that a start leads to.
-PLAYED_S = 8.0
+RUN_S = 8.0
 # A caller that waits needs the document, the list of servers and that of the
 # evacuated zones. While nobody can tell them, each daemon with such a caller
 # reads all three once. A watch serves
@@ -24,7 +24,7 @@
 CALLS_FOR_WAITING_CALLERS = 3
 
 
-class Start(NamedTuple):
+class FleetStart(NamedTuple):
     """How a fleet starts.
 
     Attributes:
@@ -33,12 +33,12 @@
         callers: Whether a caller waits at each daemon.
     """
 
-    late_s: float
-    silent: bool = False
+    relay_delay_s: float
+    unresponsive: bool = False
     callers: bool = True
 
 
-class Outcome(NamedTuple):
+class StartOutcome(NamedTuple):
     """What a start led to.
 
     Attributes:
@@ -63,26 +63,28 @@
         callers: Callers' requests that are under way.
     """
 
-    def __init__(self, place, start):
-        self.place = place
+    def __init__(self, env, start):
+        self.env = env
         self.start = start
-        self.others = []
-        self.asked = []
+        self.non_relays = []
+        self.relays = []
         self.callers = []
 
     async def play(self, size):
         """Starts `size` daemons and those that they ask."""
         await self._prepare()
         for number in range(size):
-            await self._add(self.others, f"other{number}")
-        await asyncio.sleep(self.start.late_s)
+            await self._add(self.non_relays, f"other{number}")
+        await asyncio.sleep(self.start.relay_delay_s)
         for port in PORTS:
-            await self._add(self.asked, f"asked{port}", port)
-        await asyncio.sleep(PLAYED_S - self.start.late_s)
+            await self._add(self.relays, f"asked{port}", port)
+        await asyncio.sleep(RUN_S - self.start.relay_delay_s)
         answers = await asyncio.gather(*self.callers)
-        return Outcome(
+        return StartOutcome(
             sum(one.store_view.reader.calls.total() for one in self._all()),
-            sum(one.store_view.reader.calls["watch"] for one in self.others),
+            sum(
+                one.store_view.reader.calls["watch"] for one in self.non_relays
+            ),
             {answer.status for answer in answers},
         )
 
@@ -93,31 +95,31 @@
             await one.close()
 
     async def _prepare(self):
-        for instance, one in self.place.servers.items():
-            one.slots = SLOTS
-            self.place.register(instance)
-        if self.start.silent:
+        for instance, one in self.env.servers.items():
+            one.slots = SERVER_SLOTS
+            self.env.register(instance)
+        if self.start.unresponsive:
             for port in PORTS:
-                await self.place.make_unresponsive(port)
+                await self.env.make_unresponsive(port)
 
     async def _add(self, daemons, name, port=0):
         # Each asks the others in an order of its own.
-        self.place.seed += 1
-        await self.place.start_gateway(
+        self.env.seed += 1
+        await self.env.start_gateway(
             SEEDS, name, port, apply_s=3.0, leave_s=3.0
         )
-        daemons.append(self.place.gateway)
+        daemons.append(self.env.gateway)
         if self.start.callers:
-            answer = asyncio.ensure_future(self.place.request(name))
+            answer = asyncio.ensure_future(self.env.request(name))
             self.callers.append(answer)
             # Its connection is opened before the next daemon starts.
             await asyncio.sleep(0)
 
     def _all(self):
-        return self.others + self.asked
+        return self.non_relays + self.relays
 
 
-class CommonStartTest(base.TestCase):
+class FleetStartTest(base.TestCase):
     """Calls must not grow with a fleet by more than waiting callers need.
 
     A whole day's calls are to be some hundreds for a fleet of hundreds, so
@@ -128,48 +130,52 @@
         """Plays the start of a fleet and returns its outcome."""
 
         async def whole():
-            async with harness.GatewayHarness() as place:
-                alone = place.gateway
-                fleet = Fleet(place, start)
+            async with harness.GatewayHarness() as env:
+                initial_gateway = env.gateway
+                fleet = Fleet(env, start)
                 try:
                     return await fleet.play(size)
                 finally:
                     await fleet.close()
-                    place.gateway = alone
+                    env.gateway = initial_gateway
 
         return self.run_paused(whole())
 
     def check(self, start, calls_needed):
         """Checks that calls grow by those needed for each daemon at most."""
-        few = self.play(FEW, start)
-        many = self.play(MANY, start)
-        grown = many.calls - few.calls
-        self.assertLessEqual(grown, calls_needed * (MANY - FEW), start)
-        self.assertEqual(0, many.watches, start)
-        return many
+        small = self.play(SMALL_FLEET, start)
+        large = self.play(LARGE_FLEET, start)
+        growth = large.calls - small.calls
+        self.assertLessEqual(
+            growth, calls_needed * (LARGE_FLEET - SMALL_FLEET), start
+        )
+        self.assertEqual(0, large.watches, start)
+        return large
 
     def check_with_callers(self, start):
         """Checks a start with a caller at each daemon."""
         found = self.check(start, CALLS_FOR_WAITING_CALLERS)
         self.assertEqual({200}, found.statuses, start)
 
-    def test_without_callers_calls_do_not_grow_with_the_fleet(self):
-        for silent in (False, True):
-            for late_s in (0.0, 0.2, 0.5):
-                self.check(Start(late_s, silent, callers=False), 0)
+    def test_store_calls_do_not_grow_with_the_fleet_without_callers(self):
+        for unresponsive in (False, True):
+            for relay_delay_s in (0.0, 0.2, 0.5):
+                self.check(
+                    FleetStart(relay_delay_s, unresponsive, callers=False), 0
+                )
 
-    def test_callers_cost_one_list_of_each_kind_a_daemon(self):
-        for silent in (False, True):
-            for late_s in (0.0, 0.2, 0.5):
-                self.check_with_callers(Start(late_s, silent))
+    def test_waiting_callers_cost_one_list_per_kind_and_daemon(self):
+        for unresponsive in (False, True):
+            for relay_delay_s in (0.0, 0.2, 0.5):
+                self.check_with_callers(FleetStart(relay_delay_s, unresponsive))
 
-    def test_refusing_daemons_that_are_a_second_late(self):
-        self.check_with_callers(Start(1.0))
+    def test_relays_that_refuse_connections_for_a_second(self):
+        self.check_with_callers(FleetStart(1.0))
 
-    def test_silent_daemons_that_are_a_second_late(self):
+    def test_relays_that_are_unresponsive_for_a_second(self):
         """A busy machine needs up to 1 s until its daemon listens."""
-        self.check_with_callers(Start(1.0, silent=True))
+        self.check_with_callers(FleetStart(1.0, unresponsive=True))
 
-    def test_daemons_that_are_asked_two_seconds_late(self):
+    def test_relays_that_start_two_seconds_late(self):
         """What was listed is still young enough to rely on others."""
-        self.check_with_callers(Start(2.0))
+        self.check_with_callers(FleetStart(2.0))
--- a/banyantiller/tests/gateway/test_log_and_metrics.py
+++ b/banyantiller/tests/gateway/test_log_and_metrics.py
@@ -10,20 +10,20 @@
 from banyantiller.tests.gateway import harness
 
 
-class TellingTest(base.TestCase):
+class LogAndMetricsTest(base.TestCase):
     def play(self, body):
         """Runs `body(world)` and returns its result and the log lines."""
 
         async def whole():
-            async with harness.GatewayHarness() as place:
-                return await body(place)
+            async with harness.GatewayHarness() as env:
+                return await body(env)
 
         with structlog.testing.capture_logs() as lines:
             return self.run_paused(whole()), lines
 
-    def test_each_call_has_one_line_with_what_decided_it(self):
-        async def body(place):
-            await place.request("a")
+    def test_each_call_is_logged_once_with_its_selection_inputs(self):
+        async def body(env):
+            await env.request("a")
 
         _, lines = self.play(body)
         (line,) = [one for one in lines if one.get("id") == "a"]
@@ -32,10 +32,10 @@
             line["load"], line["version"] * 2, line["objective_ms"]
         ))  # fmt: skip
 
-    def test_each_failed_try_has_a_line(self):
-        async def body(place):
-            place.fault(reset=True)
-            await place.request("a")
+    def test_each_failed_attempt_is_logged(self):
+        async def body(env):
+            env.fault(reset=True)
+            await env.request("a")
 
         _, lines = self.play(body)
         events = [one["event"] for one in lines if one.get("id") == "a"]
@@ -43,11 +43,11 @@
             ["gateway: a try failed."] * 2 + ["gateway: call ended."], events
         )
 
-    def test_lost_and_regained_store_has_a_line_each(self):
-        async def body(place):
-            place.store.faults.reset = True
+    def test_loss_and_return_of_the_store_are_logged(self):
+        async def body(env):
+            env.store.faults.reset = True
             await asyncio.sleep(6)
-            place.store.faults.reset = False
+            env.store.faults.reset = False
             await asyncio.sleep(3)
 
         _, lines = self.play(body)
@@ -56,28 +56,28 @@
             ["gateway: store is lost.", "gateway: store is back."], events
         )
 
-    def test_good_calls_are_sampled_and_failures_are_not(self):
+    def test_successful_calls_are_sampled_and_failures_are_not(self):
         sampler = sampling.CallSampler()
         sampler.begin_second(1.0)
-        good = sum(sampler.should_log(True) for _ in range(100))
-        bad = sum(sampler.should_log(False) for _ in range(100))
+        successful = sum(sampler.should_log(True) for _ in range(100))
+        failed = sum(sampler.should_log(False) for _ in range(100))
         self.assertEqual(
-            (sampling.MAX_SUCCESSFUL_LINES_PER_S, 100), (good, bad)
+            (sampling.MAX_SUCCESSFUL_LINES_PER_S, 100), (successful, failed)
         )
         self.assertEqual((60, 0), sampler.begin_second(2.0))
         self.assertIsNone(sampler.begin_second(3.0))
 
     def test_metrics_page_has_counters_and_a_histogram(self):
-        async def body(place):
-            await place.request("a")
-            await place.request("b", "/none/")
-            page = metrics.MetricsPage(place.gateway)
+        async def body(env):
+            await env.request("a")
+            await env.request("b", "/none/")
+            page = metrics.MetricsPage(env.gateway)
             text = page.text().decode()
             page.instruments.close()
             return text
 
         text, _ = self.play(body)
-        for wanted in (
+        for expected in (
             'banyantiller_gateway_calls_total{route="read",service="orders",'
             'status="200"} 1.0',
             'banyantiller_gateway_failures_total{kind="unknown_service"',
@@ -89,13 +89,13 @@
             'banyantiller_gateway_server_failures_total{server="s0",'
             'service="orders"} 0.0',
         ):
-            self.assertIn(wanted, text)
+            self.assertIn(expected, text)
 
     def test_metrics_count_requests_by_server(self):
-        async def body(place):
+        async def body(env):
             for number in range(5):
-                await place.request(f"a{number}")
-            page = metrics.MetricsPage(place.gateway)
+                await env.request(f"a{number}")
+            page = metrics.MetricsPage(env.gateway)
             text = page.text().decode()
             page.instruments.close()
             return text
--- a/banyantiller/tests/gateway/test_program.py
+++ b/banyantiller/tests/gateway/test_program.py
@@ -13,8 +13,8 @@
 
 SIZES = plan.Sizes(daemons=1, servers=1, callers=0)
 # Longest wait for an answer, on a busy machine.
-LONGEST_S = 30.0
-LOADS_NO_TLS = """
+MAX_WAIT_S = 30.0
+CHECK_TLS_IMPORTS = """
 import sys
 from banyantiller.gateway import tls_imports
 tls_imports.block_tls()
@@ -24,7 +24,7 @@
 import banyantiller.gateway.metrics
 assert "_ssl" in sys.modules
 """
-HUNG_UP_WHILE_LOADING = """
+SIGHUP_WHILE_LOADING = """
 import os, runpy, signal, sys, types
 import banyantiller.gateway
 run = types.ModuleType("banyantiller.gateway.run")
@@ -45,9 +45,11 @@
                 world = worlds.World(pathlib.Path(folder), SIZES, settings)
                 try:
                     await world.start()
-                    user = client.HttpClient("127.0.0.1", port)
-                    found = await user.request("GET", "/metrics", LONGEST_S)
-                    await user.close()
+                    http_client = client.HttpClient("127.0.0.1", port)
+                    found = await http_client.request(
+                        "GET", "/metrics", MAX_WAIT_S
+                    )
+                    await http_client.close()
                     return found
                 finally:
                     await world.close()
@@ -57,11 +59,13 @@
         self.assertEqual(200, found.response.status)
         self.assertIn(b"banyantiller_gateway_ready 1.0", found.body)
 
-    def test_no_tls_library_is_loaded_until_metrics_are(self):
-        done = subprocess.run([sys.executable, "-c", LOADS_NO_TLS], check=False)
-        self.assertEqual(0, done.returncode)
+    def test_tls_library_is_not_loaded_before_the_metrics(self):
+        process = subprocess.run(
+            [sys.executable, "-c", CHECK_TLS_IMPORTS], check=False
+        )
+        self.assertEqual(0, process.returncode)
 
-    def test_hangup_before_its_handler_is_set_up_does_not_end_it(self):
-        code = HUNG_UP_WHILE_LOADING
-        done = subprocess.run([sys.executable, "-c", code], check=False)
-        self.assertEqual(0, done.returncode)
+    def test_sighup_before_its_handler_is_installed_is_ignored(self):
+        code = SIGHUP_WHILE_LOADING
+        process = subprocess.run([sys.executable, "-c", code], check=False)
+        self.assertEqual(0, process.returncode)
--- a/banyantiller/tests/gateway/test_routes.py
+++ b/banyantiller/tests/gateway/test_routes.py
@@ -20,7 +20,7 @@
 
 
 class RoutesTest(base.TestCase):
-    def test_longest_prefix_of_the_host_wins(self):
+    def test_longest_matching_prefix_wins(self):
         found = table(route("short"), route("long", "/a/b/"))
         self.assertEqual("long", found.find("X.example:80", "/a/b/c?d").name)
         self.assertEqual("short", found.find("x.example", "/a/bc").name)
@@ -31,7 +31,7 @@
         self.assertIsNone(found.find("x.example", "/ab"))
         self.assertIsNone(found.find("x.example", "/b?/a/"))
 
-    def test_few_requests_at_each_of_many_daemons_keep_the_weights(self):
+    def test_few_requests_per_daemon_follow_the_weights(self):
         # Weights are large numbers: a first count in proportion to them once
         # gave one part 0.71 of 291 requests in place of 0.50.
         for shares in ((50.0, 50.0), (90.0, 10.0), (1.0, 3.0)):
@@ -41,28 +41,31 @@
                 split = route(parts=parts)
                 daemon = table(split, seed=seed)
                 counts.update(daemon.choose_service(split) for _ in range(20))
-            wanted = shares[0] / sum(shares)
-            self.assertLess(abs(counts["one"] / 280 - wanted), 0.05, shares)
+            expected = shares[0] / sum(shares)
+            self.assertLess(abs(counts["one"] / 280 - expected), 0.05, shares)
 
-    def test_first_requests_of_hundreds_of_daemons_keep_the_weights(self):
+    def test_first_requests_of_many_daemons_follow_the_weights(self):
         # With 475 requests at 312 daemons 0.59 went to a part of weight 0.95:
         # the first request of each daemon was divided evenly.
         split = route(parts=(("one", 95.0), ("two", 5.0)))
-        for each in (1, 2, 3):
+        for requests_per_daemon in (1, 2, 3):
             counts = collections.Counter()
             for seed in range(312):
                 daemon = table(split, seed=seed)
-                counts.update(daemon.choose_service(split) for _ in range(each))
+                counts.update(
+                    daemon.choose_service(split)
+                    for _ in range(requests_per_daemon)
+                )
             share = counts["one"] / counts.total()
-            self.assertLess(abs(share - 0.95), 0.04, each)
+            self.assertLess(abs(share - 0.95), 0.04, requests_per_daemon)
 
-    def test_part_without_weight_gets_nothing(self):
+    def test_service_of_weight_zero_gets_no_requests(self):
         split = route(parts=(("one", 0.0), ("two", 5.0)))
         daemon = table(split)
         chosen = {daemon.choose_service(split) for _ in range(9)}
         self.assertEqual({"two"}, chosen)
 
-    def test_urgent_routes_rank_first_where_ranks_differ(self):
+    def test_urgent_routes_require_different_priorities(self):
         found = table(
             route("read")._replace(priority=2),
             route("file")._replace(priority=1),
--- a/banyantiller/tests/gateway/test_serving.py
+++ b/banyantiller/tests/gateway/test_serving.py
@@ -6,146 +6,146 @@
 
 
 class ServingTest(harness.TestCase):
-    def test_answer_is_the_servers_own(self):
-        async def body(place):
-            return await place.request("a1")
+    def test_server_response_is_forwarded(self):
+        async def body(env):
+            return await env.request("a1")
 
         answer = self.play(body)
         self.assertEqual(200, answer.status)
         self.assertTrue(answer.body.startswith(b"a1 at s"))
         self.assertTrue(answer.headers["upstream-signature"].startswith("by."))
 
-    def test_server_gets_what_is_left_of_the_time_and_its_name(self):
-        async def body(place):
-            await place.request("a1", deadline_ms=500)
-            return [h for s in place.servers.values() for h in s.seen]
+    def test_server_receives_remaining_deadline_and_expected_instance(self):
+        async def body(env):
+            await env.request("a1", deadline_ms=500)
+            return [h for s in env.servers.values() for h in s.seen]
 
         (head,) = self.play(body)
         self.assertIn(int(head["deadline-ms"]), range(470, 501))
         self.assertIn(head["target-instance"], ("s0", "s1", "s2"))
 
-    def test_refusal_that_does_not_say_not_run_is_no_promise(self):
+    def test_503_without_not_run_header_is_reported_as_unknown(self):
         """A 503 of a server may come after it ran; told on, it promises."""
 
-        async def body(place):
-            place.fault(silent_503=True)
-            filed = await place.request("a", "/file/x", "POST", b"deposit")
-            read = await place.request("b")
-            return filed, place.ran("a"), read
+        async def body(env):
+            env.fault(silent_503=True)
+            file_reply = await env.request("a", "/file/x", "POST", b"deposit")
+            read_reply = await env.request("b")
+            return file_reply, env.ran("a"), read_reply
 
-        filed, ran, read = self.play(body)
-        self.assertEqual((502, 1), (filed.status, ran))
-        self.assertEqual("unknown", filed.headers["request-ran"])
-        self.assertNotIn("upstream-signature", filed.headers)
-        self.assertEqual(502, read.status)
+        file_reply, ran, read_reply = self.play(body)
+        self.assertEqual((502, 1), (file_reply.status, ran))
+        self.assertEqual("unknown", file_reply.headers["request-ran"])
+        self.assertNotIn("upstream-signature", file_reply.headers)
+        self.assertEqual(502, read_reply.status)
 
-    def test_read_is_tried_elsewhere_after_each_kind_of_failure(self):
+    def test_read_is_retried_on_another_server_after_each_failure(self):
         for fault in ("reset", "cut", "fail", "unsigned", "other_id", "shed"):
 
-            async def body(place, fault=fault):
-                place.fault(**{fault: True})
-                setattr(place.servers["s1"].faults, fault, False)
-                found = [await place.request(f"a{n}") for n in range(6)]
+            async def body(env, fault=fault):
+                env.fault(**{fault: True})
+                setattr(env.servers["s1"].faults, fault, False)
+                found = [await env.request(f"a{n}") for n in range(6)]
                 return [answer.status for answer in found]
 
             self.assertEqual([200] * 6, self.play(body), fault)
 
-    def test_unrepeatable_request_runs_once_whatever_fails(self):
+    def test_request_that_is_not_idempotent_runs_once_despite_failures(self):
         for fault in ("reset", "cut", "unsigned", "other_id", "fail"):
 
-            async def body(place, fault=fault):
-                place.fault(**{fault: True})
-                answer = await place.request("a", "/file/x", "POST", b"deposit")
-                return answer.status, place.ran("a")
+            async def body(env, fault=fault):
+                env.fault(**{fault: True})
+                answer = await env.request("a", "/file/x", "POST", b"deposit")
+                return answer.status, env.ran("a")
 
             status, ran = self.play(body)
             self.assertEqual(1, ran, fault)
             self.assertIn(status, (500, 502, 504), fault)
 
-    def test_refused_by_all_is_told_as_not_run_with_a_time(self):
-        async def body(place):
-            place.fault(shed=True)
-            answer = await place.request("a", "/file/x", "POST", b"deposit")
-            return answer, place.ran("a")
+    def test_rejection_by_all_servers_is_not_run_with_retry_after(self):
+        async def body(env):
+            env.fault(shed=True)
+            answer = await env.request("a", "/file/x", "POST", b"deposit")
+            return answer, env.ran("a")
 
         answer, ran = self.play(body)
         self.assertEqual((503, 0), (answer.status, ran))
         self.assertEqual("no", answer.headers["request-ran"])
         self.assertGreater(float(answer.headers["retry-after"]), 0)
 
-    def test_busy_servers_are_waited_for_and_then_refused_at_once(self):
-        async def body(place):
-            for one in place.servers.values():
+    def test_call_is_rejected_soon_while_all_servers_are_busy(self):
+        async def body(env):
+            for one in env.servers.values():
                 one.running = one.slots
-            began = asyncio.get_running_loop().time()
-            answer = await place.request("a")
-            return answer.status, asyncio.get_running_loop().time() - began
+            started_at = asyncio.get_running_loop().time()
+            answer = await env.request("a")
+            return answer.status, asyncio.get_running_loop().time() - started_at
 
         status, took_s = self.play(body)
         self.assertEqual(503, status)
         self.assertLess(took_s, 0.05)
 
     def test_urgent_request_waits_longer_for_a_free_server(self):
-        async def body(place):
+        async def body(env):
             routes = [
                 harness.route("read", "safe", "/read/", priority=2),
                 harness.route("file", "unsafe", "/file/", priority=1),
             ]
-            place.put_document(routes)
+            env.put_document(routes)
             await asyncio.sleep(0.05)
-            for one in place.servers.values():
+            for one in env.servers.values():
                 one.running = one.slots
             asyncio.get_running_loop().call_later(
-                0.04, lambda: setattr(place.servers["s2"], "running", 0)
+                0.04, lambda: setattr(env.servers["s2"], "running", 0)
             )
             found = await asyncio.gather(
-                place.request("a"), place.request("b", "/file/x", "POST", b"x")
+                env.request("a"), env.request("b", "/file/x", "POST", b"x")
             )
             return [answer.status for answer in found]
 
         self.assertEqual([503, 200], self.play(body))
 
-    def test_slot_that_frees_in_time_is_taken(self):
-        async def body(place):
-            for one in place.servers.values():
+    def test_slot_that_becomes_free_in_time_is_used(self):
+        async def body(env):
+            for one in env.servers.values():
                 one.running = one.slots
             asyncio.get_running_loop().call_later(
-                0.012, lambda: setattr(place.servers["s2"], "running", 0)
+                0.012, lambda: setattr(env.servers["s2"], "running", 0)
             )
-            return (await place.request("a")).status
+            return (await env.request("a")).status
 
         self.assertEqual(200, self.play(body))
 
-    def test_late_second_answer_is_given_to_nobody_else(self):
-        async def body(place):
-            place.fault(twice=True, twice_after=0.0)
-            found = [await place.request(f"a{n}") for n in range(8)]
-            place.fault(twice_after=0.004)
-            found += [await place.request(f"b{n}") for n in range(8)]
+    def test_duplicate_response_is_not_used_for_the_next_request(self):
+        async def body(env):
+            env.fault(twice=True, twice_after=0.0)
+            found = [await env.request(f"a{n}") for n in range(8)]
+            env.fault(twice_after=0.004)
+            found += [await env.request(f"b{n}") for n in range(8)]
             return [answer.body.split()[0] for answer in found]
 
-        wanted = [f"{name}{n}".encode() for name in "ab" for n in range(8)]
-        self.assertEqual(wanted, self.play(body))
+        expected = [f"{name}{n}".encode() for name in "ab" for n in range(8)]
+        self.assertEqual(expected, self.play(body))
 
-    def test_answer_that_ends_with_its_connection_is_whole(self):
-        async def body(place):
-            place.fault(unframed=True)
-            return await place.request("a")
+    def test_response_delimited_by_connection_close_is_complete(self):
+        async def body(env):
+            env.fault(unframed=True)
+            return await env.request("a")
 
         answer = self.play(body)
         self.assertEqual(200, answer.status)
         self.assertTrue(answer.body.startswith(b"a at s"))
 
-    def test_time_limit_of_the_route_is_kept(self):
-        async def body(place):
-            place.fault(mute=True)
-            began = asyncio.get_running_loop().time()
-            answer = await place.request(
+    def test_timeout_of_the_route_is_enforced(self):
+        async def body(env):
+            env.fault(mute=True)
+            started_at = asyncio.get_running_loop().time()
+            answer = await env.request(
                 "a", "/file/x", "POST", b"x", deadline_ms=5000
             )
-            took_s = asyncio.get_running_loop().time() - began
+            took_s = asyncio.get_running_loop().time() - started_at
             await asyncio.sleep(0.1)
-            dropped = sum(one.dropped for one in place.servers.values())
+            dropped = sum(one.dropped for one in env.servers.values())
             return answer, took_s, dropped
 
         answer, took_s, dropped = self.play(body)
@@ -154,13 +154,13 @@
         self.assertLess(abs(took_s - 0.8), 0.05)
         self.assertEqual(1, dropped)
 
-    def test_server_that_falls_silent_is_left_for_reads(self):
-        async def body(place):
-            asyncio.get_running_loop().call_later(0.03, place.fault)
-            caller = await harness.Caller.connect(place)
+    def test_read_is_hedged_when_its_server_stops_responding(self):
+        async def body(env):
+            asyncio.get_running_loop().call_later(0.03, env.fault)
+            caller = await harness.Caller.connect(env)
             caller.send("a")
             await asyncio.sleep(0.03)
-            (busy,) = [s for s in place.servers.values() if s.running]
+            (busy,) = [s for s in env.servers.values() if s.running]
             busy.work_s = 3600
             busy.faults.silent = True
             busy.running = 0
@@ -172,51 +172,57 @@
 
         self.assertEqual(200, self.play(body))
 
-    def test_try_goes_on_when_only_the_question_whether_it_lives_is_lost(self):
+    def test_attempt_continues_when_only_the_probe_is_lost(self):
         # A lost question once ended a try after 0.34 s, at whose server the
         # request was running, and the caller got a failure in its place.
-        async def body(place):
-            for one in place.servers.values():
+        async def body(env):
+            for one in env.servers.values():
                 one.work_s = 0.3
-            caller = await harness.Caller.connect(place)
+            caller = await harness.Caller.connect(env)
             caller.send("a")
             await asyncio.sleep(0.03)
-            place.fault(silent=True)
+            env.fault(silent=True)
             answer = await caller.read()
             caller.close()
             return answer.status
 
         self.assertEqual(200, self.play(body))
 
-    def test_servers_that_tell_no_load_are_not_asked_again(self):
-        async def body(place):
-            for one in place.servers.values():
+    def test_servers_that_report_no_load_are_not_probed_again(self):
+        async def body(env):
+            for one in env.servers.values():
                 one.tells_load = False
-            await place.request("first")
-            asked = sum(one.asked for one in place.servers.values())
-            calls = [place.request(f"a{number}") for number in range(6)]
+            await env.request("first")
+            probes_before = sum(one.asked for one in env.servers.values())
+            calls = [env.request(f"a{number}") for number in range(6)]
             found = await asyncio.gather(*calls)
-            after = sum(one.asked for one in place.servers.values())
-            each = sorted(len(one.seen) for one in place.servers.values())
-            return [answer.status for answer in found], after - asked, each
+            probes_after = sum(one.asked for one in env.servers.values())
+            request_counts = sorted(
+                len(one.seen) for one in env.servers.values()
+            )
+            return (
+                [answer.status for answer in found],
+                probes_after - probes_before,
+                request_counts,
+            )
 
-        statuses, asked, each = self.play(body)
-        self.assertEqual(([200] * 6, 0), (statuses, asked))
-        self.assertIn(each, ([2, 2, 3], [1, 3, 3]))
+        statuses, new_probes, request_counts = self.play(body)
+        self.assertEqual(([200] * 6, 0), (statuses, new_probes))
+        self.assertIn(request_counts, ([2, 2, 3], [1, 3, 3]))
 
-    def test_second_server_is_looked_for_until_there_is_one(self):
+    def test_hedge_is_attempted_until_a_server_is_available(self):
         # One look at the wrong moment once left a read without an answer
         # whose first server had lost it.
-        async def body(place):
-            place.fault(mute=True)
-            caller = await harness.Caller.connect(place)
+        async def body(env):
+            env.fault(mute=True)
+            caller = await harness.Caller.connect(env)
             caller.send("a")
             await asyncio.sleep(0.05)
-            place.fault(mute=False)
-            for one in place.servers.values():
+            env.fault(mute=False)
+            for one in env.servers.values():
                 one.running = one.slots
             await asyncio.sleep(0.25)
-            for one in place.servers.values():
+            for one in env.servers.values():
                 one.running = 0
             answer = await caller.read()
             caller.close()
@@ -224,14 +230,14 @@
 
         self.assertEqual(200, self.play(body))
 
-    def test_lost_answer_of_a_read_is_made_up_by_another_server(self):
-        async def body(place):
-            place.fault(lose=True)
-            caller = await harness.Caller.connect(place)
+    def test_lost_response_to_a_read_is_replaced_by_a_hedge(self):
+        async def body(env):
+            env.fault(lose=True)
+            caller = await harness.Caller.connect(env)
             caller.send("a")
             await asyncio.sleep(0.05)
-            place.fault(lose=False)
-            for one in place.servers.values():
+            env.fault(lose=False)
+            for one in env.servers.values():
                 one.faults.lose = one.ran["a"] > 0
             answer = await caller.read()
             caller.close()
@@ -239,27 +245,27 @@
 
         self.assertEqual(200, self.play(body))
 
-    def test_server_at_work_for_long_is_left_to_it(self):
-        async def body(place):
-            for one in place.servers.values():
+    def test_slow_request_within_its_objective_is_not_hedged(self):
+        async def body(env):
+            for one in env.servers.values():
                 one.work_s = 0.17
-            await place.request("a")
-            return place.ran("a")
+            await env.request("a")
+            return env.ran("a")
 
         self.assertEqual(1, self.play(body))
 
-    def test_servers_that_all_call_themselves_unfit_are_used(self):
-        async def body(place):
-            place.fault(ill=True)
-            return (await place.request("a")).status
+    def test_servers_are_used_if_all_report_unhealthy(self):
+        async def body(env):
+            env.fault(ill=True)
+            return (await env.request("a")).status
 
         self.assertEqual(200, self.play(body))
 
-    def test_server_that_calls_itself_unfit_is_left_to_others(self):
-        async def body(place):
-            place.servers["s0"].faults.ill = True
+    def test_server_that_reports_unhealthy_gets_no_requests(self):
+        async def body(env):
+            env.servers["s0"].faults.ill = True
             for number in range(12):
-                await place.request(f"a{number}")
-            return len(place.servers["s0"].seen)
+                await env.request(f"a{number}")
+            return len(env.servers["s0"].seen)
 
         self.assertEqual(0, self.play(body))
--- a/banyantiller/tests/gateway/test_unknown_routes.py
+++ b/banyantiller/tests/gateway/test_unknown_routes.py
@@ -9,10 +9,10 @@
 FILE = harness.route("file", "unsafe", "/file/")
 NEW = harness.route("new", "safe", "/new/")
 # How late the answers of a store are that is about to be too slow, in seconds.
-LATE_S = 1.9
+STORE_DELAY_S = 1.9
 
 
-class SentAheadOfFirstDocumentTest(harness.TestCase):
+class PipelinedBeforeFirstDocumentTest(harness.TestCase):
     """Requests sent ahead of their answers to a daemon that just started.
 
     All daemons had lost power and came back while callers were waiting. A
@@ -29,56 +29,56 @@
         32.5956 gateway: call ended. version=0 status=404 took_ms=261.2
     """
 
-    def answers(self, *sent):
+    def answers(self, *requests):
         """Returns the answers to requests sent ahead at a start."""
 
-        async def body(place):
-            await place.start_gateway(name="d2")
-            caller = await harness.Caller.connect(place)
-            for number, (path, method) in enumerate(sent):
+        async def body(env):
+            await env.start_gateway(name="d2")
+            caller = await harness.Caller.connect(env)
+            for number, (path, method) in enumerate(requests):
                 caller.send(
                     f"a{number}", path, method, b"x" * (method != "GET")
                 )
-            return [await caller.read() for _ in sent]
+            return [await caller.read() for _ in requests]
 
         return self.play(body)
 
-    def statuses(self, *sent):
+    def statuses(self, *requests):
         """Returns the statuses of these answers."""
-        return [answer.status for answer in self.answers(*sent)]
+        return [answer.status for answer in self.answers(*requests)]
 
-    def test_reads_behind_another_are_served(self):
+    def test_pipelined_reads_are_served(self):
         reads = [("/read/x", "GET")] * 4
         self.assertEqual([200] * 4, self.statuses(*reads))
 
-    def test_request_that_must_not_be_repeated_is_served_behind_a_read(self):
-        sent = [("/read/x", "GET"), ("/file/x", "POST"), ("/read/x", "GET")]
-        self.assertEqual([200] * 3, self.statuses(*sent))
+    def test_pipelined_request_that_is_not_idempotent_is_served(self):
+        requests = [("/read/x", "GET"), ("/file/x", "POST"), ("/read/x", "GET")]
+        self.assertEqual([200] * 3, self.statuses(*requests))
 
-    def test_request_read_in_the_turn_of_the_first_document_is_served(self):
+    def test_request_parsed_as_the_first_document_arrives_is_served(self):
         """None is ahead of it, but it runs after the document came."""
 
-        async def body(place):
-            store = place.gateway.adapter.store
+        async def body(env):
+            store = env.gateway.adapter.store
             documents = await store.list("config")
             listed = await store.list("servers")
-            await place.start_gateway(name="d2")
-            caller = await harness.Caller.connect(place)
+            await env.start_gateway(name="d2")
+            caller = await harness.Caller.connect(env)
             await asyncio.sleep(0)
-            (connection,) = place.gateway.connections
+            (connection,) = env.gateway.connections
             head = f"GET /read/x HTTP/1.1\r\nhost: {harness.HOST}\r\n\r\n"
             connection.data_received(head.encode())
-            place.gateway.store_view._servers_listed(listed.items)
-            place.gateway.store_view._documents_listed(documents.items)
+            env.gateway.store_view._servers_listed(listed.items)
+            env.gateway.store_view._documents_listed(documents.items)
             return (await caller.read()).status
 
         self.assertEqual(200, self.play(body))
 
-    def test_route_that_no_document_has_is_unknown_behind_a_read(self):
-        sent = [("/read/x", "GET"), ("/never/x", "GET")]
-        self.assertEqual([200, 404], self.statuses(*sent))
+    def test_pipelined_request_without_a_route_gets_404(self):
+        requests = [("/read/x", "GET"), ("/never/x", "GET")]
+        self.assertEqual([200, 404], self.statuses(*requests))
 
-    def test_reads_behind_another_are_run_at_once(self):
+    def test_pipelined_reads_run_concurrently(self):
         """They wait for the document together, not for one another."""
         first, second = self.answers(*[("/read/x", "GET")] * 2)
         self.assertEqual([200, 200], [first.status, second.status])
@@ -86,7 +86,7 @@
         self.assertLess(second.took_s, first.took_s / 2)
 
 
-class DocumentBetweenReadingAndRunningTest(harness.TestCase):
+class DocumentChangeWhileWaitingTest(harness.TestCase):
     """A request waits behind another while a newer document comes.
 
     What a call needs of a document was looked up twice: the route when its
@@ -107,32 +107,32 @@
             services: Services of the later document.
         """
 
-        async def body(place):
-            await place.add_server("o1", "other")
-            place.put_document([READ, *earlier])
+        async def body(env):
+            await env.add_server("o1", "other")
+            env.put_document([READ, *earlier])
             await asyncio.sleep(0.1)
-            caller = await harness.Caller.connect(place)
+            caller = await harness.Caller.connect(env)
             caller.send("a")
             caller.send("b", "/file/x", "POST", b"deposit")
             await asyncio.sleep(0.03)
-            place.put_document([READ, *later], services)
+            env.put_document([READ, *later], services)
             return [(await caller.read()).status for _ in range(2)]
 
         return self.play(body)
 
-    def test_route_that_came_meanwhile_is_served(self):
+    def test_route_added_while_waiting_is_served(self):
         self.assertEqual([200, 200], self.statuses([], [FILE]))
 
-    def test_route_that_went_meanwhile_is_unknown(self):
+    def test_route_removed_while_waiting_gets_404(self):
         self.assertEqual([200, 404], self.statuses([FILE], []))
 
-    def test_route_that_moved_meanwhile_is_served_by_its_new_service(self):
+    def test_route_moved_while_waiting_uses_its_new_service(self):
         moved = FILE | {"service": "other"}
         found = self.statuses([moved], [FILE], services=("orders",))
         self.assertEqual([200, 200], found)
 
 
-class OldDocumentTest(harness.TestCase):
+class OutdatedDocumentTest(harness.TestCase):
     """A route that is missing from a document that may be out of date.
 
     While the store gives no answer, operators may add routes that a daemon
@@ -143,79 +143,81 @@
         gateway: call ended. status=404 error=unknown_service version=2
     """
 
-    def after_silence(self, silence_s, path):
+    def request_after_store_outage(self, outage_s, path):
         """Returns an answer after the store was silent for some time."""
 
-        async def body(place):
-            place.store.faults.silent = True
-            await asyncio.sleep(silence_s)
-            return await place.request("a", path)
+        async def body(env):
+            env.store.faults.silent = True
+            await asyncio.sleep(outage_s)
+            return await env.request("a", path)
 
         return self.play(body)
 
-    def test_missing_route_is_no_final_answer(self):
-        answer = self.after_silence(20, "/new/x")
+    def test_missing_route_gets_503_after_a_store_outage(self):
+        answer = self.request_after_store_outage(20, "/new/x")
         self.assertEqual(503, answer.status)
         self.assertEqual("no", answer.headers["request-ran"])
         self.assertGreater(float(answer.headers["retry-after"]), 0)
 
     def test_known_route_is_served(self):
-        self.assertEqual(200, self.after_silence(20, "/read/x").status)
+        self.assertEqual(
+            200, self.request_after_store_outage(20, "/read/x").status
+        )
 
-    def test_missing_route_is_unknown_while_the_store_answers(self):
-        async def body(place):
+    def test_missing_route_gets_404_while_the_store_responds(self):
+        async def body(env):
             # The longest time between two answers of a store where nothing
             # changes lies within these.
-            return await poll_statuses(place, "/new/x", 7)
+            return await poll_statuses(env, "/new/x", 7)
 
         self.assertEqual({404}, self.play(body))
 
-    def test_missing_route_is_unknown_again_once_the_store_answers(self):
-        async def body(place):
-            place.store.faults.silent = True
+    def test_missing_route_gets_404_again_once_the_store_responds(self):
+        async def body(env):
+            env.store.faults.silent = True
             await asyncio.sleep(20)
-            place.store.faults.silent = False
+            env.store.faults.silent = False
             await asyncio.sleep(2)
-            return (await place.request("a", "/new/x")).status
+            return (await env.request("a", "/new/x")).status
 
         self.assertEqual(404, self.play(body))
 
-    def test_missing_route_is_no_final_answer_once_the_store_is_lost(self):
+    def test_missing_route_gets_503_once_the_store_is_lost(self):
         """The store has been lost for up to 3.5 s, and the daemon knows it.
 
         A document with the route was accepted meanwhile. Seen: 404 at each
         question from the loss on until the document was 4 s old.
         """
 
-        async def body(place):
-            place.store.faults.busy = True
+        async def body(env):
+            env.store.faults.busy = True
             # Answers of the store that were under way have come by then.
             await asyncio.sleep(3.1)
-            self.assertIsNotNone(place.gateway.store_view.store_health.lost_at)
-            place.put_document([READ, NEW])
-            return await poll_statuses(place, "/new/x", 4)
+            self.assertIsNotNone(env.gateway.store_view.store_health.lost_at)
+            env.put_document([READ, NEW])
+            return await poll_statuses(env, "/new/x", 4)
 
         self.assertEqual({503}, self.play(body))
 
-    def test_missing_route_is_no_final_answer_by_an_unreadable_document(self):
+    def test_missing_route_gets_503_after_an_unreadable_document(self):
         """The newest document can't be read, and may have the route.
 
         Seen: 404, since the answer of the store that brought it counted as its
         word that the earlier one is the newest.
         """
 
-        async def body(place):
-            place.store.put("config", "main", {"version": 99, "routes": [NEW]})
+        async def body(env):
+            env.store.put("config", "main", {"version": 99, "routes": [NEW]})
             await asyncio.sleep(1)
-            return await poll_statuses(place, "/new/x", 4)
+            return await poll_statuses(env, "/new/x", 4)
 
         self.assertEqual({503}, self.play(body))
 
 
-class OldDocumentOfAnotherDaemonTest(harness.TestCase):
+class OutdatedDocumentOfRelayTest(harness.TestCase):
     """A daemon that learns of documents from others, which may be behind."""
 
-    def play_with_tellers(self, count, body):
+    def play_with_relays(self, count, body):
         """Plays with a daemon that asks others.
 
         Args:
@@ -223,25 +225,25 @@
             body: Takes the world and these daemons' gateways.
         """
 
-        async def whole(place):
-            tellers = [place.gateway]
-            seeds = [f"{harness.ADDRESS}:{place.control.port}"]
+        async def whole(env):
+            relays = [env.gateway]
+            seeds = [f"{harness.ADDRESS}:{env.control.port}"]
             for number in range(1, count):
-                await place.start_gateway(name=f"t{number}")
-                tellers.append(place.gateway)
-                seeds.append(f"{harness.ADDRESS}:{place.control.port}")
-            await place.start_gateway(seeds=tuple(seeds), name="asker")
+                await env.start_gateway(name=f"t{number}")
+                relays.append(env.gateway)
+                seeds.append(f"{harness.ADDRESS}:{env.control.port}")
+            await env.start_gateway(seeds=tuple(seeds), name="asker")
             await asyncio.sleep(6)
             try:
-                return await body(place, tellers)
+                return await body(env, relays)
             finally:
-                for teller in tellers:
-                    teller.listener.close()
-                    await teller.close()
+                for relay in relays:
+                    relay.listener.close()
+                    await relay.close()
 
         return self.play(whole)
 
-    def test_answers_about_servers_say_nothing_of_the_document(self):
+    def test_server_list_responses_do_not_confirm_the_document(self):
         """A daemon that is asked hears of servers, and not of documents.
 
         What it told of documents bore the age of its last answer about
@@ -250,8 +252,8 @@
         in force for as long as it lasted.
         """
 
-        async def body(place, tellers):
-            store = tellers[0].store_view.reader.store
+        async def body(env, relays):
+            store = relays[0].store_view.reader.store
             changes = store.changes
 
             async def no_documents(kind, version, wait_s):
@@ -262,14 +264,14 @@
 
             store.changes = no_documents
             await asyncio.sleep(5)
-            place.put_document([READ, NEW])
+            env.put_document([READ, NEW])
             # In force within 2 s where the store answers.
             await asyncio.sleep(2)
-            return await poll_statuses(place, "/new/x", 10)
+            return await poll_statuses(env, "/new/x", 10)
 
-        self.assertEqual({200}, self.play_with_tellers(1, body))
+        self.assertEqual({200}, self.play_with_relays(1, body))
 
-    def test_missing_route_is_unknown_though_the_others_are_late(self):
+    def test_missing_route_gets_404_though_all_relays_are_late(self):
         """All that are asked hear the store late, as when it is slow.
 
         Each of them is asked in vain before the store is read, so that the
@@ -277,31 +279,31 @@
         of 400 questions for a route that does not exist.
         """
 
-        async def body(place, tellers):
-            for teller in tellers:
-                slow_down(teller.store_view.reader.store)
+        async def body(env, relays):
+            for relay in relays:
+                delay_store_changes(relay.store_view.reader.store)
             await asyncio.sleep(10)
-            return await poll_statuses(place, "/never/x", 40)
+            return await poll_statuses(env, "/never/x", 40)
 
-        self.assertEqual({404}, self.play_with_tellers(3, body))
+        self.assertEqual({404}, self.play_with_relays(3, body))
 
 
-def slow_down(store):
+def delay_store_changes(store):
     """Lets a daemon hear the answers of the store late."""
     changes = store.changes
 
-    async def late(kind, version, wait_s):
+    async def delayed_changes(kind, version, wait_s):
         found = await changes(kind, version, wait_s)
-        await asyncio.sleep(LATE_S)
+        await asyncio.sleep(STORE_DELAY_S)
         return found
 
-    store.changes = late
+    store.changes = delayed_changes
 
 
-async def poll_statuses(place, path, seconds):
+async def poll_statuses(env, path, seconds):
     """Returns the statuses of the answers to a request each 0.1 s."""
     found = set()
     for _ in range(10 * seconds):
         await asyncio.sleep(0.1)
-        found.add((await place.request("a", path)).status)
+        found.add((await env.request("a", path)).status)
     return found
--- a/bench/findings.py
+++ b/bench/findings.py
@@ -42,7 +42,7 @@
         "quiet-1",
         "run",
         "CONFIG: parts of a split route off their weights",
-        "test_few_requests_at_each_of_many_daemons_keep_the_weights",
+        "test_few_requests_per_daemon_follow_the_weights",
     ),
     Finding(
         "kowhai-gateway",
@@ -56,7 +56,7 @@
         "hunt-4216-7",
         "replay",
         "LOST: a try was ended when a sign of life was lost",
-        "test_try_goes_on_when_only_the_question_whether_it_lives_is_lost",
+        "test_attempt_continues_when_only_the_probe_is_lost",
     ),
     Finding(
         "gardiens-dakar",
@@ -70,7 +70,7 @@
         "inc-337f",
         "replay",
         "reads late whose answers were lost; open",
-        "test_lost_answer_of_a_read_is_made_up_by_another_server",
+        "test_lost_response_to_a_read_is_replaced_by_a_hedge",
     ),
 )
 
