--- a/banyantiller/tests/gateway/harness.py
+++ b/banyantiller/tests/gateway/harness.py
@@ -1,4 +1,4 @@
-"""A gateway, a store and servers in one process, on the paused clock."""
+"""Runs a gateway, a store and servers in one process, on a paused clock."""
 
 import asyncio
 import random
@@ -17,12 +17,12 @@
 ADDRESS = "127.0.0.1"
 HOST = "desk.example"
 SERVICE = "orders"
-# Longer than any play.
+# Longer than any test scenario.
 NEVER_S = 3600.0
 
 
 class Response(NamedTuple):
-    """What a caller got."""
+    """A reply as a caller received it."""
 
     status: int
     headers: dict[str, str]
@@ -39,12 +39,12 @@
         self.codec = None
 
     @classmethod
-    async def connect(cls, world):
+    async def connect(cls, env):
         """Connects to the gateway."""
-        return cls(*await asyncio.open_connection(ADDRESS, world.port))
+        return cls(*await asyncio.open_connection(ADDRESS, env.port))
 
     def send(self, request_id, path="/read/x", method="GET", body=b"", **more):
-        """Sends a request; several may be sent ahead."""
+        """Sends a request; requests may be pipelined."""
         lines = [
             f"{method} {path} HTTP/1.1",
             f"host: {HOST}",
@@ -58,7 +58,7 @@
         self.writer.write(head.encode() + body)
 
     async def read(self):
-        """Reads the next answer; None if the connection ends before it."""
+        """Reads the next reply; None if the connection is closed before it."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         codec = h11.Connection(h11.CLIENT)
@@ -93,7 +93,7 @@
                 return Response(head.status_code, headers, body, took_s)
 
     def close(self):
-        """Leaves."""
+        """Aborts the connection."""
         self.writer.transport.abort()
 
 
@@ -104,9 +104,9 @@
         store: Stand-in of the store.
         servers: Stand-ins of servers by instance.
         gateway: The gateway.
-        port: Where it listens for callers.
-        unresponsive: Machines of other daemons that are not there yet and
-            answer nothing, by the port at which the daemon will be asked.
+        port: Port on which it listens for callers.
+        unresponsive: Servers that accept requests of peers but do not respond,
+            by the control port of the daemon that takes their place.
     """
 
     def __init__(self, seed=1):
@@ -119,7 +119,7 @@
         self.unresponsive = {}
 
     async def __aenter__(self):
-        """Starts everything, with a first document and three servers."""
+        """Starts the store, three servers and the gateway."""
         self.http = server.HttpServer(self.store.handle)
         self.bound = await self.http.start(ADDRESS, 0)
         self.put_document()
@@ -130,7 +130,7 @@
         return self
 
     async def __aexit__(self, *exc):
-        """Ends everything."""
+        """Stops everything."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -145,7 +145,7 @@
         await self.http.close()
 
     async def start_gateway(self, seeds=(), name="d1", control_port=0, **more):
-        """Starts the gateway and what follows the store."""
+        """Starts a gateway with its store watchers and periodic tasks."""
         settings = options.Settings(
             daemon=name,
             zone="zone-a",
@@ -175,9 +175,10 @@
         self.controls.append(control)
 
     async def make_unresponsive(self, control_port):
-        """Lets questions to a daemon go unanswered until it starts.
+        """Leaves queries to a daemon without a response until it starts.
 
-        As with a machine without power, those from before stay unanswered.
+        Queries sent before the start never get one, as with a machine that has
+        no power.
         """
         machine = server.HttpServer(_answer_nothing)
         await machine.start(ADDRESS, control_port)
@@ -191,7 +192,7 @@
         cold_per_s=None,
         **limits,
     ):
-        """Puts a new version in force."""
+        """Writes a new version of the document to the store."""
         cold = {} if cold_per_s is None else {"warmupPerS": cold_per_s}
         self.version += 2
         routes = routes or [
@@ -248,7 +249,7 @@
         )
 
     async def request(self, request_id, *arguments, **more):
-        """Sends one request on a connection of its own."""
+        """Sends a request on a new connection and returns the reply."""
         caller = await Caller.connect(self)
         caller.send(request_id, *arguments, **more)
         answer = await caller.read()
@@ -267,10 +268,10 @@
 
 
 class TestCase(base.TestCase):
-    """Plays calls on the paused clock."""
+    """Runs scenarios on the paused clock."""
 
     def play(self, body, **more):
-        """Runs `body(world)` in a world of its own."""
+        """Runs `body(env)` with a new `GatewayHarness`."""
 
         async def whole():
             async with GatewayHarness(**more) as env:
@@ -284,7 +285,7 @@
 
 
 def route(name, kind, prefix, service=SERVICE, **more):
-    """Returns a route as the store holds it."""
+    """Returns a route in the format of the store."""
     return {
         "name": name,
         "hostname": HOST,
--- a/banyantiller/tests/gateway/test_caller_limits.py
+++ b/banyantiller/tests/gateway/test_caller_limits.py
@@ -1,4 +1,4 @@
-"""Tests of refusals by size that rest on limits nobody has told yet."""
+"""Tests of size limits that are defaults, changed or out of date."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 async def send_large_head(caller, request_id):
-    """Sends a head in two parts, the first one over the usual limit."""
+    """Sends a head in two chunks; the first exceeds the default limit."""
     head = (
         f"GET /read/x HTTP/1.1\r\nhost: {harness.HOST}\r\n"
         f"attempt-id: {request_id}\r\ndeadline-ms: 1000\r\n"
@@ -24,12 +24,11 @@
 
 class LimitsTest(harness.TestCase):
     def test_large_head_before_the_first_document_can_be_retried(self):
-        """A daemon that just started refuses a head by a limit of its own.
+        """A daemon without a document rejects a head by its default limit.
 
-        It knows no document, so the limit that it applies is its default, and
-        the operators may allow more. A caller never repeats a request that got
-        431. Seen: `gateway: request rejected. kind=head_too_large` for a head
-        of 24,000 bytes where 65,536 are allowed.
+        The document may allow more, and callers never repeat a request that got
+        431. Failure: `gateway: request rejected. kind=head_too_large` for a
+        head of 24,000 bytes where 65,536 are allowed.
         """
 
         async def body(env):
@@ -44,12 +43,12 @@
         self.assertEqual((503, "no"), self.play(body))
 
     def test_large_body_before_the_first_document_can_be_retried(self):
-        """A daemon that just started refuses a body by a limit of its own.
+        """A daemon without a document rejects a body by its default limit.
 
-        The same as for a head: 413 is final, and the limit was a default. A
-        smaller default stands for the real one of 64 MB here. Seen: `gateway:
-        request rejected. kind=body_too_large` for a body of 150,000 bytes where
-        200,000 are allowed and 100,000 are the default.
+        Callers never repeat a request that got 413. The test uses a smaller
+        default than the real one of 64 MB. Failure: `gateway: request rejected.
+        kind=body_too_large` for a body of 150,000 bytes where 200,000 are
+        allowed and 100,000 are the default.
         """
 
         async def body(env):
@@ -64,13 +63,12 @@
         self.assertEqual((503, "no"), self.play(body))
 
     def test_raised_limit_applies_to_open_connections(self):
-        """A head that the document in force allows is refused.
+        """A head that the document in force allows is rejected.
 
-        The largest head was fixed for a connection's next request when the one
-        before it was read, or when the connection was opened, so a connection
-        that rested while operators raised the limit kept the earlier one. Seen:
-        `gateway: request rejected. kind=head_too_large` for a head of 24,000
-        bytes, a second after 65,536 came into force.
+        If the limit is fixed when a connection is opened or its previous
+        request was read, an idle connection keeps the old limit after it is
+        raised. Failure: `gateway: request rejected. kind=head_too_large` for a
+        head of 24,000 bytes, 1 s after 65,536 came into force.
         """
 
         async def body(env):
@@ -91,8 +89,9 @@
     def test_lowered_limit_applies_to_open_connections(self):
         """A head that the document in force does not allow is served.
 
-        The other side of the same cause. Seen: status 200 for a head of 24,000
-        bytes, a second after the limit was lowered from 65,536 to 16,384.
+        The cause is the same as for a raised limit. Failure: status 200 for a
+        head of 24,000 bytes, 1 s after the limit was lowered from 65,536 to
+        16,384.
         """
 
         async def body(env):
@@ -107,10 +106,10 @@
         self.assertEqual(431, self.play(body))
 
     def test_size_over_an_outdated_limit_can_be_retried(self):
-        """Limits that may be out of date refuse a request for good.
+        """A limit that may be out of date leads to a final rejection.
 
-        The store gave no answer for 13 s, in which operators raised the limit
-        from 100,000 to 200,000 bytes. Seen: `gateway: request rejected.
+        The store does not respond for 13 s, during which the limit is raised
+        from 100,000 to 200,000 bytes. Failure: `gateway: request rejected.
         kind=body_too_large` and 413 for a body of 150,000 bytes; the same with
         431 for a head.
         """
--- a/banyantiller/tests/gateway/test_callers.py
+++ b/banyantiller/tests/gateway/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of callers: sending ahead, bodies, limits and leaving."""
+"""Tests of caller connections: pipelining, bodies, limits, disconnects."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
         self.assertLess(sum(answer.took_s for answer in answers), 0.12)
 
     def test_incomplete_head_is_not_parsed_repeatedly(self):
-        """Looking at it again and again would take the whole processor."""
+        """Parsing it in a loop would use a whole processor core."""
         parse_calls = []
         resume_parsing = caller_module.CallerConnection._resume_parsing
 
--- a/banyantiller/tests/gateway/test_draining.py
+++ b/banyantiller/tests/gateway/test_draining.py
@@ -1,4 +1,4 @@
-"""Tests of a graceful end: nothing in flight is cut."""
+"""Tests of draining: no call in flight is cut."""
 
 import asyncio
 
@@ -18,8 +18,8 @@
             await caller.read()
             drain_task = asyncio.ensure_future(env.gateway.drain(DRAIN_S))
             await asyncio.sleep(0.1)
-            # The last connection closes, and a new one comes at the end of
-            # the time in which new ones are taken.
+            # The last connection closes, and a new one is opened just before
+            # the gateway stops listening.
             caller.close()
             await asyncio.sleep(gateways.DRAIN_LISTEN_S - 0.2)
             answer = asyncio.ensure_future(env.request("late"))
--- a/banyantiller/tests/gateway/test_early_listening.py
+++ b/banyantiller/tests/gateway/test_early_listening.py
@@ -1,4 +1,4 @@
-"""Tests of listening before the program is loaded."""
+"""Tests of early listening, before the program is loaded."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 @contextlib.contextmanager
 def bound(listening):
-    """Yields the address of a socket that listens, or only holds its port."""
+    """Yields the address of a bound socket, which may listen."""
     with socket.socket() as sock:
         sock.bind((ADDRESS, 0))
         if listening:
@@ -23,13 +23,13 @@
 
 
 def free_address():
-    """Returns an address that nobody uses."""
+    """Returns an unused address."""
     with bound(False) as address:
         return address
 
 
 def listen(local_address, peers):
-    """Listens early, if at all."""
+    """Calls `early_listening.listen` with both variables."""
     return early_listening.listen(
         {
             early_listening.LISTEN_VARIABLE: local_address,
--- a/banyantiller/tests/gateway/test_fleet_start.py
+++ b/banyantiller/tests/gateway/test_fleet_start.py
@@ -1,4 +1,4 @@
-"""Tests of the store's calls after all daemons of a fleet start at once."""
+"""Tests of the load on the store when all daemons start at once."""
 
 import asyncio
 from typing import NamedTuple
@@ -8,19 +8,18 @@
 
 PORTS = (7001, 7002, 7003)
 SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
-# Daemons besides those that are asked, in a small and in a larger fleet.
+# Daemons besides the relays, in a small and in a larger fleet.
 SMALL_FLEET = 4
 LARGE_FLEET = 12
-# Enough that no caller is turned away.
+# Enough that no call is rejected.
 SERVER_SLOTS = 100
-# A daemon that was asked in vain is not asked for 2 s; twice that, and the time
-# until those that are asked listen, cover all calls that a start leads to.
+# A relay that failed to respond is not queried for 2 s. Twice that, and the
+# time until the relays listen, cover all store calls that a start causes.
 RUN_S = 8.0
-# A caller that waits needs the document, the list of servers and that of the
-# evacuated zones. While nobody can tell them, each daemon with such a caller
-# reads all three once. A watch serves
-# no caller that waits: what was listed is in force, and those that are asked
-# tell the changes once they listen.
+# A waiting caller needs the document, the list of servers and the list of
+# evacuated zones. While no relay can send them, each daemon with a waiting
+# caller lists all three once. A watch helps no waiting caller: the lists are in
+# force, and the relays send the changes once they listen.
 CALLS_FOR_WAITING_CALLERS = 3
 
 
@@ -28,8 +27,9 @@
     """How a fleet starts.
 
     Attributes:
-        late_s: How much later those start that are asked, in seconds.
-        silent: Whether they answer nothing before, in place of refusing.
+        relay_delay_s: How much later the relays start, in seconds.
+        unresponsive: Whether relays that have not started accept queries
+            without a response, in place of refusing connections.
         callers: Whether a caller waits at each daemon.
     """
 
@@ -39,12 +39,12 @@
 
 
 class StartOutcome(NamedTuple):
-    """What a start led to.
+    """Calls and statuses that a start led to.
 
     Attributes:
         calls: Calls to the store by all daemons.
-        watches: Calls for changes by daemons that nobody asks.
-        statuses: Statuses that callers got.
+        watches: Watch calls to the store by daemons that are no relays.
+        statuses: Statuses that callers received.
     """
 
     calls: int
@@ -53,14 +53,14 @@
 
 
 class Fleet:
-    """A fleet that starts at once.
+    """A fleet whose daemons start at the same time.
 
     Attributes:
-        place: The world that it is in.
-        start: How it starts.
-        others: Daemons that nobody asks.
-        asked: Daemons that all others ask.
-        callers: Callers' requests that are under way.
+        env: Harness with the store and the servers.
+        start: How the fleet starts.
+        non_relays: Daemons that are no relays.
+        relays: Daemons through which all others read.
+        callers: Running requests of callers.
     """
 
     def __init__(self, env, start):
@@ -71,7 +71,7 @@
         self.callers = []
 
     async def play(self, size):
-        """Starts `size` daemons and those that they ask."""
+        """Starts `size` daemons and their relays."""
         await self._prepare()
         for number in range(size):
             await self._add(self.non_relays, f"other{number}")
@@ -103,7 +103,7 @@
                 await self.env.make_unresponsive(port)
 
     async def _add(self, daemons, name, port=0):
-        # Each asks the others in an order of its own.
+        # With a seed of its own, each daemon has its own order of relays.
         self.env.seed += 1
         await self.env.start_gateway(
             SEEDS, name, port, apply_s=3.0, leave_s=3.0
@@ -120,14 +120,14 @@
 
 
 class FleetStartTest(base.TestCase):
-    """Calls must not grow with a fleet by more than waiting callers need.
+    """Calls to the store grow with the fleet only by what callers need.
 
-    A whole day's calls are to be some hundreds for a fleet of hundreds, so
-    those of a start must stay below a few for each daemon.
+    A fleet of hundreds of daemons should make some hundreds of calls in a whole
+    day, so a start may cause only a few calls per daemon.
     """
 
     def play(self, size, start):
-        """Plays the start of a fleet and returns its outcome."""
+        """Runs the start of a fleet and returns its outcome."""
 
         async def whole():
             async with harness.GatewayHarness() as env:
@@ -142,7 +142,7 @@
         return self.run_paused(whole())
 
     def check(self, start, calls_needed):
-        """Checks that calls grow by those needed for each daemon at most."""
+        """Checks that calls grow by `calls_needed` per daemon at most."""
         small = self.play(SMALL_FLEET, start)
         large = self.play(LARGE_FLEET, start)
         growth = large.calls - small.calls
@@ -177,5 +177,5 @@
         self.check_with_callers(FleetStart(1.0, unresponsive=True))
 
     def test_relays_that_start_two_seconds_late(self):
-        """What was listed is still young enough to rely on others."""
+        """The lists are still fresh enough to rely on the relays."""
         self.check_with_callers(FleetStart(2.0))
--- a/banyantiller/tests/gateway/test_log_and_metrics.py
+++ b/banyantiller/tests/gateway/test_log_and_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of what the gateway logs and counts."""
+"""Tests of the log lines and metrics of the gateway."""
 
 import asyncio
 import re
@@ -12,7 +12,7 @@
 
 class LogAndMetricsTest(base.TestCase):
     def play(self, body):
-        """Runs `body(world)` and returns its result and the log lines."""
+        """Runs `body(env)` and returns its result and the log lines."""
 
         async def whole():
             async with harness.GatewayHarness() as env:
--- a/banyantiller/tests/gateway/test_program.py
+++ b/banyantiller/tests/gateway/test_program.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway as a process of its own."""
+"""Tests of the gateway as a separate process."""
 
 import asyncio
 import pathlib
@@ -12,7 +12,7 @@
 from soak import world as worlds
 
 SIZES = plan.Sizes(daemons=1, servers=1, callers=0)
-# Longest wait for an answer, on a busy machine.
+# Maximum wait for a response, on a busy machine.
 MAX_WAIT_S = 30.0
 CHECK_TLS_IMPORTS = """
 import sys
--- a/banyantiller/tests/gateway/test_routes.py
+++ b/banyantiller/tests/gateway/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of routes and of the shares of a split route."""
+"""Tests of route lookup and of the weights of split routes."""
 
 import collections
 import random
@@ -32,8 +32,8 @@
         self.assertIsNone(found.find("x.example", "/b?/a/"))
 
     def test_few_requests_per_daemon_follow_the_weights(self):
-        # Weights are large numbers: a first count in proportion to them once
-        # gave one part 0.71 of 291 requests in place of 0.50.
+        # Guards against counters that start in proportion to the weights, which
+        # may be large: one service got 0.71 of 291 requests in place of 0.50.
         for shares in ((50.0, 50.0), (90.0, 10.0), (1.0, 3.0)):
             counts = collections.Counter()
             parts = (("one", shares[0]), ("two", shares[1]))
@@ -45,8 +45,8 @@
             self.assertLess(abs(counts["one"] / 280 - expected), 0.05, shares)
 
     def test_first_requests_of_many_daemons_follow_the_weights(self):
-        # With 475 requests at 312 daemons 0.59 went to a part of weight 0.95:
-        # the first request of each daemon was divided evenly.
+        # Guards against an even division of the first request of each daemon:
+        # of 475 requests at 312 daemons, 0.59 went to a service of weight 0.95.
         split = route(parts=(("one", 95.0), ("two", 5.0)))
         for requests_per_daemon in (1, 2, 3):
             counts = collections.Counter()
--- a/banyantiller/tests/gateway/test_serving.py
+++ b/banyantiller/tests/gateway/test_serving.py
@@ -1,4 +1,4 @@
-"""Tests of whole calls: tries, servers and what callers are told."""
+"""Tests of calls from the request to the reply, with faulty servers."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
         self.assertIn(head["target-instance"], ("s0", "s1", "s2"))
 
     def test_503_without_not_run_header_is_reported_as_unknown(self):
-        """A 503 of a server may come after it ran; told on, it promises."""
+        """A forwarded 503 would imply that the request was not executed."""
 
         async def body(env):
             env.fault(silent_503=True)
@@ -173,8 +173,8 @@
         self.assertEqual(200, self.play(body))
 
     def test_attempt_continues_when_only_the_probe_is_lost(self):
-        # A lost question once ended a try after 0.34 s, at whose server the
-        # request was running, and the caller got a failure in its place.
+        # Guards against a lost probe that ends an attempt while its server
+        # executes the request: the caller got an error after 0.34 s.
         async def body(env):
             for one in env.servers.values():
                 one.work_s = 0.3
@@ -211,8 +211,8 @@
         self.assertIn(request_counts, ([2, 2, 3], [1, 3, 3]))
 
     def test_hedge_is_attempted_until_a_server_is_available(self):
-        # One look at the wrong moment once left a read without an answer
-        # whose first server had lost it.
+        # Guards against a single search for a second server. If none is free
+        # at that moment, a read whose response was lost is never answered.
         async def body(env):
             env.fault(mute=True)
             caller = await harness.Caller.connect(env)
--- a/banyantiller/tests/gateway/test_unknown_routes.py
+++ b/banyantiller/tests/gateway/test_unknown_routes.py
@@ -1,4 +1,4 @@
-"""Tests of when callers are told that there is no route for a request."""
+"""Tests of when a request without a route is rejected with 404."""
 
 import asyncio
 
@@ -8,21 +8,19 @@
 READ = harness.route("read", "safe", "/read/")
 FILE = harness.route("file", "unsafe", "/file/")
 NEW = harness.route("new", "safe", "/new/")
-# How late the answers of a store are that is about to be too slow, in seconds.
+# Delay of the responses of a store that is almost too slow, in seconds.
 STORE_DELAY_S = 1.9
 
 
 class PipelinedBeforeFirstDocumentTest(harness.TestCase):
-    """Requests sent ahead of their answers to a daemon that just started.
+    """Pipelined requests to a daemon that just started.
 
-    All daemons had lost power and came back while callers were waiting. A
-    caller that sends several requests on one connection got an answer to the
-    first and 404 for the others, up to a second later, although each document
-    had their route. A call looked up its route when its request was read,
-    before the first document was known. Only the first request of a connection
-    then waits for the document and looks again. Those behind it wait for their
-    turn, and by then the document is known, so they kept what had been found
-    without one. Lines of such a start; the version of no document is 0:
+    Guards against 404 for pipelined requests whose route every document has. If
+    a call looks up its route only when its request is read, before the first
+    document is known, then only the first request of a connection waits for the
+    document and repeats the lookup. Those behind it run when the document is
+    known already, and keep the result of the lookup without one. Version 0
+    stands for no document:
 
         32.4070 gateway: document in force. version=19 before=0
         32.5955 gateway: call ended. version=19 status=200 took_ms=281.2
@@ -30,7 +28,7 @@
     """
 
     def answers(self, *requests):
-        """Returns the answers to requests sent ahead at a start."""
+        """Returns the replies to pipelined requests to a starting daemon."""
 
         async def body(env):
             await env.start_gateway(name="d2")
@@ -44,7 +42,7 @@
         return self.play(body)
 
     def statuses(self, *requests):
-        """Returns the statuses of these answers."""
+        """Returns the statuses of these replies."""
         return [answer.status for answer in self.answers(*requests)]
 
     def test_pipelined_reads_are_served(self):
@@ -56,7 +54,7 @@
         self.assertEqual([200] * 3, self.statuses(*requests))
 
     def test_request_parsed_as_the_first_document_arrives_is_served(self):
-        """None is ahead of it, but it runs after the document came."""
+        """It is the first of its connection, but runs after the document."""
 
         async def body(env):
             store = env.gateway.adapter.store
@@ -79,21 +77,20 @@
         self.assertEqual([200, 404], self.statuses(*requests))
 
     def test_pipelined_reads_run_concurrently(self):
-        """They wait for the document together, not for one another."""
+        """They wait for the document, but not for each other."""
         first, second = self.answers(*[("/read/x", "GET")] * 2)
         self.assertEqual([200, 200], [first.status, second.status])
-        # In its turn it would take as long again as the first one.
+        # One after the other, it would take as long as the first one.
         self.assertLess(second.took_s, first.took_s / 2)
 
 
 class DocumentChangeWhileWaitingTest(harness.TestCase):
-    """A request waits behind another while a newer document comes.
+    """A newer document comes into force while a request waits for another.
 
-    What a call needs of a document was looked up twice: the route when its
-    request was read, the services when it ran, up to the objective of another
-    request later. With a document in between that has a route that the earlier
-    one had not, the caller got 404 for a route in force; with one that has no
-    longer the service of the earlier route, it got 500:
+    Guards against a call that uses two documents: the one for the route when
+    its request is read, and the one for the services when it runs, up to the
+    objective of another request later. The caller gets 404 if only the newer
+    document has the route, and 500 if it lacks the service of the old route:
 
         gateway: a call failed. KeyError: 'other'
     """
@@ -102,8 +99,8 @@
         """Returns the statuses of a read and a request sent behind it.
 
         Args:
-            earlier: Route of the second one when it is read.
-            later: Its route from 0.03 s later on, before it runs.
+            earlier: Routes for the second request when it is read.
+            later: Routes for it 0.03 s later, before it runs.
             services: Services of the later document.
         """
 
@@ -133,18 +130,18 @@
 
 
 class OutdatedDocumentTest(harness.TestCase):
-    """A route that is missing from a document that may be out of date.
+    """A route is missing from a document that may be out of date.
 
-    While the store gives no answer, operators may add routes that a daemon
-    can't know. It went on telling 404, which callers take as final, 20 s after
-    it had last heard of the store:
+    While the store does not respond, operators may add routes that a daemon
+    can't know. Guards against 404, which is final for callers, 20 s after the
+    last response of the store:
 
         gateway: store is lost. kind=config reason=no whole answer within 3.8 s
         gateway: call ended. status=404 error=unknown_service version=2
     """
 
     def request_after_store_outage(self, outage_s, path):
-        """Returns an answer after the store was silent for some time."""
+        """Returns a reply after the store was unresponsive for some time."""
 
         async def body(env):
             env.store.faults.silent = True
@@ -166,8 +163,8 @@
 
     def test_missing_route_gets_404_while_the_store_responds(self):
         async def body(env):
-            # The longest time between two answers of a store where nothing
-            # changes lies within these.
+            # Covers the longest time between two responses of a store in which
+            # nothing changes.
             return await poll_statuses(env, "/new/x", 7)
 
         self.assertEqual({404}, self.play(body))
@@ -183,15 +180,15 @@
         self.assertEqual(404, self.play(body))
 
     def test_missing_route_gets_503_once_the_store_is_lost(self):
-        """The store has been lost for up to 3.5 s, and the daemon knows it.
+        """The daemon knows that the store was lost up to 3.5 s ago.
 
-        A document with the route was accepted meanwhile. Seen: 404 at each
-        question from the loss on until the document was 4 s old.
+        A document with the route was accepted since. Failure: 404 for each
+        request from the loss until the daemon's document is 4 s old.
         """
 
         async def body(env):
             env.store.faults.busy = True
-            # Answers of the store that were under way have come by then.
+            # Responses of the store in flight have arrived by then.
             await asyncio.sleep(3.1)
             self.assertIsNotNone(env.gateway.store_view.store_health.lost_at)
             env.put_document([READ, NEW])
@@ -200,10 +197,10 @@
         self.assertEqual({503}, self.play(body))
 
     def test_missing_route_gets_503_after_an_unreadable_document(self):
-        """The newest document can't be read, and may have the route.
+        """The newest document is unreadable and may have the route.
 
-        Seen: 404, since the answer of the store that brought it counted as its
-        word that the earlier one is the newest.
+        Failure: 404, if the store's response with that document counts as a
+        confirmation that the earlier one is the newest.
         """
 
         async def body(env):
@@ -215,14 +212,14 @@
 
 
 class OutdatedDocumentOfRelayTest(harness.TestCase):
-    """A daemon that learns of documents from others, which may be behind."""
+    """A daemon reads documents through relays, which may be out of date."""
 
     def play_with_relays(self, count, body):
-        """Plays with a daemon that asks others.
+        """Runs `body` with a daemon that reads through relays.
 
         Args:
-            count: Daemons that are asked.
-            body: Takes the world and these daemons' gateways.
+            count: Number of relays.
+            body: Takes the harness and the gateways of the relays.
         """
 
         async def whole(env):
@@ -244,12 +241,12 @@
         return self.play(whole)
 
     def test_server_list_responses_do_not_confirm_the_document(self):
-        """A daemon that is asked hears of servers, and not of documents.
+        """A relay gets responses of the store for servers, not for documents.
 
-        What it told of documents bore the age of its last answer about
-        servers. Those that ask took 0.9 s for the age of a document that was
-        16 s old, did not read the store themselves, and told 404 for a route
-        in force for as long as it lasted.
+        Guards against a relay that reports documents with the age of its last
+        response about servers. Its subscribers took a document that was 16 s
+        old for 0.9 s old, did not read the store themselves, and replied 404
+        for a route in force as long as this lasted.
         """
 
         async def body(env, relays):
@@ -272,11 +269,11 @@
         self.assertEqual({200}, self.play_with_relays(1, body))
 
     def test_missing_route_gets_404_though_all_relays_are_late(self):
-        """All that are asked hear the store late, as when it is slow.
+        """All relays get the store's responses late, as from a slow store.
 
-        Each of them is asked in vain before the store is read, so that the
-        document is up to 5 s old where nothing is wrong. Seen: 503 for 55
-        of 400 questions for a route that does not exist.
+        Each relay is queried without success before the store is read, so the
+        document is up to 5 s old although nothing has failed. Failure: 503 for
+        55 of 400 requests for a route that does not exist.
         """
 
         async def body(env, relays):
@@ -289,7 +286,7 @@
 
 
 def delay_store_changes(store):
-    """Lets a daemon hear the answers of the store late."""
+    """Delays the store's responses to a daemon."""
     changes = store.changes
 
     async def delayed_changes(kind, version, wait_s):
@@ -301,7 +298,7 @@
 
 
 async def poll_statuses(env, path, seconds):
-    """Returns the statuses of the answers to a request each 0.1 s."""
+    """Returns the statuses of the replies to a request every 0.1 s."""
     found = set()
     for _ in range(10 * seconds):
         await asyncio.sleep(0.1)
