--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -35,7 +35,7 @@
         request: The request.
         route: Its route, or None.
         service: Name of the service that it is routed to.
-        table: Route table that applies, or None before the first document.
+        route_table: Routes that apply, or None before the first document.
         urgent: Whether its route is among the most urgent of the service.
         deadline: Loop time at which it fails for lack of a response.
         progress: State that is logged when the call ends.
@@ -65,7 +65,7 @@
         self.server_suspected = False
         self.failed_response: exchange.CompleteResponse | None = None
         self.outgoing = request.outgoing(gateway.adapter.wire)
-        self.table: routes.RouteTable | None = None
+        self.route_table: routes.RouteTable | None = None
         self.version = 0
         self.route: types.Route | None = None
         self.urgent = False
@@ -79,13 +79,13 @@
         daemon that is starting would get 404 for routes in force.
         """
         request = self.request
-        self.table = self.gateway.store_view.routes
-        if self.table is None:
+        self.route_table = self.gateway.store_view.routes
+        if self.route_table is None:
             return
-        self.version = self.table.document.version
-        self.route = self.table.find(request.host, request.target)
+        self.version = self.route_table.document.version
+        self.route = self.route_table.find(request.host, request.target)
         if self.route is not None:
-            self.urgent = self.route.name in self.table.urgent
+            self.urgent = self.route.name in self.route_table.urgent
             timeout_s = self.route.timeout_s
             if request.remaining_s is not None:
                 timeout_s = min(timeout_s, request.remaining_s)
@@ -120,19 +120,21 @@
                 ErrorKind.UNKNOWN_SERVICE
             )
             return self._fail(failure.kind, failure.retry_after)
-        self.service = self.table.choose_service(self.route)
+        self.service = self.route_table.choose_service(self.route)
         self.gateway.budget_of(self.service).record_request(self.loop.time())
         try:
             async with asyncio.timeout_at(self.deadline):
-                return await self._run_attempts(self.table)
+                return await self._run_attempts(self.route_table)
         except TimeoutError:
             if self.progress.maybe_ran:
                 return self._fail(ErrorKind.DEADLINE_AFTER_START)
             return self._fail_with_retry_after(ErrorKind.DEADLINE_UNREACHABLE)
 
-    async def _run_attempts(self, table: routes.RouteTable) -> replies.Reply:
+    async def _run_attempts(
+        self, route_table: routes.RouteTable
+    ) -> replies.Reply:
         """Sends to servers until one responds, with one hedge at most."""
-        service = table.document.services[self.service]
+        service = route_table.document.services[self.service]
         try:
             while True:
                 if not self.attempts or self._hedge_is_due():
--- a/banyantiller/gateway/caller.py
+++ b/banyantiller/gateway/caller.py
@@ -100,7 +100,7 @@
         self._set_timer()
 
     def data_received(self, data: bytes) -> None:
-        """Reads requests."""
+        """Parses received data into requests."""
         if self.reading_ended:
             return
         if not self.request_started:
@@ -117,7 +117,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
-        """Cancels the calls of the connection."""
+        """Cancels the calls, whose replies can't be delivered any more."""
         self.closed = True
         self.reading_ended = True
         self._stop_timer()
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -145,15 +145,15 @@
         Raises:
             OSError: The address can't be bound.
         """
-        wanted = (endpoint.address, endpoint.port)
-        if listener is not None and listener.getsockname() != wanted:
+        address = (endpoint.address, endpoint.port)
+        if listener is not None and listener.getsockname() != address:
             listener.close()
             listener = None
-        where = {"host": wanted[0], "port": wanted[1]}
+        target = {"host": address[0], "port": address[1]}
         if listener is not None:
-            where = {"sock": listener}
+            target = {"sock": listener}
         self.listener = await self.loop.create_server(
-            lambda: caller.CallerConnection(self), backlog=BACKLOG, **where
+            lambda: caller.CallerConnection(self), backlog=BACKLOG, **target
         )
         bound = self.listener.sockets[0].getsockname()
         return Endpoint(bound[0], bound[1])
@@ -171,7 +171,7 @@
         return ""
 
     async def drain(self, limit_s: float) -> int:
-        """Waits until all connections of callers are closed.
+        """Stops listening and waits until callers' connections are closed.
 
         Args:
             limit_s: Time until the process is killed, in seconds.
@@ -238,25 +238,29 @@
             closed = pool.Pool(server, MIN_CONNECTIONS, self.tallies.opened)
             closed.close()
             return closed
-        found = self.pools.get(server.instance)
-        if found is None:
-            found = pool.Pool(server, MIN_CONNECTIONS, self.tallies.opened)
-            self.pools[server.instance] = found
-        found.max_size = self._max_connections(server.service)
-        return found
+        server_pool = self.pools.get(server.instance)
+        if server_pool is None:
+            server_pool = pool.Pool(
+                server, MIN_CONNECTIONS, self.tallies.opened
+            )
+            self.pools[server.instance] = server_pool
+        server_pool.max_size = self._max_connections(server.service)
+        return server_pool
 
     def budget_of(self, service: str) -> budget.RetryBudget:
         """Returns the retry budget of a service."""
-        found = self.budgets.get(service)
-        if found is None:
+        service_budget = self.budgets.get(service)
+        if service_budget is None:
             rounding = budget.rounding(self.settings.daemon, service)
-            found = budget.RetryBudget(0.0, 0.0, 0.0, rounding)
-            self.budgets[service] = found
+            service_budget = budget.RetryBudget(0.0, 0.0, 0.0, rounding)
+            self.budgets[service] = service_budget
         # Settings may have changed; retries already spent still count.
-        found.window_s = self.settings.retry_window_s
-        found.ratio = self.settings.retry_ratio * USABLE_BUDGET_RATIO
-        found.extra = self.settings.retry_extra * self.min_recent_share()
-        return found
+        service_budget.window_s = self.settings.retry_window_s
+        service_budget.ratio = self.settings.retry_ratio * USABLE_BUDGET_RATIO
+        service_budget.extra = (
+            self.settings.retry_extra * self.min_recent_share()
+        )
+        return service_budget
 
     def min_recent_share(self) -> float:
         """Returns the smallest share during the last retry window."""
@@ -363,21 +367,23 @@
             (entry.server.instance, self.pools.get(entry.server.instance))
             for entry in entries
         ]
-        found = [(name, held) for name, held in pools if held is not None]
-        idle = frozenset(name for name, held in found if held.has_idle())
-        busy = frozenset(name for name, held in found if held.busy)
+        open_pools = [(name, held) for name, held in pools if held is not None]
+        idle = frozenset(name for name, held in open_pools if held.has_idle())
+        busy = frozenset(name for name, held in open_pools if held.busy)
         return selection.Connected(idle, busy - idle)
 
     def _max_connections(self, service: str) -> int:
-        found = self.store_view.service(service)
-        if found is None:
+        definition = self.store_view.service(service)
+        if definition is None:
             return MIN_CONNECTIONS
-        return max(MIN_CONNECTIONS, int(found.max_connections * self.share()))
+        return max(
+            MIN_CONNECTIONS, int(definition.max_connections * self.share())
+        )
 
     def _close_pool(self, server: types.Server) -> None:
-        found = self.pools.pop(server.instance, None)
-        if found is not None:
-            found.close()
+        server_pool = self.pools.pop(server.instance, None)
+        if server_pool is not None:
+            server_pool.close()
 
     def _in_flight(self) -> int:
         return sum(len(connection.pipeline) for connection in self.connections)
--- a/banyantiller/tests/gateway/harness.py
+++ b/banyantiller/tests/gateway/harness.py
@@ -160,7 +160,10 @@
         adapter = plugin.create(Endpoint(ADDRESS, self.bound.port))
         rng = random.Random(self.seed)
         self.gateway = gateways.Gateway(settings, adapter, rng)
-        bodies = [one.run() for one in self.gateway.store_view.store_watchers()]
+        bodies = [
+            watcher.run()
+            for watcher in self.gateway.store_view.store_watchers()
+        ]
         bodies.append(self.gateway.run_housekeeping())
         bodies.append(self.gateway.quarantine_sync.run())
         self.tasks += [asyncio.ensure_future(body) for body in bodies]
@@ -258,13 +261,15 @@
 
     def ran(self, request_id):
         """Returns how often a request was executed."""
-        return sum(one.ran[request_id] for one in self.servers.values())
+        return sum(
+            stand_in.ran[request_id] for stand_in in self.servers.values()
+        )
 
     def fault(self, **faults):
         """Sets faults of every server."""
-        for one in self.servers.values():
+        for stand_in in self.servers.values():
             for name, value in faults.items():
-                setattr(one.faults, name, value)
+                setattr(stand_in.faults, name, value)
 
 
 class TestCase(base.TestCase):
--- a/banyantiller/tests/gateway/test_callers.py
+++ b/banyantiller/tests/gateway/test_callers.py
@@ -73,7 +73,7 @@
             await asyncio.sleep(0.03)
             caller.close()
             await asyncio.sleep(0.02)
-            return sum(one.dropped for one in env.servers.values())
+            return sum(server.dropped for server in env.servers.values())
 
         self.assertEqual(1, self.play(body))
 
--- a/banyantiller/tests/gateway/test_draining.py
+++ b/banyantiller/tests/gateway/test_draining.py
@@ -11,8 +11,8 @@
 class DrainingTest(harness.TestCase):
     def test_call_after_all_connections_closed_is_not_cut(self):
         async def body(env):
-            for one in env.servers.values():
-                one.work_s = 0.5
+            for server in env.servers.values():
+                server.work_s = 0.5
             caller = await harness.Caller.connect(env)
             caller.send("before")
             await caller.read()
@@ -34,8 +34,8 @@
         self,
     ):
         async def body(env):
-            for one in env.servers.values():
-                one.work_s = 0.5
+            for server in env.servers.values():
+                server.work_s = 0.5
             idle = await harness.Caller.connect(env)
             busy = await harness.Caller.connect(env)
             drain_task = asyncio.ensure_future(env.gateway.drain(DRAIN_S))
--- a/banyantiller/tests/gateway/test_fleet_start.py
+++ b/banyantiller/tests/gateway/test_fleet_start.py
@@ -154,8 +154,8 @@
 
     def check_with_callers(self, start):
         """Checks a start with a caller at each daemon."""
-        found = self.check(start, CALLS_FOR_WAITING_CALLERS)
-        self.assertEqual({200}, found.statuses, start)
+        outcome = self.check(start, CALLS_FOR_WAITING_CALLERS)
+        self.assertEqual({200}, outcome.statuses, start)
 
     def test_store_calls_do_not_grow_with_the_fleet_without_callers(self):
         for unresponsive in (False, True):
--- a/banyantiller/tests/gateway/test_log_and_metrics.py
+++ b/banyantiller/tests/gateway/test_log_and_metrics.py
@@ -26,7 +26,7 @@
             await env.request("a")
 
         _, lines = self.play(body)
-        (line,) = [one for one in lines if one.get("id") == "a"]
+        (line,) = [entry for entry in lines if entry.get("id") == "a"]
         self.assertEqual("gateway: call ended.", line["event"])
         self.assertEqual(([0, 0, 2, 1.0], 4, 200.0), (
             line["load"], line["version"] * 2, line["objective_ms"]
@@ -38,7 +38,7 @@
             await env.request("a")
 
         _, lines = self.play(body)
-        events = [one["event"] for one in lines if one.get("id") == "a"]
+        events = [entry["event"] for entry in lines if entry.get("id") == "a"]
         self.assertEqual(
             ["gateway: a try failed."] * 2 + ["gateway: call ended."], events
         )
@@ -51,7 +51,9 @@
             await asyncio.sleep(3)
 
         _, lines = self.play(body)
-        events = [one["event"] for one in lines if "store is" in one["event"]]
+        events = [
+            entry["event"] for entry in lines if "store is" in entry["event"]
+        ]
         self.assertEqual(
             ["gateway: store is lost.", "gateway: store is back."], events
         )
@@ -101,5 +103,5 @@
             return text
 
         text, _ = self.play(body)
-        found = re.findall(r"server_sends_total\{.*\} (\d+)", text)
-        self.assertEqual((3, 5), (len(found), sum(map(int, found))))
+        counts = re.findall(r"server_sends_total\{.*\} (\d+)", text)
+        self.assertEqual((3, 5), (len(counts), sum(map(int, counts))))
--- a/banyantiller/tests/gateway/test_serving.py
+++ b/banyantiller/tests/gateway/test_serving.py
@@ -45,8 +45,8 @@
             async def body(env, fault=fault):
                 env.fault(**{fault: True})
                 setattr(env.servers["s1"].faults, fault, False)
-                found = [await env.request(f"a{n}") for n in range(6)]
-                return [answer.status for answer in found]
+                answers = [await env.request(f"a{n}") for n in range(6)]
+                return [answer.status for answer in answers]
 
             self.assertEqual([200] * 6, self.play(body), fault)
 
@@ -75,8 +75,8 @@
 
     def test_call_is_rejected_soon_while_all_servers_are_busy(self):
         async def body(env):
-            for one in env.servers.values():
-                one.running = one.slots
+            for server in env.servers.values():
+                server.running = server.slots
             started_at = asyncio.get_running_loop().time()
             answer = await env.request("a")
             return answer.status, asyncio.get_running_loop().time() - started_at
@@ -93,22 +93,22 @@
             ]
             env.put_document(routes)
             await asyncio.sleep(0.05)
-            for one in env.servers.values():
-                one.running = one.slots
+            for server in env.servers.values():
+                server.running = server.slots
             asyncio.get_running_loop().call_later(
                 0.04, lambda: setattr(env.servers["s2"], "running", 0)
             )
-            found = await asyncio.gather(
+            answers = await asyncio.gather(
                 env.request("a"), env.request("b", "/file/x", "POST", b"x")
             )
-            return [answer.status for answer in found]
+            return [answer.status for answer in answers]
 
         self.assertEqual([503, 200], self.play(body))
 
     def test_slot_that_becomes_free_in_time_is_used(self):
         async def body(env):
-            for one in env.servers.values():
-                one.running = one.slots
+            for server in env.servers.values():
+                server.running = server.slots
             asyncio.get_running_loop().call_later(
                 0.012, lambda: setattr(env.servers["s2"], "running", 0)
             )
@@ -119,10 +119,10 @@
     def test_duplicate_response_is_not_used_for_the_next_request(self):
         async def body(env):
             env.fault(twice=True, twice_after=0.0)
-            found = [await env.request(f"a{n}") for n in range(8)]
+            answers = [await env.request(f"a{n}") for n in range(8)]
             env.fault(twice_after=0.004)
-            found += [await env.request(f"b{n}") for n in range(8)]
-            return [answer.body.split()[0] for answer in found]
+            answers += [await env.request(f"b{n}") for n in range(8)]
+            return [answer.body.split()[0] for answer in answers]
 
         expected = [f"{name}{n}".encode() for name in "ab" for n in range(8)]
         self.assertEqual(expected, self.play(body))
@@ -145,7 +145,7 @@
             )
             took_s = asyncio.get_running_loop().time() - started_at
             await asyncio.sleep(0.1)
-            dropped = sum(one.dropped for one in env.servers.values())
+            dropped = sum(server.dropped for server in env.servers.values())
             return answer, took_s, dropped
 
         answer, took_s, dropped = self.play(body)
@@ -176,8 +176,8 @@
         # Guards against a lost probe that ends an attempt while its server
         # executes the request: the caller got an error after 0.34 s.
         async def body(env):
-            for one in env.servers.values():
-                one.work_s = 0.3
+            for server in env.servers.values():
+                server.work_s = 0.3
             caller = await harness.Caller.connect(env)
             caller.send("a")
             await asyncio.sleep(0.03)
@@ -190,18 +190,18 @@
 
     def test_servers_that_report_no_load_are_not_probed_again(self):
         async def body(env):
-            for one in env.servers.values():
-                one.tells_load = False
+            for server in env.servers.values():
+                server.tells_load = False
             await env.request("first")
-            probes_before = sum(one.asked for one in env.servers.values())
+            probes_before = sum(server.asked for server in env.servers.values())
             calls = [env.request(f"a{number}") for number in range(6)]
-            found = await asyncio.gather(*calls)
-            probes_after = sum(one.asked for one in env.servers.values())
+            answers = await asyncio.gather(*calls)
+            probes_after = sum(server.asked for server in env.servers.values())
             request_counts = sorted(
-                len(one.seen) for one in env.servers.values()
+                len(server.seen) for server in env.servers.values()
             )
             return (
-                [answer.status for answer in found],
+                [answer.status for answer in answers],
                 probes_after - probes_before,
                 request_counts,
             )
@@ -219,11 +219,11 @@
             caller.send("a")
             await asyncio.sleep(0.05)
             env.fault(mute=False)
-            for one in env.servers.values():
-                one.running = one.slots
+            for server in env.servers.values():
+                server.running = server.slots
             await asyncio.sleep(0.25)
-            for one in env.servers.values():
-                one.running = 0
+            for server in env.servers.values():
+                server.running = 0
             answer = await caller.read()
             caller.close()
             return answer.status
@@ -237,8 +237,8 @@
             caller.send("a")
             await asyncio.sleep(0.05)
             env.fault(lose=False)
-            for one in env.servers.values():
-                one.faults.lose = one.ran["a"] > 0
+            for server in env.servers.values():
+                server.faults.lose = server.ran["a"] > 0
             answer = await caller.read()
             caller.close()
             return answer.status
@@ -247,8 +247,8 @@
 
     def test_slow_request_within_its_objective_is_not_hedged(self):
         async def body(env):
-            for one in env.servers.values():
-                one.work_s = 0.17
+            for server in env.servers.values():
+                server.work_s = 0.17
             await env.request("a")
             return env.ran("a")
 
