--- a/banyantiller/daemon/assembly.py
+++ b/banyantiller/daemon/assembly.py
@@ -201,7 +201,9 @@
             "draining": self.draining,
             "isolated": self.spread.isolated,
             "fenced": self.proxy.fenced,
-            "members": sorted(entry.daemon for entry in self.peers.alive()),
+            "members": sorted(
+                entry.daemon for entry in self.peers.alive_members()
+            ),
             "peer_traffic": vars(self.peers.traffic),
             "object_api_calls": dict(self.store.calls),
             "task_failures": dict(self.kernel.failures),
--- a/banyantiller/daemon/suspect_requests.py
+++ b/banyantiller/daemon/suspect_requests.py
@@ -34,7 +34,7 @@
         now = asyncio.get_running_loop().time()
         names = [fields["fingerprint"] for fields in told]
         passed_on = known.watch.table.tell_of(names, now)
-        peers.broadcast(_message(passed_on), but=sender)
+        peers.broadcast(_message(passed_on), exclude=sender)
 
     def on_link(peer: str) -> None:
         now = asyncio.get_running_loop().time()
@@ -58,7 +58,7 @@
         tuple(
             messages.SuspectRequest(
                 fields["fingerprint"],
-                tuple(messages.ServerEnd(**end) for end in fields["ends"]),
+                tuple(messages.ServerCrash(**end) for end in fields["ends"]),
                 fields["answered_age_ms"],
             )
             for fields in told
--- a/banyantiller/membership/dialing.py
+++ b/banyantiller/membership/dialing.py
@@ -8,18 +8,18 @@
 from banyantiller.config.defaults import Endpoint
 from banyantiller.membership import messages, overlay, table
 from banyantiller.membership.link import Link
-from banyantiller.membership.links import Links
+from banyantiller.membership.links import LinkManager
 
-FIRST_BACKOFF_S = 0.2
-LONGEST_BACKOFF_S = 10.0
-CONTACT_S = 5.0
-TRIM_AFTER_S = 5.0
-STABLE_S = 1.0
-MOST_DIALS = 8
-DOUBT_AFTER_FAILURES = 2
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 10.0
+CONTACT_PERIOD_S = 5.0
+RETIRE_SURPLUS_AFTER_S = 5.0
+STABLE_LINK_S = 1.0
+MAX_CONCURRENT_DIALS = 8
+SUSPECT_AFTER_FAILURES = 2
 
 
-class Doubt(NamedTuple):
+class LostPeer(NamedTuple):
     """A peer whose link was lost without a word.
 
     Attributes:
@@ -28,10 +28,10 @@
     """
 
     endpoint: Endpoint
-    until: float
+    suspect_at: float
 
 
-class Attempts(NamedTuple):
+class DialBackoff(NamedTuple):
     """Failed dials of one endpoint.
 
     Attributes:
@@ -40,7 +40,7 @@
     """
 
     failures: int
-    next_at: float
+    next_dial_at: float
 
 
 class Dialer:
@@ -57,8 +57,8 @@
     def __init__(
         self,
         settings: defaults.PeerSettings,
-        members: table.Table,
-        links: Links,
+        members: table.MemberTable,
+        links: LinkManager,
         rng: random.Random,
     ) -> None:
         self.settings = settings
@@ -66,149 +66,167 @@
         self.links = links
         self.random = rng
         self.hints: tuple[Endpoint, ...] = ()
-        self.doubts: dict[str, Doubt] = {}
-        self.attempts: dict[Endpoint, Attempts] = {}
+        self.lost_peers: dict[str, LostPeer] = {}
+        self.dial_backoffs: dict[Endpoint, DialBackoff] = {}
         self.dialing: dict[Endpoint, asyncio.Task[None]] = {}
-        self.next_contact = 0.0
-        self.surplus: dict[str, float] = {}
-        self.raised: set[str] = set()
+        self.next_contact_at = 0.0
+        self.surplus_since: dict[str, float] = {}
+        self.locally_suspected: set[str] = set()
         self.closed = False
 
-    def maintain(self, now: float) -> None:
+    def maintain_links(self, now: float) -> None:
         """Dials what is missing and closes what is no longer wanted."""
-        for endpoint in self._wanted(now):
+        for endpoint in self._endpoints_to_dial(now):
             self._dial(endpoint, now)
-        self._trim(now)
-        self._forget(now)
+        self._retire_surplus_links(now)
+        self._forget_stale_entries(now)
 
-    def doubt(self, link: Link, now: float) -> None:
+    def record_lost_link(self, link: Link, now: float) -> None:
         """Notes a link that was lost, and dials the peer again soon."""
         hello = link.hello
         endpoint = Endpoint(hello.address, hello.port)
-        until = now + self.settings.suspect_s / 2
-        self.doubts[link.daemon] = Doubt(endpoint, until)
-        if now - link.opened < STABLE_S:
-            self._failed(endpoint)
+        suspect_at = now + self.settings.suspect_s / 2
+        self.lost_peers[link.daemon] = LostPeer(endpoint, suspect_at)
+        if now - link.opened_at < STABLE_LINK_S:
+            self._record_failed_dial(endpoint)
         # The side that dialled tries first, so that the two do not cross.
-        first = 0.0 if link.dialed else FIRST_BACKOFF_S
-        pause = first + FIRST_BACKOFF_S * self.random.random()
-        asyncio.get_running_loop().call_later(pause, self._retry, endpoint)
+        head_start = 0.0 if link.dialed else INITIAL_BACKOFF_S
+        pause = head_start + INITIAL_BACKOFF_S * self.random.random()
+        asyncio.get_running_loop().call_later(pause, self._redial, endpoint)
 
-    def linked(self, link: Link) -> None:
+    def record_established_link(self, link: Link) -> None:
         """Notes a link that is up."""
-        self.doubts.pop(link.daemon, None)
+        self.lost_peers.pop(link.daemon, None)
 
-    def overdue(self, now: float) -> list[str]:
+    def pop_overdue_peers(self, now: float) -> list[str]:
         """Returns and drops the doubted peers whose time is over."""
-        names = [name for name, d in self.doubts.items() if now >= d.until]
+        names = [
+            name
+            for name, peer in self.lost_peers.items()
+            if now >= peer.suspect_at
+        ]
         for name in names:
-            del self.doubts[name]
-        self.raised.update(names)
+            del self.lost_peers[name]
+        self.locally_suspected.update(names)
         return names
 
     async def close(self) -> None:
         """Cancels the dials under way."""
         self.closed = True
-        ending = list(self.dialing.values())
-        for task in ending:
+        tasks = list(self.dialing.values())
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*ending, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _targets(self) -> list[messages.MemberEntry]:
-        members = self.table.members([table.State.ALIVE])
-        return overlay.targets(self.table.own, members, self.settings.links)
+    def _link_targets(self) -> list[messages.MemberEntry]:
+        members = self.table.members_in_states([table.State.ALIVE])
+        return overlay.choose_link_targets(
+            self.table.local, members, self.settings.links
+        )
 
-    def _wanted(self, now: float) -> list[Endpoint]:
-        linked = self.links.links
-        wanted = [
+    def _endpoints_to_dial(self, now: float) -> list[Endpoint]:
+        linked = self.links.by_peer
+        endpoints = [
             Endpoint(entry.address, entry.port)
-            for entry in self._targets() + self._suspects()
+            for entry in self._link_targets() + self._locally_suspected()
             if entry.daemon not in linked
         ]
-        wanted += [d.endpoint for d in self.doubts.values()]
-        if not linked or now >= self.next_contact:
-            pause = CONTACT_S * self.random.uniform(0.5, 1.5)
-            self.next_contact = now + pause
-            wanted += self._contacts()
-        return wanted
-
-    def _suspects(self) -> list[messages.MemberEntry]:
+        endpoints += [peer.endpoint for peer in self.lost_peers.values()]
+        if not linked or now >= self.next_contact_at:
+            pause = CONTACT_PERIOD_S * self.random.uniform(0.5, 1.5)
+            self.next_contact_at = now + pause
+            endpoints += self._sample_unknown_endpoints()
+        return endpoints
+
+    def _locally_suspected(self) -> list[messages.MemberEntry]:
         # Only those who found a suspect look for it: the suspect itself
         # hears of it from any peer, and a fleet must not dial it at once.
-        suspects = self.table.members([table.State.SUSPECT])
-        self.raised.intersection_update(entry.daemon for entry in suspects)
-        return [entry for entry in suspects if entry.daemon in self.raised]
+        suspects = self.table.members_in_states([table.State.SUSPECT])
+        self.locally_suspected.intersection_update(
+            entry.daemon for entry in suspects
+        )
+        return [
+            entry
+            for entry in suspects
+            if entry.daemon in self.locally_suspected
+        ]
 
-    def _contacts(self) -> list[Endpoint]:
+    def _sample_unknown_endpoints(self) -> list[Endpoint]:
         # After a split both sides know only themselves; seeds and the VM
         # list lead them to each other again.
-        alive = self.table.members([table.State.ALIVE])
+        alive = self.table.members_in_states([table.State.ALIVE])
         known = {Endpoint(entry.address, entry.port) for entry in alive}
-        known.add(self._own_endpoint())
-        strangers = {*self.settings.seeds, *self.hints} - known
-        if not strangers:
+        known.add(self._local_endpoint())
+        unknown = {*self.settings.seeds, *self.hints} - known
+        if not unknown:
             return []
-        most = 2 if self.links.links else self.settings.links
-        ordered = sorted(strangers)
-        return self.random.sample(ordered, min(most, len(ordered)))
+        count = 2 if self.links.by_peer else self.settings.links
+        ordered = sorted(unknown)
+        return self.random.sample(ordered, min(count, len(ordered)))
 
-    def _own_endpoint(self) -> Endpoint:
-        return Endpoint(self.table.own.address, self.table.own.port)
+    def _local_endpoint(self) -> Endpoint:
+        return Endpoint(self.table.local.address, self.table.local.port)
 
-    def _retry(self, endpoint: Endpoint) -> None:
-        if any(d.endpoint == endpoint for d in self.doubts.values()):
+    def _redial(self, endpoint: Endpoint) -> None:
+        if any(peer.endpoint == endpoint for peer in self.lost_peers.values()):
             self._dial(endpoint, asyncio.get_running_loop().time())
 
     def _dial(self, endpoint: Endpoint, now: float) -> None:
         if self.closed or endpoint in self.dialing:
             return
-        if len(self.dialing) >= MOST_DIALS:
+        if len(self.dialing) >= MAX_CONCURRENT_DIALS:
             return
-        attempts = self.attempts.get(endpoint)
-        if attempts is not None and now < attempts.next_at:
+        backoff = self.dial_backoffs.get(endpoint)
+        if backoff is not None and now < backoff.next_dial_at:
             return
-        self.dialing[endpoint] = asyncio.create_task(self._try(endpoint))
+        self.dialing[endpoint] = asyncio.create_task(
+            self._attempt_dial(endpoint)
+        )
 
-    async def _try(self, endpoint: Endpoint) -> None:
+    async def _attempt_dial(self, endpoint: Endpoint) -> None:
         try:
             if not await self.links.dial(endpoint):
-                self._failed(endpoint)
+                self._record_failed_dial(endpoint)
         finally:
             self.dialing.pop(endpoint, None)
 
-    def _failed(self, endpoint: Endpoint) -> None:
+    def _record_failed_dial(self, endpoint: Endpoint) -> None:
         now = asyncio.get_running_loop().time()
-        known = self.attempts.get(endpoint)
-        failures = known.failures + 1 if known else 1
-        longest = min(FIRST_BACKOFF_S * 2**failures, LONGEST_BACKOFF_S)
-        next_at = now + longest * self.random.uniform(0.5, 1.0)
-        self.attempts[endpoint] = Attempts(failures, next_at)
-        if failures < DOUBT_AFTER_FAILURES:
+        previous = self.dial_backoffs.get(endpoint)
+        failures = previous.failures + 1 if previous else 1
+        backoff_s = min(INITIAL_BACKOFF_S * 2**failures, MAX_BACKOFF_S)
+        next_dial_at = now + backoff_s * self.random.uniform(0.5, 1.0)
+        self.dial_backoffs[endpoint] = DialBackoff(failures, next_dial_at)
+        if failures < SUSPECT_AFTER_FAILURES:
             return
-        for entry in self._targets():
+        for entry in self._link_targets():
             if Endpoint(entry.address, entry.port) == endpoint:
-                self.doubts.setdefault(entry.daemon, Doubt(endpoint, now))
-
-    def _trim(self, now: float) -> None:
-        wanted = {entry.daemon for entry in self._targets()}
-        for link in list(self.links.links.values()):
-            if not link.dialed or link.daemon in wanted:
-                self.surplus.pop(link.daemon, None)
+                self.lost_peers.setdefault(
+                    entry.daemon, LostPeer(endpoint, now)
+                )
+
+    def _retire_surplus_links(self, now: float) -> None:
+        targets = {entry.daemon for entry in self._link_targets()}
+        for link in list(self.links.by_peer.values()):
+            if not link.dialed or link.daemon in targets:
+                self.surplus_since.pop(link.daemon, None)
                 continue
-            since = self.surplus.setdefault(link.daemon, now)
-            if now - since >= TRIM_AFTER_S:
-                del self.surplus[link.daemon]
+            since = self.surplus_since.setdefault(link.daemon, now)
+            if now - since >= RETIRE_SURPLUS_AFTER_S:
+                del self.surplus_since[link.daemon]
                 self.links.retire(link)
 
-    def _forget(self, now: float) -> None:
-        old = now - LONGEST_BACKOFF_S
+    def _forget_stale_entries(self, now: float) -> None:
+        oldest = now - MAX_BACKOFF_S
         stable = {
             Endpoint(link.hello.address, link.hello.port)
-            for link in self.links.links.values()
-            if now - link.opened >= STABLE_S
+            for link in self.links.by_peer.values()
+            if now - link.opened_at >= STABLE_LINK_S
         }
-        for endpoint, attempts in list(self.attempts.items()):
-            if attempts.next_at < old or endpoint in stable:
-                del self.attempts[endpoint]
-        for name in [n for n in self.surplus if n not in self.links.links]:
-            del self.surplus[name]
+        for endpoint, backoff in list(self.dial_backoffs.items()):
+            if backoff.next_dial_at < oldest or endpoint in stable:
+                del self.dial_backoffs[endpoint]
+        for name in [
+            n for n in self.surplus_since if n not in self.links.by_peer
+        ]:
+            del self.surplus_since[name]
--- a/banyantiller/membership/handshake.py
+++ b/banyantiller/membership/handshake.py
@@ -19,12 +19,12 @@
 from banyantiller.membership import messages
 
 NONCE_BYTES = 32
-LABEL = "banyantiller peer link"
+PROOF_LABEL = "banyantiller peer link"
 DIALER = "dialer"
 LISTENER = "listener"
 
 
-class RefusedError(Exception):
+class LinkRefusedError(Exception):
     """The other end is not let in.
 
     Attributes:
@@ -37,12 +37,12 @@
         self.reason = reason
 
 
-STRANGER = 1008
-MALFORMED = 4001
-VERSION = 4002
-NAME_TAKEN = 4003
-OTHER_FLEET = 4004
-ITSELF = 4005
+CLOSE_UNAUTHENTICATED = 1008
+CLOSE_MALFORMED = 4001
+CLOSE_NO_COMMON_VERSION = 4002
+CLOSE_NAME_TAKEN = 4003
+CLOSE_OTHER_DEPLOYMENT = 4004
+CLOSE_SELF_LINK = 4005
 
 
 class Channel(Protocol):
@@ -62,7 +62,7 @@
     listener: bytes
 
 
-def proof(
+def compute_proof(
     secret: str, role: str, nonces: Nonces, hello: messages.Hello
 ) -> bytes:
     """Computes the proof that a side puts into its `Hello`.
@@ -75,26 +75,26 @@
     """
     if not secret:
         return b""
-    bare = hello._replace(proof=b"")
-    covered = cbor2.dumps([LABEL, role, *nonces, *bare])
-    return hmac.digest(secret.encode(), covered, hashlib.sha256)
+    unproven = hello._replace(proof=b"")
+    signed = cbor2.dumps([PROOF_LABEL, role, *nonces, *unproven])
+    return hmac.digest(secret.encode(), signed, hashlib.sha256)
 
 
-async def greet(
+async def perform_handshake(
     channel: Channel,
     role: str,
-    own: messages.Hello,
+    local: messages.Hello,
     secret: str,
-    admit: Callable[[messages.Hello], None] = lambda _: None,
+    admit_peer: Callable[[messages.Hello], None] = lambda _: None,
 ) -> messages.Hello:
     """Runs the handshake on a fresh link.
 
     Args:
         channel: The link.
         role: `DIALER` or `LISTENER`.
-        own: What this daemon says of itself; its proof is filled in.
+        local: What this daemon says of itself; its proof is filled in.
         secret: Shared secret, or empty under TLS alone.
-        admit: Called with the other side's verified `Hello`, on the
+        admit_peer: Called with the other side's verified `Hello`, on the
             listening side before it is answered; raises `RefusedError` to
             turn the other side down.
 
@@ -106,28 +106,28 @@
     """
     nonce = secrets.token_bytes(NONCE_BYTES)
     await channel.send(messages.encode(messages.Challenge(nonce)))
-    theirs = (await _receive(channel, messages.Challenge)).nonce
-    if len(theirs) < NONCE_BYTES or theirs == nonce:
-        raise RefusedError(MALFORMED, "the challenge is not valid")
+    peer_nonce = (await _receive_message(channel, messages.Challenge)).nonce
+    if len(peer_nonce) < NONCE_BYTES or peer_nonce == nonce:
+        raise LinkRefusedError(CLOSE_MALFORMED, "the challenge is not valid")
     if role == DIALER:
-        nonces = Nonces(dialer=nonce, listener=theirs)
-        await _introduce(channel, role, own, secret, nonces)
-        hello = await _receive(channel, messages.Hello)
-        check(hello, LISTENER, own, secret, nonces)
-        admit(hello)
+        nonces = Nonces(dialer=nonce, listener=peer_nonce)
+        await _send_hello(channel, role, local, secret, nonces)
+        hello = await _receive_message(channel, messages.Hello)
+        verify_hello(hello, LISTENER, local, secret, nonces)
+        admit_peer(hello)
         return hello
-    nonces = Nonces(dialer=theirs, listener=nonce)
-    hello = await _receive(channel, messages.Hello)
-    check(hello, DIALER, own, secret, nonces)
-    admit(hello)
-    await _introduce(channel, role, own, secret, nonces)
+    nonces = Nonces(dialer=peer_nonce, listener=nonce)
+    hello = await _receive_message(channel, messages.Hello)
+    verify_hello(hello, DIALER, local, secret, nonces)
+    admit_peer(hello)
+    await _send_hello(channel, role, local, secret, nonces)
     return hello
 
 
-def check(
+def verify_hello(
     hello: messages.Hello,
     role: str,
-    own: messages.Hello,
+    local: messages.Hello,
     secret: str,
     nonces: Nonces,
 ) -> None:
@@ -137,39 +137,47 @@
         RefusedError: It is a stranger, from another fleet, or speaks no
             common protocol version.
     """
-    expected = proof(secret, role, nonces, hello)
+    expected = compute_proof(secret, role, nonces, hello)
     if not hmac.compare_digest(expected, hello.proof if secret else b""):
-        raise RefusedError(STRANGER, "not authenticated")
-    if hello.deployment != own.deployment:
-        raise RefusedError(OTHER_FLEET, "another deployment")
-    if min(hello.protocol, own.protocol) < max(hello.oldest, own.oldest):
-        raise RefusedError(VERSION, "no common protocol version")
-    same_run = (hello.incarnation, hello.address, hello.port) == (
-        own.incarnation,
-        own.address,
-        own.port,
+        raise LinkRefusedError(CLOSE_UNAUTHENTICATED, "not authenticated")
+    if hello.deployment != local.deployment:
+        raise LinkRefusedError(CLOSE_OTHER_DEPLOYMENT, "another deployment")
+    if min(hello.protocol, local.protocol) < max(hello.oldest, local.oldest):
+        raise LinkRefusedError(
+            CLOSE_NO_COMMON_VERSION, "no common protocol version"
+        )
+    same_incarnation = (hello.incarnation, hello.address, hello.port) == (
+        local.incarnation,
+        local.address,
+        local.port,
     )
-    if hello.daemon == own.daemon and same_run:
-        raise RefusedError(ITSELF, "a link to itself")
+    if hello.daemon == local.daemon and same_incarnation:
+        raise LinkRefusedError(CLOSE_SELF_LINK, "a link to itself")
 
 
-async def _introduce(
+async def _send_hello(
     channel: Channel,
     role: str,
-    own: messages.Hello,
+    local: messages.Hello,
     secret: str,
     nonces: Nonces,
 ) -> None:
-    hello = own._replace(proof=proof(secret, role, nonces, own))
+    hello = local._replace(proof=compute_proof(secret, role, nonces, local))
     await channel.send(messages.encode(hello))
 
 
-async def _receive(channel: Channel, kind: type) -> messages.Hello:
+async def _receive_message(
+    channel: Channel, message_type: type
+) -> messages.Hello:
     data = await channel.recv(decode=False)
     try:
         message = messages.decode(data)
     except messages.MessageError as error:
-        raise RefusedError(MALFORMED, "not a valid message") from error
-    if not isinstance(message, kind):
-        raise RefusedError(MALFORMED, f"expected {kind.__name__}")
+        raise LinkRefusedError(
+            CLOSE_MALFORMED, "not a valid message"
+        ) from error
+    if not isinstance(message, message_type):
+        raise LinkRefusedError(
+            CLOSE_MALFORMED, f"expected {message_type.__name__}"
+        )
     return message
--- a/banyantiller/membership/link.py
+++ b/banyantiller/membership/link.py
@@ -13,15 +13,15 @@
 
 log = structlog.get_logger("banyantiller.membership")
 
-MOST_QUEUED_MESSAGES = 1024
-MOST_QUEUED_BYTES = 1_500_000
-SMALL_FRAME = 126
-MEDIUM_FRAME = 65536
+MAX_QUEUED_MESSAGES = 1024
+MAX_QUEUED_BYTES = 1_500_000
+MIN_16_BIT_LENGTH = 126
+MIN_64_BIT_LENGTH = 65536
 MASK_BYTES = 4
 
 CLOSE_NORMAL = 1000
 CLOSE_LEAVING = 1001
-CLEAN_CODES = (CLOSE_NORMAL, CLOSE_LEAVING)
+CLEAN_CLOSE_CODES = (CLOSE_NORMAL, CLOSE_LEAVING)
 
 
 class Traffic:
@@ -45,9 +45,9 @@
 
 def frame_size(length: int, masked: bool) -> int:
     """Returns the bytes of a WebSocket frame with a payload of `length`."""
-    if length < SMALL_FRAME:
+    if length < MIN_16_BIT_LENGTH:
         head = 2
-    elif length < MEDIUM_FRAME:
+    elif length < MIN_64_BIT_LENGTH:
         head = 4
     else:
         head = 10
@@ -78,55 +78,55 @@
         self.hello = hello
         self.dialed = dialed
         self.traffic = traffic
-        self.opened = now
-        self.last_heard = now
-        self.sequence = 0
-        self.code: int | None = None
+        self.opened_at = now
+        self.last_received_at = now
+        self.heartbeat_sequence = 0
+        self.close_code: int | None = None
         self.send: Callable[[bytes], Awaitable[None]] = websocket.send
         self.outbox: collections.deque[bytes] = collections.deque()
         self.queued_bytes = 0
-        self.waiting = asyncio.Event()
+        self.outbox_ready = asyncio.Event()
 
     @property
     def daemon(self) -> str:
         """Name of the peer."""
         return self.hello.daemon
 
-    def post(self, message: Any) -> bool:
+    def enqueue(self, message: Any) -> bool:
         """Queues a message; False if the outbox is full."""
-        return self.post_bytes(messages.encode(message))
+        return self.enqueue_encoded(messages.encode(message))
 
-    def post_bytes(self, data: bytes) -> bool:
+    def enqueue_encoded(self, data: bytes) -> bool:
         """Queues an encoded message; False if the outbox is full."""
-        full = (
-            len(self.outbox) >= MOST_QUEUED_MESSAGES
-            or self.queued_bytes + len(data) > MOST_QUEUED_BYTES
+        is_full = (
+            len(self.outbox) >= MAX_QUEUED_MESSAGES
+            or self.queued_bytes + len(data) > MAX_QUEUED_BYTES
         )
-        if full or self.code is not None:
+        if is_full or self.close_code is not None:
             self.traffic.dropped += 1
             return False
         self.outbox.append(data)
         self.queued_bytes += len(data)
-        self.waiting.set()
+        self.outbox_ready.set()
         return True
 
-    async def run(self, receive: Callable[[Any], None]) -> None:
+    async def run(self, on_message: Callable[[Any], None]) -> None:
         """Writes and reads until the link ends.
 
         Args:
-            receive: Called with each decoded message.
+            on_message: Called with each decoded message.
         """
         writer = asyncio.create_task(self._write())
         try:
-            await self._read(receive)
+            await self._read(on_message)
         except (websockets.ConnectionClosed, OSError):
             pass
         finally:
             writer.cancel()
             await asyncio.gather(writer, return_exceptions=True)
-            received = self.websocket.close_code
-            if self.code is None and received in CLEAN_CODES:
-                self.code = received
+            peer_code = self.websocket.close_code
+            if self.close_code is None and peer_code in CLEAN_CLOSE_CODES:
+                self.close_code = peer_code
 
     def abort(self) -> None:
         """Ends the link without waiting for the peer."""
@@ -134,18 +134,18 @@
 
     async def close(self, code: int, reason: str = "") -> None:
         """Sends what is queued, then closes with a code."""
-        if self.code is not None:
+        if self.close_code is not None:
             return
         while self.outbox and self.websocket.close_code is None:
             await self._write_next()
-        self.code = code
+        self.close_code = code
         await self.websocket.close(code, reason)
 
-    async def _read(self, receive: Callable[[Any], None]) -> None:
+    async def _read(self, on_message: Callable[[Any], None]) -> None:
         loop = asyncio.get_running_loop()
         while True:
             data = await self.websocket.recv(decode=False)
-            self.last_heard = loop.time()
+            self.last_received_at = loop.time()
             self.traffic.messages_in += 1
             self.traffic.bytes_in += frame_size(len(data), not self.dialed)
             try:
@@ -159,13 +159,13 @@
                 self.abort()
                 return
             if message is not None:
-                receive(message)
+                on_message(message)
 
     async def _write(self) -> None:
         try:
             while True:
-                await self.waiting.wait()
-                self.waiting.clear()
+                await self.outbox_ready.wait()
+                self.outbox_ready.clear()
                 while self.outbox:
                     await self._write_next()
         except (websockets.ConnectionClosed, OSError):
--- a/banyantiller/membership/links.py
+++ b/banyantiller/membership/links.py
@@ -21,10 +21,10 @@
 
 log = structlog.get_logger("banyantiller.membership")
 
-HANDSHAKE_S = 2.0
-CLOSE_S = 1.0
-HANDSHAKE_BYTES = 4096
-MOST_CONNECTIONS = 128
+HANDSHAKE_TIMEOUT_S = 2.0
+CLOSE_TIMEOUT_S = 1.0
+MAX_HANDSHAKE_BYTES = 4096
+MAX_CONNECTIONS = 128
 WRITE_LIMIT_BYTES = 65536
 
 
@@ -39,13 +39,13 @@
             daemon's name.
     """
 
-    receive: Callable[[Link, Any], None]
-    came_up: Callable[[Link], None]
-    went_down: Callable[[Link], None]
-    displaced: Callable[[int], None]
+    on_message: Callable[[Link, Any], None]
+    on_link_up: Callable[[Link], None]
+    on_link_down: Callable[[Link], None]
+    on_name_conflict: Callable[[int], None]
 
 
-class Links:
+class LinkManager:
     """Links by peer name; at most one link a peer is kept.
 
     Attributes:
@@ -58,30 +58,30 @@
     def __init__(
         self,
         settings: defaults.PeerSettings,
-        own: Callable[[], messages.Hello],
-        known: Callable[[str], messages.MemberEntry | None],
+        local_hello: Callable[[], messages.Hello],
+        find_entry: Callable[[str], messages.MemberEntry | None],
         handlers: LinkHandlers,
     ) -> None:
         """Prepares the links; `open` starts them.
 
         Args:
             settings: Settings of the peers.
-            own: Returns what this daemon says of itself.
-            known: Returns the member entry of a name.
-            handlers: Whom to tell what happens.
+            local_hello: Returns the `Hello` of this daemon, without a proof.
+            find_entry: Returns the member entry of a name, or None.
+            handlers: Called on the events of links.
 
         Raises:
             ConfigError: Peers could not be authenticated, or TLS files are
                 not valid.
         """
         self.settings = settings
-        self.own = own
-        self.known = known
-        self.server_tls, self.client_tls = _contexts(settings)
-        self.links: dict[str, Link] = {}
+        self.local_hello = local_hello
+        self.find_entry = find_entry
+        self.server_tls, self.client_tls = _tls_contexts(settings)
+        self.by_peer: dict[str, Link] = {}
         self.traffic = Traffic()
         self.endpoint = settings.listen
-        self.refused: dict[int, int] = {}
+        self.refused_handshakes: dict[int, int] = {}
         self.connections = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.handlers = handlers
@@ -97,8 +97,8 @@
             listen.port,
             ssl=self.server_tls,
             server_header=None,
-            open_timeout=HANDSHAKE_S,
-            **self._options(),
+            open_timeout=HANDSHAKE_TIMEOUT_S,
+            **self._websocket_options(),
         )
         port = next(iter(self.server.sockets)).getsockname()[1]
         self.endpoint = listen._replace(port=port)
@@ -106,7 +106,9 @@
 
     async def close(self, code: int) -> None:
         """Closes every link with a code, and the listening side."""
-        closing = [self._close(link, code) for link in self.links.values()]
+        closing = [
+            self._close_link(link, code) for link in self.by_peer.values()
+        ]
         await asyncio.gather(*closing)
         for task in list(self.tasks):
             task.cancel()
@@ -121,62 +123,64 @@
             Whether the other end let this daemon in.
         """
         try:
-            async with asyncio.timeout(HANDSHAKE_S):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 websocket = await client.connect(
                     _uri(endpoint, self.client_tls is not None),
                     ssl=self.client_tls,
                     user_agent_header=None,
                     proxy=None,
                     open_timeout=None,
-                    **self._options(),
-                    **self._server_name(),
+                    **self._websocket_options(),
+                    **self._server_name_options(),
                 )
         except (OSError, TimeoutError, websockets.WebSocketException):
             return False
-        link = await self._greet(websocket, handshake.DIALER)
+        link = await self._run_handshake(websocket, handshake.DIALER)
         if link is None:
             return False
-        task = asyncio.create_task(self._serve(link))
+        task = asyncio.create_task(self._run_link(link))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return True
 
     def retire(self, link: Link, code: int = CLOSE_NORMAL) -> None:
         """Closes a link that is not needed, in the background."""
-        if self.links.get(link.daemon) is link:
-            del self.links[link.daemon]
-        task = asyncio.create_task(self._close(link, code))
+        if self.by_peer.get(link.daemon) is link:
+            del self.by_peer[link.daemon]
+        task = asyncio.create_task(self._close_link(link, code))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def _accept(self, websocket: server.ServerConnection) -> None:
-        if self.connections >= MOST_CONNECTIONS:
+        if self.connections >= MAX_CONNECTIONS:
             websocket.transport.abort()
             return
         self.connections += 1
         try:
-            link = await self._greet(websocket, handshake.LISTENER)
+            link = await self._run_handshake(websocket, handshake.LISTENER)
             if link is not None:
-                await self._serve(link)
+                await self._run_link(link)
         finally:
             self.connections -= 1
 
-    async def _greet(self, websocket: Connection, role: str) -> Link | None:
+    async def _run_handshake(
+        self, websocket: Connection, role: str
+    ) -> Link | None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(HANDSHAKE_S):
-                hello = await handshake.greet(
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+                hello = await handshake.perform_handshake(
                     websocket,
                     role,
-                    self.own(),
+                    self.local_hello(),
                     self.settings.secret,
-                    self._check_name,
+                    self._check_name_conflict,
                 )
-        except handshake.RefusedError as error:
-            await self._refuse(websocket, error)
+        except handshake.LinkRefusedError as error:
+            await self._close_refused(websocket, error)
             return None
         except websockets.ConnectionClosed as error:
-            self._note_refusal(error)
+            self._process_refusal(error)
             return None
         except (TimeoutError, OSError):
             websocket.transport.abort()
@@ -185,97 +189,103 @@
         dialed = role == handshake.DIALER
         return Link(websocket, hello, dialed, self.traffic, loop.time())
 
-    def _check_name(self, hello: messages.Hello) -> None:
-        run = (hello.incarnation, hello.address, hello.port)
-        own = self.own()
-        if hello.daemon == own.daemon:
-            if run > (own.incarnation, own.address, own.port):
-                self.handlers.displaced(hello.incarnation)
-            raise handshake.RefusedError(
-                handshake.NAME_TAKEN, str(own.incarnation)
+    def _check_name_conflict(self, hello: messages.Hello) -> None:
+        incarnation_id = (hello.incarnation, hello.address, hello.port)
+        local = self.local_hello()
+        if hello.daemon == local.daemon:
+            if incarnation_id > (local.incarnation, local.address, local.port):
+                self.handlers.on_name_conflict(hello.incarnation)
+            raise handshake.LinkRefusedError(
+                handshake.CLOSE_NAME_TAKEN, str(local.incarnation)
             )
-        known = self.known(hello.daemon)
-        if known is None or known.state == table.State.DEAD:
+        entry = self.find_entry(hello.daemon)
+        if entry is None or entry.state == table.State.DEAD:
             return
-        if run < table.identity(known):
-            raise handshake.RefusedError(
-                handshake.NAME_TAKEN, str(known.incarnation)
+        if incarnation_id < table.incarnation_id(entry):
+            raise handshake.LinkRefusedError(
+                handshake.CLOSE_NAME_TAKEN, str(entry.incarnation)
             )
 
-    async def _refuse(
+    async def _close_refused(
         self,
         websocket: Connection,
-        error: handshake.RefusedError,
+        error: handshake.LinkRefusedError,
     ) -> None:
-        self.refused[error.code] = self.refused.get(error.code, 0) + 1
-        if error.code != handshake.ITSELF:
+        self.refused_handshakes[error.code] = (
+            self.refused_handshakes.get(error.code, 0) + 1
+        )
+        if error.code != handshake.CLOSE_SELF_LINK:
             log.warning("membership: a link was refused.", reason=error.reason)
-        told = error.reason if error.code == handshake.NAME_TAKEN else ""
+        sent_reason = (
+            error.reason if error.code == handshake.CLOSE_NAME_TAKEN else ""
+        )
         with contextlib.suppress(OSError, websockets.WebSocketException):
-            await websocket.close(error.code, told)
+            await websocket.close(error.code, sent_reason)
 
-    def _note_refusal(self, error: websockets.ConnectionClosed) -> None:
-        if error.rcvd is None or error.rcvd.code != handshake.NAME_TAKEN:
+    def _process_refusal(self, error: websockets.ConnectionClosed) -> None:
+        if error.rcvd is None or error.rcvd.code != handshake.CLOSE_NAME_TAKEN:
             return
         if error.rcvd.reason.isdecimal():
-            self.handlers.displaced(int(error.rcvd.reason))
+            self.handlers.on_name_conflict(int(error.rcvd.reason))
 
-    async def _serve(self, link: Link) -> None:
-        if not self._admit(link):
-            await self._close(link, CLOSE_NORMAL)
+    async def _run_link(self, link: Link) -> None:
+        if not self._register(link):
+            await self._close_link(link, CLOSE_NORMAL)
             return
-        self.handlers.came_up(link)
+        self.handlers.on_link_up(link)
         try:
-            await link.run(lambda message: self.handlers.receive(link, message))
+            await link.run(
+                lambda message: self.handlers.on_message(link, message)
+            )
         finally:
-            if self.links.get(link.daemon) is link:
-                del self.links[link.daemon]
-                self.handlers.went_down(link)
-
-    def _admit(self, link: Link) -> bool:
-        other = self.links.get(link.daemon)
-        if other is not None:
-            if not self._prefers(link, other):
+            if self.by_peer.get(link.daemon) is link:
+                del self.by_peer[link.daemon]
+                self.handlers.on_link_down(link)
+
+    def _register(self, link: Link) -> bool:
+        existing = self.by_peer.get(link.daemon)
+        if existing is not None:
+            if not self._should_replace(link, existing):
                 return False
-            self.retire(other)
-        self.links[link.daemon] = link
+            self.retire(existing)
+        self.by_peer[link.daemon] = link
         return True
 
-    def _prefers(self, new: Link, old: Link) -> bool:
+    def _should_replace(self, new: Link, old: Link) -> bool:
         if new.hello.incarnation != old.hello.incarnation:
             return new.hello.incarnation > old.hello.incarnation
         if new.dialed == old.dialed:
             return True
         # Both sides dialled at once: both keep the smaller name's link.
-        own_is_smaller = self.own().daemon < new.daemon
-        return new.dialed == own_is_smaller
+        local_is_smaller = self.local_hello().daemon < new.daemon
+        return new.dialed == local_is_smaller
 
-    async def _close(self, link: Link, code: int) -> None:
+    async def _close_link(self, link: Link, code: int) -> None:
         try:
-            async with asyncio.timeout(CLOSE_S):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await link.close(code)
         except (TimeoutError, OSError, websockets.WebSocketException):
             link.abort()
 
-    def _options(self) -> dict[str, Any]:
+    def _websocket_options(self) -> dict[str, Any]:
         return {
             "compression": None,
             "ping_interval": None,
-            "close_timeout": CLOSE_S,
-            "max_size": HANDSHAKE_BYTES,
+            "close_timeout": CLOSE_TIMEOUT_S,
+            "max_size": MAX_HANDSHAKE_BYTES,
             "max_queue": 4,
             "write_limit": WRITE_LIMIT_BYTES,
             "logger": self.logger,
         }
 
-    def _server_name(self) -> dict[str, str]:
+    def _server_name_options(self) -> dict[str, str]:
         files = self.settings.tls
         if files is None or not files.server_name:
             return {}
         return {"server_hostname": files.server_name}
 
 
-def _contexts(
+def _tls_contexts(
     settings: defaults.PeerSettings,
 ) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
     files = settings.tls
--- a/banyantiller/membership/messages.py
+++ b/banyantiller/membership/messages.py
@@ -145,7 +145,7 @@
     age_ms: int = 0
 
 
-class ServerEnd(NamedTuple):
+class ServerCrash(NamedTuple):
     """A server ended with a request on it; ages in milliseconds."""
 
     server: str
@@ -163,7 +163,7 @@
     """
 
     fingerprint: str
-    ends: tuple[ServerEnd, ...]
+    ends: tuple[ServerCrash, ...]
     answered_age_ms: int
 
 
@@ -197,7 +197,9 @@
     11: ServersReturned,
     12: SuspectRequests,
 }
-NUMBERS = {kind: number for number, kind in MESSAGE_TYPES.items()}
+TYPE_NUMBERS = {
+    message_type: number for number, message_type in MESSAGE_TYPES.items()
+}
 
 
 class MessageError(ValueError):
@@ -206,7 +208,7 @@
 
 def encode(message: Any) -> bytes:
     """Encodes a message of a declared type."""
-    return cbor2.dumps([NUMBERS[type(message)], *message])
+    return cbor2.dumps([TYPE_NUMBERS[type(message)], *message])
 
 
 def decode(data: bytes) -> Any | None:
@@ -232,13 +234,13 @@
     number = items[0]
     if not isinstance(number, int) or isinstance(number, bool):
         raise MessageError("A message has no type number.")
-    kind = MESSAGE_TYPES.get(number)
-    if kind is None:
+    message_type = MESSAGE_TYPES.get(number)
+    if message_type is None:
         return None
-    known = items[1 : 1 + len(kind._fields)]
+    fields = items[1 : 1 + len(message_type._fields)]
     try:
-        return msgspec.convert(known, kind)
+        return msgspec.convert(fields, message_type)
     except msgspec.ValidationError as error:
         raise MessageError(
-            f"A {kind.__name__} is not valid: {error}."
+            f"A {message_type.__name__} is not valid: {error}."
         ) from error
--- a/banyantiller/membership/overlay.py
+++ b/banyantiller/membership/overlay.py
@@ -19,57 +19,61 @@
     return xxhash.xxh3_64_intdigest(f"{key}\0{daemon}".encode())
 
 
-def ring(own: str, members: Sequence[MemberEntry]) -> list[MemberEntry]:
-    """Returns the others in ring order, the successor of `own` first."""
-    here = rank("ring", own)
-    others = sorted(
-        (entry for entry in members if entry.daemon != own),
+def ring_order(local: str, members: Sequence[MemberEntry]) -> list[MemberEntry]:
+    """Returns the others in ring order, the successor of `local` first."""
+    local_rank = rank("ring", local)
+    peers = sorted(
+        (entry for entry in members if entry.daemon != local),
         key=lambda entry: (rank("ring", entry.daemon), entry.daemon),
     )
     after = [
-        e for e in others if (rank("ring", e.daemon), e.daemon) > (here, own)
+        e
+        for e in peers
+        if (rank("ring", e.daemon), e.daemon) > (local_rank, local)
     ]
-    return after + others[: len(others) - len(after)]
+    return after + peers[: len(peers) - len(after)]
 
 
-def targets(
-    own: MemberEntry, members: Sequence[MemberEntry], links: int
+def choose_link_targets(
+    local: MemberEntry, members: Sequence[MemberEntry], max_links: int
 ) -> list[MemberEntry]:
     """Chooses the peers to link to.
 
     Args:
-        own: This daemon's entry.
+        local: This daemon's entry.
         members: Daemons believed to be alive.
-        links: Most peers to choose.
+        max_links: Most peers to choose.
 
     Returns:
         The ring successor, then peers from zones that have the fewest
         chosen so far, in rendezvous order.
     """
-    candidates = ring(own.daemon, members)
+    candidates = ring_order(local.daemon, members)
     if not candidates:
         return []
     chosen = [candidates.pop(0)]
-    candidates.sort(key=lambda entry: rank(own.daemon, entry.daemon))
-    zones = {own.zone: 1}
+    candidates.sort(key=lambda entry: rank(local.daemon, entry.daemon))
+    zones = {local.zone: 1}
     zones[chosen[0].zone] = zones.get(chosen[0].zone, 0) + 1
-    while candidates and len(chosen) < links:
-        best = min(candidates, key=lambda entry: zones.get(entry.zone, 0))
-        candidates.remove(best)
-        chosen.append(best)
-        zones[best.zone] = zones.get(best.zone, 0) + 1
+    while candidates and len(chosen) < max_links:
+        following = min(candidates, key=lambda entry: zones.get(entry.zone, 0))
+        candidates.remove(following)
+        chosen.append(following)
+        zones[following.zone] = zones.get(following.zone, 0) + 1
     return chosen
 
 
-def holds_rank(key: str, own: str, members: Sequence[str], places: int) -> bool:
-    """Tells whether this daemon is among the `places` lowest ranks.
+def is_selected(
+    key: str, local: str, members: Sequence[str], count: int
+) -> bool:
+    """Tells whether this daemon is among the `count` lowest ranks.
 
     Args:
         key: What the ranks are for.
-        own: Name of this daemon.
-        members: Names believed to be alive, with or without `own`.
-        places: How many daemons do the work.
+        local: Name of this daemon.
+        members: Names believed to be alive, with or without `local`.
+        count: How many daemons do the work.
     """
-    here = (rank(key, own), own)
-    ahead = sum(1 for name in members if (rank(key, name), name) < here)
-    return ahead < places
+    local_rank = (rank(key, local), local)
+    ahead = sum(1 for name in members if (rank(key, name), name) < local_rank)
+    return ahead < count
--- a/banyantiller/membership/peers.py
+++ b/banyantiller/membership/peers.py
@@ -21,17 +21,17 @@
     Link,
     Traffic,
 )
-from banyantiller.membership.links import LinkHandlers, Links
+from banyantiller.membership.links import LinkHandlers, LinkManager
 from banyantiller.membership.messages import MemberEntry
 
 log = structlog.get_logger("banyantiller.membership")
 
-FLUSH_S = 0.02
-JITTER = 0.1
-SYNC_S = 10.0
-SYNC_MEMBERS = 20
-NEWCOMER_S = 10.0
-DIGEST_BYTES = 8
+FLUSH_DELAY_S = 0.02
+HEARTBEAT_JITTER = 0.1
+SYNC_PERIOD_S = 10.0
+SYNC_SCALING_MEMBERS = 20
+NAME_TAKEOVER_WINDOW_S = 10.0
+DIGEST_PREFIX_BYTES = 8
 
 MessageHandler = Callable[[str, Any], None]
 
@@ -58,7 +58,7 @@
         seed: int,
     ) -> None:
         listen = settings.peers.listen
-        own = MemberEntry(
+        local = MemberEntry(
             daemon=settings.daemon,
             incarnation=int(wall() * 1000),
             state=table.State.ALIVE,
@@ -70,27 +70,32 @@
         self.settings = settings
         self.kernel = kernel
         self.random = random.Random(f"{seed} {settings.daemon}")
-        self.table = table.Table(own, settings.peers.suspect_s)
+        self.table = table.MemberTable(local, settings.peers.suspect_s)
         handlers = LinkHandlers(
-            self._receive, self._came_up, self._went_down, self._name_taken
+            self._on_message,
+            self._on_link_up,
+            self._on_link_down,
+            self._on_name_conflict,
+        )
+        self.links = LinkManager(
+            settings.peers, self.local_hello, self._find_entry, handlers
         )
-        self.links = Links(settings.peers, self.hello, self._known, handlers)
         self.dialer = dialing.Dialer(
             settings.peers, self.table, self.links, self.random
         )
         self.on_link: list[Callable[[str], None]] = []
-        self.handlers: dict[type, list[MessageHandler]] = (
+        self.message_handlers: dict[type, list[MessageHandler]] = (
             collections.defaultdict(list)
         )
-        self.unsent: dict[str, tuple[MemberEntry, str]] = {}
-        self.flush: asyncio.TimerHandle | None = None
-        self.last_heard: float | None = None
+        self.pending_updates: dict[str, tuple[MemberEntry, str]] = {}
+        self.flush_timer: asyncio.TimerHandle | None = None
+        self.last_received_at: float | None = None
         self.displaced = False
-        self.started = 0.0
-        self.next_tick = 0.0
-        self.next_sync = 0.0
-        self.bundle = 0
-        self.digest = b""
+        self.started_at = 0.0
+        self.next_tick_at = 0.0
+        self.next_sync_at = 0.0
+        self.bundle_version = 0
+        self.digest_prefix = b""
 
     @classmethod
     def from_settings(
@@ -121,161 +126,171 @@
     async def start(self) -> defaults.Endpoint:
         """Listens and starts the task; returns where it listens."""
         endpoint = await self.links.open()
-        self.table.own = self.table.own._replace(port=endpoint.port)
-        self.started = asyncio.get_running_loop().time()
+        self.table.local = self.table.local._replace(port=endpoint.port)
+        self.started_at = asyncio.get_running_loop().time()
         self.kernel.start("peers", self._run)
         return endpoint
 
     async def close(self) -> None:
         """Leaves, closes all links and stops listening."""
-        if self.table.own.state != table.State.LEAVING:
+        if self.table.local.state != table.State.LEAVING:
             self.leave()
-        if self.flush is not None:
-            self.flush.cancel()
-            self._send_unsent()
+        if self.flush_timer is not None:
+            self.flush_timer.cancel()
+            self._flush_updates()
         await self.dialer.close()
         await self.kernel.stop(["peers"])
         await self.links.close(CLOSE_LEAVING)
 
     def leave(self) -> None:
         """Tells the peers that this daemon is ending."""
-        self._spread(self.table.leave())
+        self._queue_update(self.table.mark_leaving())
 
     def subscribe(self, message_type: type, handler: MessageHandler) -> None:
         """Calls `handler(daemon, message)` for each message of a type."""
-        self.handlers[message_type].append(handler)
+        self.message_handlers[message_type].append(handler)
 
     def send(self, daemon: str, message: Any) -> bool:
         """Sends to one linked peer; False if not linked or its queue full."""
-        link = self.links.links.get(daemon)
-        return link is not None and link.post(message)
+        link = self.links.by_peer.get(daemon)
+        return link is not None and link.enqueue(message)
 
-    def broadcast(self, message: Any, but: str = "") -> int:
+    def broadcast(self, message: Any, exclude: str = "") -> int:
         """Sends to all linked peers.
 
         Args:
             message: A message of a declared type.
-            but: Peer to leave out, such as the one it came from.
+            exclude: Peer to leave out, such as the one it came from.
 
         Returns:
             Number of peers it was queued for.
         """
         data = messages.encode(message)
-        links = [x for x in self.links.links.values() if x.daemon != but]
-        return sum(link.post_bytes(data) for link in links)
+        links = [x for x in self.links.by_peer.values() if x.daemon != exclude]
+        return sum(link.enqueue_encoded(data) for link in links)
 
-    def linked(self) -> list[str]:
+    def linked_peers(self) -> list[str]:
         """Returns the names of the linked peers, sorted."""
-        return sorted(self.links.links)
+        return sorted(self.links.by_peer)
 
-    def alive(self, suspects: bool = True) -> list[MemberEntry]:
+    def alive_members(self, include_suspects: bool = True) -> list[MemberEntry]:
         """Returns this daemon's entry and the members believed to be alive.
 
         Args:
-            suspects: Whether to count suspects, who may be only slow.
+            include_suspects: Whether to count suspects, who may be only slow.
         """
         states = [table.State.ALIVE]
-        if suspects:
+        if include_suspects:
             states.append(table.State.SUSPECT)
-        return [self.table.own, *self.table.members(states)]
+        return [self.table.local, *self.table.members_in_states(states)]
 
-    def hint(self, endpoints: Iterable[defaults.Endpoint]) -> None:
+    def set_endpoint_hints(
+        self, endpoints: Iterable[defaults.Endpoint]
+    ) -> None:
         """Names endpoints at which daemons may be found.
 
         Meant for a VM list that lags: the endpoints are only tried now and
         then, and nothing is concluded from one that is missing.
         """
-        own = self.links.endpoint
-        self.dialer.hints = tuple(x for x in endpoints if x != own)
+        local = self.links.endpoint
+        self.dialer.hints = tuple(x for x in endpoints if x != local)
 
-    def announce(self, version: int, digest: str) -> None:
+    def announce_bundle(self, version: int, digest: str) -> None:
         """Tells all linked peers at once which bundle is in force here.
 
         Args:
             version: Version of the bundle.
             digest: Hex SHA-256 of its manifest.
         """
-        self.bundle = version
-        self.digest = bytes.fromhex(digest)[:DIGEST_BYTES]
-        self.table.set_bundle(version)
-        for link in self.links.links.values():
-            self._beat(link)
+        self.bundle_version = version
+        self.digest_prefix = bytes.fromhex(digest)[:DIGEST_PREFIX_BYTES]
+        self.table.set_bundle_version(version)
+        for link in self.links.by_peer.values():
+            self._send_heartbeat(link)
 
-    def hello(self) -> messages.Hello:
+    def local_hello(self) -> messages.Hello:
         """Returns what this daemon says of itself on a new link."""
-        own = self.table.own
+        local = self.table.local
         return messages.Hello(
             protocol=messages.PROTOCOL_VERSION,
             oldest=messages.OLDEST_PROTOCOL_VERSION,
             deployment=self.settings.deployment,
-            daemon=own.daemon,
-            zone=own.zone,
-            incarnation=own.incarnation,
-            address=own.address,
-            port=own.port,
+            daemon=local.daemon,
+            zone=local.zone,
+            incarnation=local.incarnation,
+            address=local.address,
+            port=local.port,
         )
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         period = self.settings.peers.heartbeat_s
-        self.next_tick = loop.time()
+        self.next_tick_at = loop.time()
         while True:
             self._tick(loop.time())
-            pause = period * self.random.uniform(1 - JITTER, 1 + JITTER)
-            self.next_tick = loop.time() + pause
+            pause = period * self.random.uniform(
+                1 - HEARTBEAT_JITTER, 1 + HEARTBEAT_JITTER
+            )
+            self.next_tick_at = loop.time() + pause
             await asyncio.sleep(pause)
 
     def _tick(self, now: float) -> None:
-        if now - self.next_tick > self.settings.peers.suspect_s / 2:
-            self._forgive(now)
-        for link in list(self.links.links.values()):
-            self._beat(link)
-            self._close_if_silent(link, now)
-        for entry in self.table.expire(now):
-            self._changed(entry)
+        if now - self.next_tick_at > self.settings.peers.suspect_s / 2:
+            self._reset_link_timeouts(now)
+        for link in list(self.links.by_peer.values()):
+            self._send_heartbeat(link)
+            self._abort_if_unresponsive(link, now)
+        for entry in self.table.expire_entries(now):
+            self._report_change(entry)
         if self.displaced:
             return
-        for name in self.dialer.overdue(now):
-            entry = self.table.suspect(name, now)
+        for name in self.dialer.pop_overdue_peers(now):
+            entry = self.table.mark_suspect(name, now)
             if entry is not None:
-                self._changed(entry)
-        self.dialer.maintain(now)
-        self._sync(now)
+                self._report_change(entry)
+        self.dialer.maintain_links(now)
+        self._sync_full_table(now)
 
-    def _forgive(self, now: float) -> None:
+    def _reset_link_timeouts(self, now: float) -> None:
         # This process was paused, so silence says nothing about peers.
         log.warning("membership: this process was paused.")
-        for link in self.links.links.values():
-            link.last_heard = now
-
-    def _beat(self, link: Link) -> None:
-        link.sequence += 1
-        link.post(messages.Heartbeat(link.sequence, self.bundle, self.digest))
+        for link in self.links.by_peer.values():
+            link.last_received_at = now
+
+    def _send_heartbeat(self, link: Link) -> None:
+        link.heartbeat_sequence += 1
+        link.enqueue(
+            messages.Heartbeat(
+                link.heartbeat_sequence, self.bundle_version, self.digest_prefix
+            )
+        )
 
-    def _close_if_silent(self, link: Link, now: float) -> None:
-        if now - link.last_heard > self.settings.peers.suspect_s:
+    def _abort_if_unresponsive(self, link: Link, now: float) -> None:
+        if now - link.last_received_at > self.settings.peers.suspect_s:
             log.warning("membership: a link went silent.", peer=link.daemon)
             link.abort()
 
-    def _sync(self, now: float) -> None:
+    def _sync_full_table(self, now: float) -> None:
         # Passing on changes reaches everyone unless a full queue dropped
         # some; sending the whole table now and then mends that. The period
         # grows with the fleet, so the bytes a second do not.
-        if now < self.next_sync or not self.links.links:
+        if now < self.next_sync_at or not self.links.by_peer:
             return
-        scale = max(1.0, len(self.table.entries) / SYNC_MEMBERS)
-        self.next_sync = now + SYNC_S * scale * self.random.uniform(0.5, 1.5)
-        link = self.random.choice([*self.links.links.values()])
-        link.post(messages.Members(self.table.all_entries()))
+        scale = max(1.0, len(self.table.entries) / SYNC_SCALING_MEMBERS)
+        self.next_sync_at = now + SYNC_PERIOD_S * scale * self.random.uniform(
+            0.5, 1.5
+        )
+        link = self.random.choice([*self.links.by_peer.values()])
+        link.enqueue(messages.Members(self.table.all_entries()))
 
-    def _known(self, daemon: str) -> MemberEntry | None:
+    def _find_entry(self, daemon: str) -> MemberEntry | None:
         return self.table.entries.get(daemon)
 
-    def _came_up(self, link: Link) -> None:
+    def _on_link_up(self, link: Link) -> None:
         hello = link.hello
         log.info("membership: link is up.", peer=link.daemon)
-        self.last_heard = link.last_heard
-        self.dialer.linked(link)
+        self.last_received_at = link.last_received_at
+        self.dialer.record_established_link(link)
         entry = MemberEntry(
             daemon=hello.daemon,
             incarnation=hello.incarnation,
@@ -285,60 +300,62 @@
             port=hello.port,
             zone=hello.zone,
         )
-        self._apply(entry, link.daemon)
-        link.post(messages.Members(self.table.all_entries()))
-        self._beat(link)
+        self._apply_entry(entry, link.daemon)
+        link.enqueue(messages.Members(self.table.all_entries()))
+        self._send_heartbeat(link)
         for hook in self.on_link:
             hook(link.daemon)
 
-    def _went_down(self, link: Link) -> None:
+    def _on_link_down(self, link: Link) -> None:
         now = asyncio.get_running_loop().time()
-        log.info("membership: link is down.", peer=link.daemon, code=link.code)
-        if link.code == CLOSE_NORMAL:
+        log.info(
+            "membership: link is down.", peer=link.daemon, code=link.close_code
+        )
+        if link.close_code == CLOSE_NORMAL:
             return
-        ended = self.table.end(link.daemon, now)
-        if ended is not None:
-            self._changed(ended)
+        left = self.table.mark_left(link.daemon, now)
+        if left is not None:
+            self._report_change(left)
         else:
-            self.dialer.doubt(link, now)
+            self.dialer.record_lost_link(link, now)
 
-    def _receive(self, link: Link, message: Any) -> None:
-        self.last_heard = link.last_heard
+    def _on_message(self, link: Link, message: Any) -> None:
+        self.last_received_at = link.last_received_at
         if isinstance(message, messages.Members):
             for entry in message.entries:
-                self._apply(entry, link.daemon)
+                self._apply_entry(entry, link.daemon)
         elif isinstance(message, messages.Heartbeat):
-            self._note_bundle(link.daemon, message.bundle)
-        for handler in self.handlers.get(type(message), ()):
+            self._record_bundle_version(link.daemon, message.bundle)
+        for handler in self.message_handlers.get(type(message), ()):
             try:
                 handler(link.daemon, message)
             except Exception:
                 log.exception("membership: a message handler failed.")
 
-    def _note_bundle(self, daemon: str, version: int) -> None:
+    def _record_bundle_version(self, daemon: str, version: int) -> None:
         entry = self.table.entries.get(daemon)
         if entry is not None and version > entry.bundle:
             self.table.entries[daemon] = entry._replace(bundle=version)
 
-    def _apply(self, entry: MemberEntry, origin: str) -> None:
+    def _apply_entry(self, entry: MemberEntry, origin: str) -> None:
         known = self.table.entries.get(entry.daemon)
         now = asyncio.get_running_loop().time()
-        applied = self.table.apply(entry, now)
+        applied = self.table.apply_entry(entry, now)
         if applied.displaced:
-            has_ended = entry.state == table.State.DEAD
-            self._name_taken(entry.incarnation, has_ended)
+            is_dead = entry.state == table.State.DEAD
+            self._on_name_conflict(entry.incarnation, is_dead)
         elif applied.refuted:
-            self._spread(self.table.own)
+            self._queue_update(self.table.local)
         elif applied.changed is not None:
-            self._changed(applied.changed, origin, known)
+            self._report_change(applied.changed, origin, known)
 
-    def _changed(
+    def _report_change(
         self,
         entry: MemberEntry,
         origin: str = "",
         known: MemberEntry | None = None,
     ) -> None:
-        self._spread(entry, origin)
+        self._queue_update(entry, origin)
         if (
             known is not None
             and known.state == entry.state
@@ -353,32 +370,36 @@
             events.MemberChanged(entry.daemon, state, entry.incarnation)
         )
 
-    def _spread(self, entry: MemberEntry, origin: str = "") -> None:
-        self.unsent[entry.daemon] = (entry, origin)
-        if self.flush is None:
+    def _queue_update(self, entry: MemberEntry, origin: str = "") -> None:
+        self.pending_updates[entry.daemon] = (entry, origin)
+        if self.flush_timer is None:
             loop = asyncio.get_running_loop()
-            self.flush = loop.call_later(FLUSH_S, self._send_unsent)
-
-    def _send_unsent(self) -> None:
-        self.flush = None
-        unsent = list(self.unsent.values())
-        self.unsent.clear()
-        for link in self.links.links.values():
-            entries = tuple(e for e, origin in unsent if origin != link.daemon)
+            self.flush_timer = loop.call_later(
+                FLUSH_DELAY_S, self._flush_updates
+            )
+
+    def _flush_updates(self) -> None:
+        self.flush_timer = None
+        updates = list(self.pending_updates.values())
+        self.pending_updates.clear()
+        for link in self.links.by_peer.values():
+            entries = tuple(e for e, origin in updates if origin != link.daemon)
             if entries:
-                link.post(messages.Members(entries))
+                link.enqueue(messages.Members(entries))
 
-    def _name_taken(self, incarnation: int, has_ended: bool = False) -> None:
+    def _on_name_conflict(
+        self, incarnation: int, is_dead: bool = False
+    ) -> None:
         now = asyncio.get_running_loop().time()
-        own = self.table.own
-        if has_ended or now - self.started < NEWCOMER_S:
+        local = self.table.local
+        if is_dead or now - self.started_at < NAME_TAKEOVER_WINDOW_S:
             # Another run of this name has a later clock, but it is dead or
             # this one has only just started, so this one is the newer.
-            taken = own._replace(incarnation=incarnation)
-            self._spread(self.table.take_name(taken))
+            taken = local._replace(incarnation=incarnation)
+            self._queue_update(self.table.raise_incarnation_above(taken))
             return
         if not self.displaced:
             log.error("membership: another daemon took this one's name.")
         self.displaced = True
-        for link in list(self.links.links.values()):
+        for link in list(self.links.by_peer.values()):
             self.links.retire(link)
--- a/banyantiller/membership/table.py
+++ b/banyantiller/membership/table.py
@@ -14,10 +14,10 @@
 
 from banyantiller.membership.messages import MemberEntry
 
-CONFIRM_PERIODS = 2.0
-LEAVING_S = 300.0
-FORGET_S = 300.0
-MOST_MEMBERS = 1024
+SUSPECT_PERIODS_UNTIL_DEAD = 2.0
+LEAVING_TIMEOUT_S = 300.0
+FORGET_DEAD_AFTER_S = 300.0
+MAX_MEMBERS = 1024
 
 
 class State(enum.IntEnum):
@@ -37,14 +37,14 @@
 }
 
 
-def identity(entry: MemberEntry) -> tuple[int, str, int]:
+def incarnation_id(entry: MemberEntry) -> tuple[int, str, int]:
     """Tells one run of a daemon from another run of the same name."""
     return entry.incarnation, entry.address, entry.port
 
 
-def order(entry: MemberEntry) -> tuple[object, ...]:
+def precedence(entry: MemberEntry) -> tuple[object, ...]:
     """Returns the key by which the greater of two entries wins."""
-    return *identity(entry), entry.heard, entry.state, entry.zone
+    return *incarnation_id(entry), entry.heard, entry.state, entry.zone
 
 
 def merge(left: MemberEntry, right: MemberEntry) -> MemberEntry:
@@ -55,18 +55,18 @@
     """
     winner, loser = (
         (left, right)
-        if order(left) >= order(right)
+        if precedence(left) >= precedence(right)
         else (
             right,
             left,
         )
     )
-    if identity(winner) != identity(loser):
+    if incarnation_id(winner) != incarnation_id(loser):
         return winner
     return winner._replace(bundle=max(winner.bundle, loser.bundle))
 
 
-class Applied(NamedTuple):
+class ApplyResult(NamedTuple):
     """What came of an entry that a peer told.
 
     Attributes:
@@ -81,7 +81,7 @@
     displaced: bool = False
 
 
-class Table:
+class MemberTable:
     """Entries of all known daemons.
 
     Attributes:
@@ -90,13 +90,13 @@
         since: Time of each entry's last change of state here.
     """
 
-    def __init__(self, own: MemberEntry, suspect_s: float) -> None:
-        self.own = own
+    def __init__(self, local: MemberEntry, suspect_s: float) -> None:
+        self.local = local
         self.suspect_s = suspect_s
         self.entries: dict[str, MemberEntry] = {}
-        self.since: dict[str, float] = {}
+        self.state_since: dict[str, float] = {}
 
-    def apply(self, entry: MemberEntry, now: float) -> Applied:
+    def apply_entry(self, entry: MemberEntry, now: float) -> ApplyResult:
         """Takes in an entry.
 
         Args:
@@ -106,34 +106,34 @@
         Returns:
             What changed by it.
         """
-        if entry.daemon == self.own.daemon:
-            return self._apply_own(entry)
-        known = self.entries.get(entry.daemon)
-        if known is None:
+        if entry.daemon == self.local.daemon:
+            return self._apply_local(entry)
+        current = self.entries.get(entry.daemon)
+        if current is None:
             return self._apply_new(entry, now)
-        merged = merge(known, entry)
-        if merged == known:
-            return Applied()
-        self._store(merged, now)
-        if order(merged) == order(known):
-            return Applied()
-        return Applied(changed=merged)
-
-    def suspect(self, daemon: str, now: float) -> MemberEntry | None:
+        merged = merge(current, entry)
+        if merged == current:
+            return ApplyResult()
+        self._store_entry(merged, now)
+        if precedence(merged) == precedence(current):
+            return ApplyResult()
+        return ApplyResult(changed=merged)
+
+    def mark_suspect(self, daemon: str, now: float) -> MemberEntry | None:
         """Marks a member as suspect; returns the entry if it was alive."""
         entry = self.entries.get(daemon)
         if entry is None or entry.state != State.ALIVE:
             return None
-        return self._store(entry._replace(state=State.SUSPECT), now)
+        return self._store_entry(entry._replace(state=State.SUSPECT), now)
 
-    def end(self, daemon: str, now: float) -> MemberEntry | None:
+    def mark_left(self, daemon: str, now: float) -> MemberEntry | None:
         """Marks a leaving member as dead once its links have closed."""
         entry = self.entries.get(daemon)
         if entry is None or entry.state != State.LEAVING:
             return None
-        return self._store(entry._replace(state=State.DEAD), now)
+        return self._store_entry(entry._replace(state=State.DEAD), now)
 
-    def expire(self, now: float) -> list[MemberEntry]:
+    def expire_entries(self, now: float) -> list[MemberEntry]:
         """Moves members on whose time in a state is over.
 
         Suspects that nobody refuted become dead, as do members that have
@@ -143,78 +143,80 @@
             Entries that became dead.
         """
         dead = [
-            self._store(entry._replace(state=State.DEAD), now)
+            self._store_entry(entry._replace(state=State.DEAD), now)
             for entry in list(self.entries.values())
-            if self._is_over(entry, now)
+            if self._is_expired(entry, now)
         ]
-        for name in [n for n, e in self.entries.items() if self._old(e, now)]:
+        for name in [
+            n for n, e in self.entries.items() if self._is_forgettable(e, now)
+        ]:
             del self.entries[name]
-            del self.since[name]
+            del self.state_since[name]
         return dead
 
-    def leave(self) -> MemberEntry:
+    def mark_leaving(self) -> MemberEntry:
         """Marks this daemon as leaving; returns its entry."""
-        self.own = self.own._replace(
-            state=State.LEAVING, heard=self.own.heard + 1
+        self.local = self.local._replace(
+            state=State.LEAVING, heard=self.local.heard + 1
         )
-        return self.own
+        return self.local
 
-    def take_name(self, other: MemberEntry) -> MemberEntry:
+    def raise_incarnation_above(self, other: MemberEntry) -> MemberEntry:
         """Raises the own incarnation above an earlier run's; returns it."""
-        self.own = self.own._replace(
-            incarnation=max(self.own.incarnation, other.incarnation) + 1
+        self.local = self.local._replace(
+            incarnation=max(self.local.incarnation, other.incarnation) + 1
         )
-        return self.own
+        return self.local
 
-    def set_bundle(self, version: int) -> None:
+    def set_bundle_version(self, version: int) -> None:
         """Notes the version of the bundle in force here."""
-        self.own = self.own._replace(bundle=version)
+        self.local = self.local._replace(bundle=version)
 
-    def members(self, states: Iterable[int]) -> list[MemberEntry]:
+    def members_in_states(self, states: Iterable[int]) -> list[MemberEntry]:
         """Returns the other members in the given states, by name."""
-        wanted = set(states)
+        wanted_states = set(states)
         return [
             self.entries[name]
             for name in sorted(self.entries)
-            if self.entries[name].state in wanted
+            if self.entries[name].state in wanted_states
         ]
 
     def all_entries(self) -> tuple[MemberEntry, ...]:
         """Returns the own entry and all others."""
-        return self.own, *self.entries.values()
+        return self.local, *self.entries.values()
 
-    def _apply_own(self, entry: MemberEntry) -> Applied:
-        if identity(entry) > identity(self.own):
-            return Applied(displaced=True)
-        if identity(entry) < identity(self.own):
-            return Applied(self.own, refuted=True)
+    def _apply_local(self, entry: MemberEntry) -> ApplyResult:
+        if incarnation_id(entry) > incarnation_id(self.local):
+            return ApplyResult(displaced=True)
+        if incarnation_id(entry) < incarnation_id(self.local):
+            return ApplyResult(self.local, refuted=True)
         # Equal counters with a worse state, or a counter raised by an
         # entry that outlived a lost one: both are answered by a higher one.
-        if order(entry) <= order(self.own):
-            return Applied()
-        self.own = self.own._replace(heard=entry.heard + 1)
-        return Applied(self.own, refuted=True)
+        if precedence(entry) <= precedence(self.local):
+            return ApplyResult()
+        self.local = self.local._replace(heard=entry.heard + 1)
+        return ApplyResult(self.local, refuted=True)
 
-    def _apply_new(self, entry: MemberEntry, now: float) -> Applied:
+    def _apply_new(self, entry: MemberEntry, now: float) -> ApplyResult:
         # A dead member that is not known here was forgotten: taking it in
         # again would let two daemons remind each other of it for ever.
-        if entry.state == State.DEAD or len(self.entries) >= MOST_MEMBERS:
-            return Applied()
-        return Applied(changed=self._store(entry, now))
-
-    def _store(self, entry: MemberEntry, now: float) -> MemberEntry:
-        known = self.entries.get(entry.daemon)
-        if known is None or known.state != entry.state:
-            self.since[entry.daemon] = now
+        if entry.state == State.DEAD or len(self.entries) >= MAX_MEMBERS:
+            return ApplyResult()
+        return ApplyResult(changed=self._store_entry(entry, now))
+
+    def _store_entry(self, entry: MemberEntry, now: float) -> MemberEntry:
+        current = self.entries.get(entry.daemon)
+        if current is None or current.state != entry.state:
+            self.state_since[entry.daemon] = now
         self.entries[entry.daemon] = entry
         return entry
 
-    def _is_over(self, entry: MemberEntry, now: float) -> bool:
-        age = now - self.since[entry.daemon]
+    def _is_expired(self, entry: MemberEntry, now: float) -> bool:
+        age = now - self.state_since[entry.daemon]
         if entry.state == State.SUSPECT:
-            return age >= self.suspect_s * CONFIRM_PERIODS
-        return entry.state == State.LEAVING and age >= LEAVING_S
+            return age >= self.suspect_s * SUSPECT_PERIODS_UNTIL_DEAD
+        return entry.state == State.LEAVING and age >= LEAVING_TIMEOUT_S
 
-    def _old(self, entry: MemberEntry, now: float) -> bool:
-        age = now - self.since[entry.daemon]
-        return entry.state == State.DEAD and age >= FORGET_S
+    def _is_forgettable(self, entry: MemberEntry, now: float) -> bool:
+        age = now - self.state_since[entry.daemon]
+        return entry.state == State.DEAD and age >= FORGET_DEAD_AFTER_S
--- a/banyantiller/replica/fetching.py
+++ b/banyantiller/replica/fetching.py
@@ -80,7 +80,7 @@
         """Returns linked peers at which a version or a later is in force."""
         return [
             name
-            for name in self.peers.linked()
+            for name in self.peers.linked_peers()
             if self.announced.get(name, 0) >= version
         ]
 
--- a/banyantiller/replica/reading.py
+++ b/banyantiller/replica/reading.py
@@ -72,10 +72,13 @@
 
     def has_rank(self) -> bool:
         """Tells whether this daemon is one of those that watch."""
-        alive = [entry.daemon for entry in self.peers.alive(suspects=False)]
+        alive = [
+            entry.daemon
+            for entry in self.peers.alive_members(include_suspects=False)
+        ]
         key = f"{WATCH_KEY} {self.settings.deployment}"
         places = self.settings.object_api.watchers
-        return overlay.holds_rank(key, self.settings.daemon, alive, places)
+        return overlay.is_selected(key, self.settings.daemon, alive, places)
 
     def read_period(self) -> float:
         """Returns the mean time between reads, in seconds.
@@ -86,9 +89,9 @@
         """
         period = max(
             self.settings.object_api.poll_s,
-            READ_SPACING_S * len(self.peers.alive()),
+            READ_SPACING_S * len(self.peers.alive_members()),
         )
-        if self.peers.linked():
+        if self.peers.linked_peers():
             return period
         alone = self.settings.outage.isolated_after_s / READS_WHEN_ALONE
         return min(period, alone)
--- a/banyantiller/replica/spread.py
+++ b/banyantiller/replica/spread.py
@@ -142,7 +142,7 @@
         """Whether neither the object API nor any peer answered for long."""
         if self.started is None:
             return False
-        times = (self.started, self.last_answer, self.peers.last_heard)
+        times = (self.started, self.last_answer, self.peers.last_received_at)
         latest = max(time for time in times if time is not None)
         limit = self.settings.outage.isolated_after_s
         return asyncio.get_running_loop().time() - latest > limit
@@ -215,7 +215,7 @@
         version = held.version
         source = self.sources.get(version, "peer")
         self.sources = {v: s for v, s in self.sources.items() if v > version}
-        self.peers.announce(version, held.digest)
+        self.peers.announce_bundle(version, held.digest)
         if not self._tell(held):
             return
         log.info(
--- a/banyantiller/replica/status.py
+++ b/banyantiller/replica/status.py
@@ -81,7 +81,7 @@
                 await self.store.delete(self.item)
 
     async def _wait_for_change(self) -> None:
-        members = len(self.peers.alive())
+        members = len(self.peers.alive_members())
         renew = max(RENEW_S, RENEW_SPACING_S * members)
         try:
             async with asyncio.timeout(renew * self.random.uniform(0.8, 1.2)):
@@ -96,7 +96,7 @@
     async def _write(self) -> bool:
         self.changed.clear()
         now = asyncio.get_running_loop().time()
-        self.next_write = now + GAP_SPACING_S * len(self.peers.alive())
+        self.next_write = now + GAP_SPACING_S * len(self.peers.alive_members())
         value = self._value()
         name = self.settings.daemon
         if self.item is None:
@@ -125,5 +125,5 @@
             "bundle": held.version if held else 0,
             "digest": held.digest if held else "",
             "at": self.wall(),
-            "incarnation": self.peers.table.own.incarnation,
+            "incarnation": self.peers.table.local.incarnation,
         }
--- a/banyantiller/tests/daemon/test_outdated_bundle.py
+++ b/banyantiller/tests/daemon/test_outdated_bundle.py
@@ -42,7 +42,7 @@
         await roll(fleet, text)
         await asyncio.sleep(whole.SETTLED_S)
     fleet.stores[1].faults.down = True
-    handlers = fleet.daemons[0].peers.handlers
+    handlers = fleet.daemons[0].peers.message_handlers
     send_bundle = handlers.pop(messages.BundleRequest)
     await roll(fleet, texts[-1])
     await asyncio.sleep(SOON_S)
--- a/banyantiller/tests/fuzz/test_messages.py
+++ b/banyantiller/tests/fuzz/test_messages.py
@@ -62,7 +62,7 @@
             self.assertLess(len(str(error)), 2000)
             return
         if message is not None:
-            self.assertIn(type(message), messages.NUMBERS)
+            self.assertIn(type(message), messages.TYPE_NUMBERS)
             self.assertEqual(message, messages.decode(messages.encode(message)))
 
     def test_damaged_messages(self):
--- a/banyantiller/tests/membership/support.py
+++ b/banyantiller/tests/membership/support.py
@@ -60,7 +60,10 @@
         return self.settings.daemon
 
     def alive(self) -> set[str]:
-        return {entry.daemon for entry in self.peers.alive(suspects=False)}
+        return {
+            entry.daemon
+            for entry in self.peers.alive_members(include_suspects=False)
+        }
 
     def state(self, daemon: str) -> int | None:
         entry = self.peers.table.entries.get(daemon)
@@ -77,8 +80,8 @@
         """Ends without a word: links are lost and nothing listens."""
         await self.kernel.stop()
         await self.peers.dialer.close()
-        for link in list(self.peers.links.links.values()):
-            link.code = 1000
+        for link in list(self.peers.links.by_peer.values()):
+            link.close_code = 1000
             link.abort()
         self.peers.links.server.close()
         await self.peers.links.server.wait_closed()
@@ -103,10 +106,10 @@
     await asyncio.gather(*(item.close() for item in nodes))
 
 
-def mute(one: Node, other: Node) -> None:
+def drop_link_messages(one: Node, other: Node) -> None:
     """Makes the link between two go silent both ways while it stays open."""
     for here, there in ((one, other), (other, one)):
-        link = here.peers.links.links.get(there.name)
+        link = here.peers.links.by_peer.get(there.name)
         if link is not None:
             link.send = _drop
 
@@ -121,7 +124,7 @@
     seen = {nodes[0].name}
     todo = [nodes[0]]
     while todo:
-        for name in todo.pop().peers.linked():
+        for name in todo.pop().peers.linked_peers():
             if name in by_name and name not in seen:
                 seen.add(name)
                 todo.append(by_name[name])
--- a/banyantiller/tests/membership/test_handshake.py
+++ b/banyantiller/tests/membership/test_handshake.py
@@ -46,7 +46,7 @@
 
     async def side(channel, role, own, secret):
         async with asyncio.timeout(2):
-            return await handshake.greet(channel, role, own, secret)
+            return await handshake.perform_handshake(channel, role, own, secret)
 
     return await asyncio.gather(
         side(here, handshake.DIALER, dialer, secrets[0]),
@@ -61,7 +61,7 @@
             return await meet(dialer, listener, **others)
 
         dialed, listened = self.run_paused(body())
-        self.assertIsInstance(listened, handshake.RefusedError)
+        self.assertIsInstance(listened, handshake.LinkRefusedError)
         self.assertEqual(code, listened.code)
         self.assertIsInstance(dialed, TimeoutError)
 
@@ -76,13 +76,16 @@
     def test_strangers(self):
         for secrets in (("wrong", "s"), ("", "s")):
             self.refused(
-                handshake.STRANGER, hello(1), hello(2), secrets=secrets
+                handshake.CLOSE_UNAUTHENTICATED,
+                hello(1),
+                hello(2),
+                secrets=secrets,
             )
 
     def test_another_fleet_and_itself(self):
         other = hello(1, deployment="survey")
-        self.refused(handshake.OTHER_FLEET, other, hello(2))
-        self.refused(handshake.ITSELF, hello(1), hello(1))
+        self.refused(handshake.CLOSE_OTHER_DEPLOYMENT, other, hello(2))
+        self.refused(handshake.CLOSE_SELF_LINK, hello(1), hello(1))
 
     def test_protocol_versions(self):
         async def body():
@@ -92,12 +95,14 @@
 
         self.run_paused(body())
         self.refused(
-            handshake.VERSION, hello(1, protocol=4, oldest=2), hello(2)
+            handshake.CLOSE_NO_COMMON_VERSION,
+            hello(1, protocol=4, oldest=2),
+            hello(2),
         )
 
     def test_a_proof_fits_one_link_side_and_daemon(self):
         nonces = handshake.Nonces(b"d" * 32, b"l" * 32)
-        good = handshake.proof("s", handshake.DIALER, nonces, hello(1))
+        good = handshake.compute_proof("s", handshake.DIALER, nonces, hello(1))
         others = [
             ("t", handshake.DIALER, nonces, hello(1)),
             ("s", handshake.LISTENER, nonces, hello(1)),
@@ -112,16 +117,18 @@
             ("s", handshake.DIALER, nonces, hello(1, deployment="survey")),
         ]
         for changed in others:
-            self.assertNotEqual(good, handshake.proof(*changed))
+            self.assertNotEqual(good, handshake.compute_proof(*changed))
 
     def test_a_reflected_challenge_is_refused(self):
         async def body():
             here, there = pair()
             greeting = asyncio.create_task(
-                handshake.greet(here, handshake.DIALER, hello(1), "s")
+                handshake.perform_handshake(
+                    here, handshake.DIALER, hello(1), "s"
+                )
             )
             await there.send(await there.recv())
-            with self.assertRaises(handshake.RefusedError):
+            with self.assertRaises(handshake.LinkRefusedError):
                 await greeting
 
         self.run_paused(body())
@@ -133,13 +140,15 @@
             await there.send(nonce)
             await there.send(data)
             try:
-                await handshake.greet(here, handshake.LISTENER, hello(1), "s")
-            except handshake.RefusedError as error:
+                await handshake.perform_handshake(
+                    here, handshake.LISTENER, hello(1), "s"
+                )
+            except handshake.LinkRefusedError as error:
                 return error.code
 
         beat = messages.encode(messages.Heartbeat(1, 9, b""))
         for data in (beat, b"\xff\xff", b"", messages.encode(hello(2))):
             self.assertIn(
                 self.run_paused(body(data)),
-                (handshake.MALFORMED, handshake.STRANGER),
+                (handshake.CLOSE_MALFORMED, handshake.CLOSE_UNAUTHENTICATED),
             )
--- a/banyantiller/tests/membership/test_overlay.py
+++ b/banyantiller/tests/membership/test_overlay.py
@@ -20,7 +20,7 @@
     """Neighbours of each member when all have the same view."""
     edges = {entry.daemon: set() for entry in members}
     for entry in members:
-        for other in overlay.targets(entry, members, links):
+        for other in overlay.choose_link_targets(entry, members, links):
             edges[entry.daemon].add(other.daemon)
             edges[other.daemon].add(entry.daemon)
     return edges
@@ -52,29 +52,33 @@
 
     def test_targets_spread_over_zones(self):
         members = fleet(28)
-        for own in members:
-            chosen = overlay.targets(own, members, 4)
+        for local in members:
+            chosen = overlay.choose_link_targets(local, members, 4)
             self.assertGreaterEqual(len({e.zone for e in chosen}), 3)
-            self.assertNotIn(own.daemon, {e.daemon for e in chosen})
+            self.assertNotIn(local.daemon, {e.daemon for e in chosen})
 
     def test_one_death_changes_few_targets(self):
         members = fleet(28)
         after = [entry for entry in members if entry.daemon != "d5"]
-        for own in after:
-            before = {e.daemon for e in overlay.targets(own, members, 4)}
-            now = {e.daemon for e in overlay.targets(own, after, 4)}
+        for local in after:
+            before = {
+                e.daemon for e in overlay.choose_link_targets(local, members, 4)
+            }
+            now = {
+                e.daemon for e in overlay.choose_link_targets(local, after, 4)
+            }
             if "d5" not in before:
                 self.assertEqual(before, now)
 
     def test_alone(self):
-        (own,) = fleet(1)
-        self.assertEqual([], overlay.targets(own, [own], 4))
+        (local,) = fleet(1)
+        self.assertEqual([], overlay.choose_link_targets(local, [local], 4))
 
     def test_same_views_give_exactly_the_asked_places(self):
         names = [entry.daemon for entry in fleet(20)]
-        holders = [n for n in names if overlay.holds_rank("w", n, names, 3)]
+        holders = [n for n in names if overlay.is_selected("w", n, names, 3)]
         self.assertEqual(3, len(holders))
         fewer = [n for n in names if n not in holders[:1]]
-        left = [n for n in fewer if overlay.holds_rank("w", n, fewer, 3)]
+        left = [n for n in fewer if overlay.is_selected("w", n, fewer, 3)]
         self.assertEqual(set(holders[1:]), set(left) & set(holders))
-        self.assertTrue(overlay.holds_rank("w", "d1", [], 1))
+        self.assertTrue(overlay.is_selected("w", "d1", [], 1))
--- a/banyantiller/tests/membership/test_peers.py
+++ b/banyantiller/tests/membership/test_peers.py
@@ -40,7 +40,7 @@
                 moved = now["bytes_in"] + now["bytes_out"]
                 moved -= old["bytes_in"] + old["bytes_out"]
                 self.assertLess(moved / 30, 1000)
-                self.assertLessEqual(len(item.peers.linked()), 13)
+                self.assertLessEqual(len(item.peers.linked_peers()), 13)
             self.assertEqual(0, sum(x.peers.traffic.dropped for x in nodes))
 
         self.on_fleet(14, body)
@@ -55,7 +55,7 @@
                 states = [x.state for x in item.changes if x.daemon == "d1"]
                 self.assertEqual("dead", states[-1])
             self.assertEqual(len(nodes), len(support.reachable(nodes)))
-            await asyncio.sleep(table.FORGET_S + 10)
+            await asyncio.sleep(table.FORGET_DEAD_AFTER_S + 10)
             self.assertEqual({None}, {x.state("d1") for x in nodes})
 
         self.on_fleet(6, body)
@@ -75,12 +75,12 @@
     def test_a_silent_link_is_replaced_and_nobody_dies(self):
         async def body(nodes):
             other = next(
-                x for x in nodes if x.name == nodes[0].peers.linked()[0]
+                x for x in nodes if x.name == nodes[0].peers.linked_peers()[0]
             )
-            silent = nodes[0].peers.links.links[other.name]
-            support.mute(nodes[0], other)
+            silent = nodes[0].peers.links.by_peer[other.name]
+            support.drop_link_messages(nodes[0], other)
             await asyncio.sleep(10)
-            self.assertIsNot(silent, nodes[0].peers.links.links[other.name])
+            self.assertIsNot(silent, nodes[0].peers.links.by_peer[other.name])
             states = [c.state for x in nodes for c in x.changes]
             self.assertNotIn("dead", states)
 
@@ -89,7 +89,7 @@
     def test_a_long_pause_is_not_a_death_and_is_refuted(self):
         async def body(nodes):
             for other in nodes[1:]:
-                support.mute(nodes[0], other)
+                support.drop_link_messages(nodes[0], other)
             asleep = nodes[0].peers
             listening = asleep.links.server
             listening.close(close_connections=False)
@@ -106,10 +106,10 @@
         async def body(nodes):
             peers = nodes[0].peers
             now = asyncio.get_running_loop().time()
-            before = dict(peers.links.links)
+            before = dict(peers.links.by_peer)
             peers._tick(now + 60)
             await asyncio.sleep(0.1)
-            self.assertEqual(before, peers.links.links)
+            self.assertEqual(before, peers.links.by_peer)
             peers.next_tick = now + 60
             peers._tick(now + 120)
 
@@ -126,7 +126,9 @@
                 await item.start()
             await asyncio.sleep(10)
             self.assertEqual({2}, {len(x.alive()) for x in west + east})
-            east[1].peers.hint([support.endpoint(1), support.endpoint(99)])
+            east[1].peers.set_endpoint_hints(
+                [support.endpoint(1), support.endpoint(99)]
+            )
             await asyncio.sleep(20)
             self.assertEqual({4}, {len(x.alive()) for x in west + east})
             await support.close_fleet(west + east)
@@ -137,13 +139,15 @@
         async def body(nodes):
             await nodes[0].kill()
             again = support.node(support.settings(0))
-            own = again.peers.table.own
-            again.peers.table.own = own._replace(incarnation=1)
+            own = again.peers.table.local
+            again.peers.table.local = own._replace(incarnation=1)
             await again.start()
             nodes[0] = again
             await asyncio.sleep(15)
             self.assertFalse(again.peers.displaced)
-            refused = [x.peers.links.refused.get(4003, 0) for x in nodes]
+            refused = [
+                x.peers.links.refused_handshakes.get(4003, 0) for x in nodes
+            ]
             self.assertLess(sum(refused), 4)
             self.assertEqual({4}, {len(x.alive()) for x in nodes})
 
@@ -164,17 +168,17 @@
             await nodes[1].kill()
             await asyncio.sleep(30)
             again = support.node(support.settings(5, seeds=()))
-            own = again.peers.table.own
-            again.peers.table.own = own._replace(
+            own = again.peers.table.local
+            again.peers.table.local = own._replace(
                 daemon="d1", incarnation=own.incarnation - 3_600_000
             )
             await again.start()
             await asyncio.sleep(30)
             self.assertEqual(table.State.DEAD, nodes[0].state("d1"))
-            again.peers.hint((support.endpoint(0),))
+            again.peers.set_endpoint_hints((support.endpoint(0),))
             await asyncio.sleep(10)
             self.assertFalse(again.peers.displaced)
-            self.assertEqual(["d0"], again.peers.linked())
+            self.assertEqual(["d0"], again.peers.linked_peers())
             self.assertEqual(table.State.ALIVE, nodes[0].state("d1"))
             await support.close_fleet([nodes[0], again])
 
@@ -188,7 +192,7 @@
             await second.start()
             await asyncio.sleep(15)
             self.assertTrue(nodes[0].peers.displaced)
-            self.assertEqual([], nodes[0].peers.linked())
+            self.assertEqual([], nodes[0].peers.linked_peers())
             self.assertFalse(second.peers.displaced)
             self.assertEqual(
                 {support.FIRST_PORT + 50},
@@ -209,7 +213,7 @@
             self.assertEqual(2, nodes[0].peers.broadcast(request))
             self.assertTrue(nodes[0].peers.send("d1", request))
             self.assertFalse(nodes[0].peers.send("d9", request))
-            nodes[0].peers.announce(7, "ab" * 32)
+            nodes[0].peers.announce_bundle(7, "ab" * 32)
             await asyncio.sleep(0.1)
             self.assertEqual([("d0", request)] * 3, got)
             entry = nodes[1].peers.table.entries["d0"]
@@ -226,9 +230,9 @@
             await bad.start()
             await asyncio.sleep(8)
             self.assertEqual({"d5"}, bad.alive())
-            self.assertEqual([], bad.peers.linked())
+            self.assertEqual([], bad.peers.linked_peers())
             self.assertEqual({"d0", "d1"}, good[0].alive())
-            self.assertIn(1008, good[0].peers.links.refused)
+            self.assertIn(1008, good[0].peers.links.refused_handshakes)
             await support.close_fleet([*good, bad])
 
         self.run_paused(run())
@@ -246,7 +250,7 @@
         async def run():
             (node,) = await support.start_fleet(1)
             beat = messages.encode(messages.Heartbeat(1, 1, b""))
-            entry = support.node(support.settings(9)).peers.table.own
+            entry = support.node(support.settings(9)).peers.table.local
             forged = messages.encode(messages.Members((entry,)))
             for frames in ([], [beat], [forged] * 3, [b"x" * 100_000], ["a"]):
                 try:
@@ -291,11 +295,11 @@
         async def run():
             nodes = await support.start_fleet(2)
             await asyncio.sleep(2)
-            broken = nodes[0].peers.links.links["d1"]
-            broken.post_bytes(b"\x82\x02\x00")
-            broken.post_bytes(b"\xff")
+            broken = nodes[0].peers.links.by_peer["d1"]
+            broken.enqueue_encoded(b"\x82\x02\x00")
+            broken.enqueue_encoded(b"\xff")
             await asyncio.sleep(0.01)
-            self.assertIsNot(broken, nodes[0].peers.links.links.get("d1"))
+            self.assertIsNot(broken, nodes[0].peers.links.by_peer.get("d1"))
             await asyncio.sleep(5)
             self.assertEqual(2, len(nodes[0].alive()))
             await support.close_fleet(nodes)
--- a/banyantiller/tests/membership/test_table.py
+++ b/banyantiller/tests/membership/test_table.py
@@ -10,8 +10,8 @@
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.membership import support
 
-OWN = MemberEntry("own", 100, 0, 0, "127.0.0.1", 1, "zone-c")
-OTHER = MemberEntry("other", 100, 0, 0, "127.0.0.1", 2, "zone-c")
+LOCAL = MemberEntry("own", 100, 0, 0, "127.0.0.1", 1, "zone-c")
+PEER = MemberEntry("other", 100, 0, 0, "127.0.0.1", 2, "zone-c")
 
 ENTRIES = st.builds(
     MemberEntry,
@@ -36,71 +36,79 @@
         self.assertEqual(once, functools.reduce(table.merge, again))
 
     def test_a_later_run_wins_with_its_own_bundle(self):
-        earlier = OTHER._replace(bundle=7, heard=9, state=table.State.DEAD)
-        later = OTHER._replace(incarnation=101)
+        earlier = PEER._replace(bundle=7, heard=9, state=table.State.DEAD)
+        later = PEER._replace(incarnation=101)
         self.assertEqual(later, table.merge(earlier, later))
 
 
 class TableTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.members = table.Table(OWN, suspect_s=2.0)
+        self.members = table.MemberTable(LOCAL, suspect_s=2.0)
 
     def test_suspicion_is_refuted_by_a_higher_counter(self):
-        self.members.apply(OTHER, 0.0)
-        suspected = self.members.suspect("other", 1.0)
+        self.members.apply_entry(PEER, 0.0)
+        suspected = self.members.mark_suspect("other", 1.0)
         self.assertEqual(table.State.SUSPECT, suspected.state)
-        self.assertIsNone(self.members.apply(OTHER, 1.5).changed)
-        there = table.Table(OTHER, suspect_s=2.0)
-        refuted = there.apply(suspected, 1.6)
+        self.assertIsNone(self.members.apply_entry(PEER, 1.5).changed)
+        there = table.MemberTable(PEER, suspect_s=2.0)
+        refuted = there.apply_entry(suspected, 1.6)
         self.assertTrue(refuted.refuted)
-        applied = self.members.apply(refuted.changed, 1.7)
+        applied = self.members.apply_entry(refuted.changed, 1.7)
         self.assertEqual(table.State.ALIVE, applied.changed.state)
-        self.assertEqual([], self.members.expire(60.0))
+        self.assertEqual([], self.members.expire_entries(60.0))
 
     def test_a_daemon_that_wakes_refutes_its_death(self):
-        dead = OTHER._replace(state=table.State.DEAD)
-        there = table.Table(OTHER, suspect_s=2.0)
-        alive = there.apply(dead, 0.0).changed
+        dead = PEER._replace(state=table.State.DEAD)
+        there = table.MemberTable(PEER, suspect_s=2.0)
+        alive = there.apply_entry(dead, 0.0).changed
         self.assertEqual(alive, table.merge(dead, alive))
 
     def test_suspects_die_and_the_dead_are_forgotten(self):
-        self.members.apply(OTHER, 0.0)
-        suspected = self.members.suspect("other", 1.0)
-        self.assertEqual([], self.members.expire(4.9))
-        (dead,) = self.members.expire(5.0)
+        self.members.apply_entry(PEER, 0.0)
+        suspected = self.members.mark_suspect("other", 1.0)
+        self.assertEqual([], self.members.expire_entries(4.9))
+        (dead,) = self.members.expire_entries(5.0)
         self.assertEqual(table.State.DEAD, dead.state)
-        self.assertIsNone(self.members.apply(suspected, 6.0).changed)
-        self.members.expire(5.0 + table.FORGET_S)
+        self.assertIsNone(self.members.apply_entry(suspected, 6.0).changed)
+        self.members.expire_entries(5.0 + table.FORGET_DEAD_AFTER_S)
         self.assertEqual({}, self.members.entries)
-        self.assertEqual({}, self.members.since)
+        self.assertEqual({}, self.members.state_since)
         # A peer that has not forgotten yet must not bring it back.
-        self.assertEqual(table.Applied(), self.members.apply(dead, 400.0))
+        self.assertEqual(
+            table.ApplyResult(), self.members.apply_entry(dead, 400.0)
+        )
 
     def test_leaving_is_final_for_the_run(self):
-        self.members.apply(OTHER, 0.0)
-        leaving = table.Table(OTHER, 2.0).leave()
-        self.members.apply(leaving, 1.0)
-        self.assertIsNone(self.members.apply(OTHER, 2.0).changed)
-        self.assertIsNone(self.members.suspect("other", 2.0))
-        self.assertEqual(table.State.DEAD, self.members.end("other", 3).state)
+        self.members.apply_entry(PEER, 0.0)
+        leaving = table.MemberTable(PEER, 2.0).mark_leaving()
+        self.members.apply_entry(leaving, 1.0)
+        self.assertIsNone(self.members.apply_entry(PEER, 2.0).changed)
+        self.assertIsNone(self.members.mark_suspect("other", 2.0))
+        self.assertEqual(
+            table.State.DEAD, self.members.mark_left("other", 3).state
+        )
 
     def test_another_run_of_the_own_name(self):
-        earlier = OWN._replace(incarnation=99)
-        self.assertEqual(OWN, self.members.apply(earlier, 0.0).changed)
-        later = OWN._replace(incarnation=101)
-        self.assertTrue(self.members.apply(later, 0.0).displaced)
-        self.assertEqual(102, self.members.take_name(later).incarnation)
+        earlier = LOCAL._replace(incarnation=99)
+        self.assertEqual(LOCAL, self.members.apply_entry(earlier, 0.0).changed)
+        later = LOCAL._replace(incarnation=101)
+        self.assertTrue(self.members.apply_entry(later, 0.0).displaced)
+        self.assertEqual(
+            102, self.members.raise_incarnation_above(later).incarnation
+        )
 
     def test_the_table_is_bounded(self):
-        for index in range(table.MOST_MEMBERS + 5):
-            self.members.apply(OTHER._replace(daemon=f"d{index}"), 0.0)
-        self.assertEqual(table.MOST_MEMBERS, len(self.members.entries))
+        for index in range(table.MAX_MEMBERS + 5):
+            self.members.apply_entry(PEER._replace(daemon=f"d{index}"), 0.0)
+        self.assertEqual(table.MAX_MEMBERS, len(self.members.entries))
 
     def test_state_grows_with_the_fleet_only(self):
-        entries = [OTHER._replace(daemon=f"d{i}") for i in range(50)]
+        entries = [PEER._replace(daemon=f"d{i}") for i in range(50)]
         for seed in range(20):
             for entry in support.shuffled(entries, seed):
-                self.members.apply(entry._replace(heard=seed), float(seed))
+                self.members.apply_entry(
+                    entry._replace(heard=seed), float(seed)
+                )
         self.assertEqual(50, len(self.members.entries))
-        self.assertEqual(50, len(self.members.since))
+        self.assertEqual(50, len(self.members.state_since))
--- a/banyantiller/tests/membership/test_tls.py
+++ b/banyantiller/tests/membership/test_tls.py
@@ -40,7 +40,7 @@
                 async with asyncio.timeout(WAIT_S):
                     while not met(one, two):  # noqa: ASYNC110
                         await asyncio.sleep(0.02)
-                return len(one.alive()), len(two.alive())
+                return len(one.alive_members()), len(two.alive_members())
             finally:
                 await two.close()
                 await one.close()
@@ -55,14 +55,14 @@
             both = self.meet(
                 good,
                 ours.issue("d1", "peers"),
-                lambda one, two: one.linked() and two.linked(),
+                lambda one, two: one.linked_peers() and two.linked_peers(),
             )
             self.assertEqual((2, 2), both)
 
             def has_tried(one, two):
                 return any(
-                    tries.failures >= 2
-                    for tries in two.dialer.attempts.values()
+                    backoff.failures >= 2
+                    for backoff in two.dialer.dial_backoffs.values()
                 )
 
             stranger = theirs.issue("d2", "peers")
--- a/banyantiller/tests/replica/test_spread.py
+++ b/banyantiller/tests/replica/test_spread.py
@@ -74,8 +74,8 @@
             small = spread.reader.read_period()
             table = fleet.daemons[0].node.peers.table
             for index in range(100):
-                entry = table.own._replace(daemon=f"other{index}")
-                table.apply(entry, 0.0)
+                entry = table.local._replace(daemon=f"other{index}")
+                table.apply_entry(entry, 0.0)
             self.assertGreater(spread.reader.read_period(), 6 * small)
 
         self.on_fleet(2, body)
@@ -165,11 +165,11 @@
             await asyncio.sleep(1)
             self.assertEqual(2, fleet.daemons[1].version)
             real = fleet.daemons[1].spread
-            answer = real.peers.handlers.pop(messages.BundleRequest)
+            answer = real.peers.message_handlers.pop(messages.BundleRequest)
             await late.start()
             await asyncio.sleep(8)
             self.assertEqual(0, late.version)
-            real.peers.handlers[messages.BundleRequest] = answer
+            real.peers.message_handlers[messages.BundleRequest] = answer
             await self.in_force(fleet, 2)
 
         self.on_fleet(2, body)
@@ -178,7 +178,7 @@
         async def body(fleet):
             first, other = fleet.daemons
             other.store.faults.down = True
-            members.mute(first.node, other.node)
+            members.drop_link_messages(first.node, other.node)
             await fleet.roll()
             await asyncio.sleep(0.2)
             self.assertEqual([2, 1], fleet.versions())
@@ -234,7 +234,7 @@
     def test_links_that_go_silent_during_a_roll(self):
         async def body(fleet):
             for daemon in fleet.daemons[1:]:
-                members.mute(fleet.daemons[0].node, daemon.node)
+                members.drop_link_messages(fleet.daemons[0].node, daemon.node)
             fleet.daemons[0].store.faults.down = True
             await self.in_force(fleet, await fleet.roll(), 6.0)
 
@@ -247,7 +247,7 @@
             asleep.node.peers.dialer.closed = True
             asleep.node.peers.links.server.close(close_connections=False)
             for daemon in fleet.daemons[1:]:
-                members.mute(asleep.node, daemon.node)
+                members.drop_link_messages(asleep.node, daemon.node)
             await fleet.roll()
             await asyncio.sleep(60)
             self.assertTrue(asleep.spread.isolated)
--- a/examples/membership.py
+++ b/examples/membership.py
@@ -31,7 +31,7 @@
     second.kernel.subscribe(MemberChanged, lambda _: second.broadcast(leaving))
     await second.start()
     print(*await inbox.get())
-    print("alive:", [entry.daemon for entry in first.alive()])
+    print("alive:", [entry.daemon for entry in first.alive_members()])
     await asyncio.gather(first.close(), second.close())
 
 
