--- a/banyantiller/daemon/leaving_servers.py
+++ b/banyantiller/daemon/leaving_servers.py
@@ -96,7 +96,7 @@
 def _hint_peers(daemon: "assembly.Daemon", listed: interface.VmsListed) -> None:
     # All daemons of a fleet listen for peers on one port, each on its VM.
     port = daemon.settings.peers.listen.port
-    daemon.peers.set_endpoint_hints(
+    daemon.peers.set_hints(
         defaults.Endpoint(vm.address, port)
         for vm in listed.vms
         if vm.role == BALANCER
--- a/banyantiller/membership/__init__.py
+++ b/banyantiller/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Daemons that know of each other, and their messages."""
+"""Fleet membership: failure detection, gossip, and messages between peers."""
--- a/banyantiller/membership/dialing.py
+++ b/banyantiller/membership/dialing.py
@@ -1,4 +1,4 @@
-"""Whom to dial next: the overlay's targets, doubted peers, and strangers."""
+"""Chooses the peers to dial: overlay targets, lost peers, unknown endpoints."""
 
 import asyncio
 import random
@@ -20,11 +20,12 @@
 
 
 class LostPeer(NamedTuple):
-    """A peer whose link was lost without a word.
+    """A peer whose link was lost without a clean close.
 
     Attributes:
-        endpoint: Where it listened.
-        until: Loop time at which it becomes suspect unless linked again.
+        endpoint: Endpoint at which it listened.
+        suspect_at: Loop time at which it becomes suspect unless a link to
+            it is established before.
     """
 
     endpoint: Endpoint
@@ -32,11 +33,11 @@
 
 
 class DialBackoff(NamedTuple):
-    """Failed dials of one endpoint.
+    """Backoff after failed dials of one endpoint.
 
     Attributes:
-        failures: Failures in a row.
-        next_at: Loop time of the next allowed dial.
+        failures: Consecutive failures.
+        next_dial_at: Loop time from which it may be dialed again.
     """
 
     failures: int
@@ -44,13 +45,16 @@
 
 
 class Dialer:
-    """Keeps the links that the overlay asks for, and finds lost peers.
+    """Maintains the links of the overlay and redials lost peers.
 
     Attributes:
-        hints: Endpoints at which daemons may be found.
-        doubts: Peers whose link was lost, by name.
-        attempts: Failed dials by endpoint.
-        raised: Peers that this daemon itself found to be suspect.
+        hints: Endpoints at which peers may listen.
+        lost_peers: Peers whose link was lost, by name.
+        dial_backoffs: Backoff after failed dials, by endpoint.
+        dialing: Dials in progress by endpoint.
+        surplus_since: Loop time since which a link opened by this daemon
+            is not among the overlay's targets, by name of the peer.
+        locally_suspected: Peers that this daemon itself marked as suspect.
         closed: Whether no further dials are made.
     """
 
@@ -75,31 +79,32 @@
         self.closed = False
 
     def maintain_links(self, now: float) -> None:
-        """Dials what is missing and closes what is no longer wanted."""
+        """Dials missing peers and closes links that are not needed."""
         for endpoint in self._endpoints_to_dial(now):
             self._dial(endpoint, now)
         self._retire_surplus_links(now)
         self._forget_stale_entries(now)
 
     def record_lost_link(self, link: Link, now: float) -> None:
-        """Notes a link that was lost, and dials the peer again soon."""
+        """Records a lost link and schedules a redial of the peer."""
         hello = link.hello
         endpoint = Endpoint(hello.address, hello.port)
         suspect_at = now + self.settings.suspect_s / 2
         self.lost_peers[link.daemon] = LostPeer(endpoint, suspect_at)
         if now - link.opened_at < STABLE_LINK_S:
             self._record_failed_dial(endpoint)
-        # The side that dialled tries first, so that the two do not cross.
+        # The side that dialed before redials first, so that the two sides
+        # don't dial each other at the same time.
         head_start = 0.0 if link.dialed else INITIAL_BACKOFF_S
         pause = head_start + INITIAL_BACKOFF_S * self.random.random()
         asyncio.get_running_loop().call_later(pause, self._redial, endpoint)
 
     def record_established_link(self, link: Link) -> None:
-        """Notes a link that is up."""
+        """Records that a link to a peer is established."""
         self.lost_peers.pop(link.daemon, None)
 
     def pop_overdue_peers(self, now: float) -> list[str]:
-        """Returns and drops the doubted peers whose time is over."""
+        """Removes and returns the lost peers that become suspect now."""
         names = [
             name
             for name, peer in self.lost_peers.items()
@@ -111,7 +116,7 @@
         return names
 
     async def close(self) -> None:
-        """Cancels the dials under way."""
+        """Cancels the dials in progress."""
         self.closed = True
         tasks = list(self.dialing.values())
         for task in tasks:
@@ -139,8 +144,8 @@
         return endpoints
 
     def _locally_suspected(self) -> list[messages.MemberEntry]:
-        # Only those who found a suspect look for it: the suspect itself
-        # hears of it from any peer, and a fleet must not dial it at once.
+        # Only the daemons that detected a suspect dial it: it learns of the
+        # suspicion from any peer, and a whole fleet must not dial it at once.
         suspects = self.table.members_in_states([table.State.SUSPECT])
         self.locally_suspected.intersection_update(
             entry.daemon for entry in suspects
@@ -152,8 +157,8 @@
         ]
 
     def _sample_unknown_endpoints(self) -> list[Endpoint]:
-        # After a split both sides know only themselves; seeds and the VM
-        # list lead them to each other again.
+        # After a partition each side has forgotten the other; seeds and the
+        # VM list allow them to merge again.
         alive = self.table.members_in_states([table.State.ALIVE])
         known = {Endpoint(entry.address, entry.port) for entry in alive}
         known.add(self._local_endpoint())
--- a/banyantiller/membership/handshake.py
+++ b/banyantiller/membership/handshake.py
@@ -1,11 +1,11 @@
-"""The handshake of a link: who is at the other end, and may they talk.
+"""Handshake of a link: identifies and authenticates both sides.
 
 Each side sends a random `Challenge`, then a `Hello`. With a shared secret
 the `Hello` carries an HMAC over both challenges, the sender's role on the
-link and the `Hello` itself, so a proof fits one link, one deployment, one
-daemon and one direction. The side that dialled proves itself first, so a
-stranger learns nothing but a challenge. Under TLS both certificates were
-verified before, and the secret may be left out.
+link and the `Hello` itself, so a proof is valid for one link, deployment,
+daemon and direction only. The dialer proves its identity first, so an
+unauthenticated client receives nothing but a challenge. With TLS both
+certificates have been verified before, and the secret is optional.
 """
 
 import hashlib
@@ -25,10 +25,12 @@
 
 
 class LinkRefusedError(Exception):
-    """The other end is not let in.
+    """The peer is refused during the handshake.
 
     Attributes:
-        code: Close code of the link.
+        code: WebSocket close code that is sent to the peer.
+        reason: Why it is refused; for `CLOSE_NAME_TAKEN` the incarnation
+            that holds the name.
     """
 
     def __init__(self, code: int, reason: str) -> None:
@@ -46,7 +48,7 @@
 
 
 class Channel(Protocol):
-    """Sends and receives whole messages as bytes."""
+    """Sends and receives encoded messages."""
 
     async def send(self, data: bytes) -> None:
         """Sends one message."""
@@ -56,7 +58,7 @@
 
 
 class Nonces(NamedTuple):
-    """The challenges of one link."""
+    """The nonces of both challenges of one link."""
 
     dialer: bytes
     listener: bytes
@@ -65,13 +67,13 @@
 def compute_proof(
     secret: str, role: str, nonces: Nonces, hello: messages.Hello
 ) -> bytes:
-    """Computes the proof that a side puts into its `Hello`.
+    """Computes the proof for the `Hello` of one side.
 
     Args:
         secret: Shared secret of the fleet, or empty for no proof.
-        role: `DIALER` or `LISTENER`, the sender's.
-        nonces: Both challenges.
-        hello: The sender's `Hello`; its `proof` is left out.
+        role: Role of the sender, `DIALER` or `LISTENER`.
+        nonces: Nonces of both challenges.
+        hello: `Hello` of the sender; its `proof` is not covered.
     """
     if not secret:
         return b""
@@ -87,22 +89,22 @@
     secret: str,
     admit_peer: Callable[[messages.Hello], None] = lambda _: None,
 ) -> messages.Hello:
-    """Runs the handshake on a fresh link.
+    """Performs the handshake on a new link.
 
     Args:
         channel: The link.
-        role: `DIALER` or `LISTENER`.
-        local: What this daemon says of itself; its proof is filled in.
-        secret: Shared secret, or empty under TLS alone.
-        admit_peer: Called with the other side's verified `Hello`, on the
-            listening side before it is answered; raises `RefusedError` to
-            turn the other side down.
+        role: Role of this daemon, `DIALER` or `LISTENER`.
+        local: `Hello` of this daemon; its proof is filled in.
+        secret: Shared secret, or empty with TLS alone.
+        admit_peer: Called with the verified `Hello` of the peer, on the
+            listening side before the local `Hello` is sent; raises
+            `LinkRefusedError` to refuse the peer.
 
     Returns:
-        The other side's verified `Hello`.
+        The verified `Hello` of the peer.
 
     Raises:
-        RefusedError: The other side is not let in.
+        LinkRefusedError: The peer is refused.
     """
     nonce = secrets.token_bytes(NONCE_BYTES)
     await channel.send(messages.encode(messages.Challenge(nonce)))
@@ -131,11 +133,12 @@
     secret: str,
     nonces: Nonces,
 ) -> None:
-    """Checks the other side's `Hello`.
+    """Verifies the `Hello` of the peer.
 
     Raises:
-        RefusedError: It is a stranger, from another fleet, or speaks no
-            common protocol version.
+        LinkRefusedError: It is not authenticated, belongs to another
+            deployment, has no protocol version in common, or is the hello
+            of this daemon itself.
     """
     expected = compute_proof(secret, role, nonces, hello)
     if not hmac.compare_digest(expected, hello.proof if secret else b""):
--- a/banyantiller/membership/link.py
+++ b/banyantiller/membership/link.py
@@ -1,4 +1,4 @@
-"""One established link to a peer: a bounded outbox, a writer and a reader."""
+"""An established link to a peer with a bounded outbox."""
 
 import asyncio
 import collections
@@ -25,14 +25,17 @@
 
 
 class Traffic:
-    """Counts what travels on all links of a daemon.
+    """Traffic counters over all links of a daemon.
+
+    The status page shows them under the names of the attributes.
 
     Attributes:
         bytes_in: Bytes of received frames, without TCP and IP headers.
         bytes_out: Bytes of sent frames, without TCP and IP headers.
         messages_in: Messages received.
         messages_out: Messages sent.
-        dropped: Messages that a full outbox refused.
+        dropped: Messages dropped because an outbox was full or a link had
+            been closed.
     """
 
     def __init__(self) -> None:
@@ -44,7 +47,7 @@
 
 
 def frame_size(length: int, masked: bool) -> int:
-    """Returns the bytes of a WebSocket frame with a payload of `length`."""
+    """Returns the size of a WebSocket frame with `length` payload bytes."""
     if length < MIN_16_BIT_LENGTH:
         head = 2
     elif length < MIN_64_BIT_LENGTH:
@@ -55,15 +58,17 @@
 
 
 class Link:
-    """A link whose handshake is done.
+    """A link after its handshake.
 
     Attributes:
         hello: The peer's `Hello`.
         dialed: Whether this daemon opened the link.
-        last_heard: Loop time of the last message from the peer.
-        sequence: Number of heartbeats sent.
-        send: Writes the bytes of one message.
-        code: Close code, or None while open or if lost.
+        opened_at: Loop time at which it was established.
+        last_received_at: Loop time of the last message from the peer.
+        heartbeat_sequence: Number of heartbeats sent.
+        close_code: Code of a clean close; None while open or if the link
+            was lost.
+        send: Writes one encoded message.
     """
 
     def __init__(
@@ -93,11 +98,11 @@
         return self.hello.daemon
 
     def enqueue(self, message: Any) -> bool:
-        """Queues a message; False if the outbox is full."""
+        """Queues a message; False if the outbox is full or closed."""
         return self.enqueue_encoded(messages.encode(message))
 
     def enqueue_encoded(self, data: bytes) -> bool:
-        """Queues an encoded message; False if the outbox is full."""
+        """Queues an encoded message; False if it was dropped."""
         is_full = (
             len(self.outbox) >= MAX_QUEUED_MESSAGES
             or self.queued_bytes + len(data) > MAX_QUEUED_BYTES
@@ -111,7 +116,7 @@
         return True
 
     async def run(self, on_message: Callable[[Any], None]) -> None:
-        """Writes and reads until the link ends.
+        """Sends and receives until the link is closed or lost.
 
         Args:
             on_message: Called with each decoded message.
@@ -129,11 +134,11 @@
                 self.close_code = peer_code
 
     def abort(self) -> None:
-        """Ends the link without waiting for the peer."""
+        """Drops the connection without a closing handshake."""
         self.websocket.transport.abort()
 
     async def close(self, code: int, reason: str = "") -> None:
-        """Sends what is queued, then closes with a code."""
+        """Sends the queued messages, then closes with a code."""
         if self.close_code is not None:
             return
         while self.outbox and self.websocket.close_code is None:
--- a/banyantiller/membership/links.py
+++ b/banyantiller/membership/links.py
@@ -1,4 +1,4 @@
-"""All links of a daemon: the listening side, the dialling side, admission."""
+"""Manages all links of a daemon: listens, dials, and admits peers."""
 
 import asyncio
 import contextlib
@@ -29,14 +29,14 @@
 
 
 class LinkHandlers(NamedTuple):
-    """Whom the links tell what happens.
+    """Callbacks for the events of links.
 
     Attributes:
-        receive: Called with a link and each message on it.
-        came_up: Called with a link when it is established.
-        went_down: Called with a link when it ended without being retired.
-        displaced: Called with the incarnation of another run that has this
-            daemon's name.
+        on_message: Called with a link and each message received on it.
+        on_link_up: Called with a link when it is established.
+        on_link_down: Called with a link that ended and was not retired.
+        on_name_conflict: Called with the incarnation of another process
+            that uses the name of this daemon.
     """
 
     on_message: Callable[[Link, Any], None]
@@ -46,13 +46,14 @@
 
 
 class LinkManager:
-    """Links by peer name; at most one link a peer is kept.
+    """Keeps at most one link to each peer.
 
     Attributes:
-        links: Established links.
-        traffic: Counts over all links.
-        endpoint: Where this daemon listens, once started.
-        refused: Handshakes that were turned down, by close code.
+        by_peer: Established links by name of the peer.
+        traffic: Counters over all links.
+        endpoint: Endpoint on which this daemon listens, once started.
+        refused_handshakes: Number of refused handshakes by close code.
+        connections: Number of open inbound connections.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         find_entry: Callable[[str], messages.MemberEntry | None],
         handlers: LinkHandlers,
     ) -> None:
-        """Prepares the links; `open` starts them.
+        """Prepares the manager; `open` starts to listen.
 
         Args:
             settings: Settings of the peers.
@@ -71,8 +72,8 @@
             handlers: Called on the events of links.
 
         Raises:
-            ConfigError: Peers could not be authenticated, or TLS files are
-                not valid.
+            ConfigError: Neither TLS nor a secret is set, or the TLS files
+                are not valid.
         """
         self.settings = settings
         self.local_hello = local_hello
@@ -89,7 +90,7 @@
         self.logger.setLevel(logging.CRITICAL + 1)
 
     async def open(self) -> defaults.Endpoint:
-        """Starts to listen; returns the endpoint with its real port."""
+        """Starts to listen; returns the endpoint with the bound port."""
         listen = self.settings.listen
         self.server = await server.serve(
             self._accept,
@@ -105,7 +106,7 @@
         return self.endpoint
 
     async def close(self, code: int) -> None:
-        """Closes every link with a code, and the listening side."""
+        """Closes all links with a code and stops listening."""
         closing = [
             self._close_link(link, code) for link in self.by_peer.values()
         ]
@@ -117,10 +118,10 @@
         await self.server.wait_closed()
 
     async def dial(self, endpoint: defaults.Endpoint) -> bool:
-        """Opens a link and starts its task.
+        """Opens a link to an endpoint and starts its task.
 
         Returns:
-            Whether the other end let this daemon in.
+            Whether the handshake succeeded.
         """
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
@@ -144,7 +145,7 @@
         return True
 
     def retire(self, link: Link, code: int = CLOSE_NORMAL) -> None:
-        """Closes a link that is not needed, in the background."""
+        """Closes a link in the background; `on_link_down` isn't called."""
         if self.by_peer.get(link.daemon) is link:
             del self.by_peer[link.daemon]
         task = asyncio.create_task(self._close_link(link, code))
@@ -256,7 +257,8 @@
             return new.hello.incarnation > old.hello.incarnation
         if new.dialed == old.dialed:
             return True
-        # Both sides dialled at once: both keep the smaller name's link.
+        # Both sides dialed at the same time: both keep the link that the
+        # daemon with the smaller name opened.
         local_is_smaller = self.local_hello().daemon < new.daemon
         return new.dialed == local_is_smaller
 
@@ -292,7 +294,7 @@
     if files is None:
         if not settings.secret:
             raise exceptions.ConfigError(
-                "Peers can not be authenticated: set peers.tls or peers.secret."
+                "Peers cannot be authenticated: set peers.tls or peers.secret."
             )
         return None, None
     if not files.trust or not files.certificate:
--- a/banyantiller/membership/messages.py
+++ b/banyantiller/membership/messages.py
@@ -1,10 +1,10 @@
 """Messages between daemons and their CBOR form.
 
-A message travels as a CBOR array: the type's number, then its fields in
-order. A decoder ignores fields that it does not know at the end of a
-message, fills missing ones from their defaults, and ignores unknown types,
-so old and new daemons work together. A field is never removed or reordered,
-and a type's number is never used again.
+A message is encoded as a CBOR array: the number of its type, then its fields
+in order. A decoder ignores unknown fields at the end of a message, fills
+missing ones with their defaults, and ignores unknown types, so daemons of
+different releases interoperate. Fields are never removed or reordered, and
+the number of a type is never reused.
 """
 
 from typing import Any, NamedTuple
@@ -18,18 +18,19 @@
 
 
 class Hello(NamedTuple):
-    """Tells who is at the other end of a link, in both directions.
+    """Identifies the sender to its peer; both sides of a link send it.
 
     Attributes:
-        protocol: Newest protocol version that the sender speaks.
-        oldest: Oldest protocol version that the sender speaks.
-        deployment: Fleet of the sender.
+        protocol: Newest protocol version that the sender supports.
+        oldest: Oldest protocol version that the sender supports.
+        deployment: Deployment of the sender.
         daemon: Name of the sender.
         zone: Availability zone of the sender.
-        incarnation: Start of the sender, wall-clock milliseconds.
-        address: IP number on which it listens for peers.
+        incarnation: Start time of the sender, wall-clock milliseconds.
+        address: IP address on which it listens for peers.
         port: Port on which it listens for peers.
-        proof: HMAC over the link's challenge, empty under TLS.
+        proof: HMAC over both challenges of the link, empty without a
+            secret.
     """
 
     protocol: int
@@ -47,7 +48,7 @@
     """Sent periodically on each link.
 
     Attributes:
-        sequence: Counts up for each link.
+        sequence: Counter of heartbeats on the link.
         bundle: Version of the bundle in force, 0 for none.
         digest: First 8 bytes of its manifest's SHA-256.
     """
@@ -58,17 +59,18 @@
 
 
 class MemberEntry(NamedTuple):
-    """What is known of one daemon.
+    """State of one member, as disseminated by gossip.
 
     Attributes:
         daemon: Name.
-        incarnation: Start, wall-clock milliseconds.
+        incarnation: Start time, wall-clock milliseconds.
         state: 0 alive, 1 suspect, 2 leaving, 3 dead.
-        heard: Counter that the daemon itself raises to refute suspicion.
-        address: IP number for peers.
+        heard: Refutation counter; only the daemon itself raises it, to
+            refute a suspicion.
+        address: IP address for peers.
         port: Port for peers.
         zone: Availability zone.
-        bundle: Version of the bundle in force there.
+        bundle: Version of the bundle in force at the daemon.
     """
 
     daemon: str
@@ -82,13 +84,16 @@
 
 
 class Members(NamedTuple):
-    """Changed member entries, passed on a bounded number of times."""
+    """Changed member entries, or the whole table of the sender.
+
+    A change is forwarded a bounded number of times.
+    """
 
     entries: tuple[MemberEntry, ...]
 
 
 class BundleOffer(NamedTuple):
-    """An accepted bundle, without its parts.
+    """An accepted bundle without its parts.
 
     Attributes:
         accepted: Canonical JSON of `bundle.manifest.Accepted`.
@@ -98,31 +103,31 @@
 
 
 class BundleRequest(NamedTuple):
-    """Asks for the accepted bundle if it is newer than `above`."""
+    """Requests the accepted bundle if it is newer than `above`."""
 
     above: int
 
 
 class PartRequest(NamedTuple):
-    """Asks for parts by digest (32 bytes each)."""
+    """Requests parts by digest (32 bytes each)."""
 
     digests: tuple[bytes, ...]
 
 
 class PartData(NamedTuple):
-    """One part's canonical JSON; its digest is checked by the receiver."""
+    """Canonical JSON of one part; the receiver verifies its digest."""
 
     data: bytes
 
 
 class ServersLeaving(NamedTuple):
-    """Servers of one service that must get nothing new.
+    """Servers of one service that must get no new requests.
 
     Attributes:
         service: Service name.
         servers: Server names.
-        age_ms: Time since this was learned first-hand.
-        by_vm_list: Whether the VM list says so, and not the servers.
+        age_ms: Time since a daemon learned this directly.
+        by_vm_list: Whether the VM list reported it, and not the servers.
     """
 
     service: str
@@ -132,12 +137,12 @@
 
 
 class ServersReturned(NamedTuple):
-    """Servers of one service that said that they do not drain any more.
+    """Servers of one service that report that they no longer drain.
 
     Attributes:
         service: Service name.
         servers: Server names.
-        age_ms: Time since they said so.
+        age_ms: Time since their report.
     """
 
     service: str
@@ -146,7 +151,7 @@
 
 
 class ServerCrash(NamedTuple):
-    """A server ended with a request on it; ages in milliseconds."""
+    """A server crashed while it ran a request; ages in milliseconds."""
 
     server: str
     sent_age_ms: int
@@ -154,11 +159,11 @@
 
 
 class SuspectRequest(NamedTuple):
-    """What is known of a request with which servers ended.
+    """The record of a request that may crash servers.
 
     Attributes:
-        fingerprint: Digest that tells the request.
-        ends: The servers.
+        fingerprint: Digest that identifies the request.
+        ends: Crashes of servers while they ran it.
         answered_age_ms: Time since a server answered it; -1 for never.
     """
 
@@ -168,16 +173,16 @@
 
 
 class SuspectRequests(NamedTuple):
-    """Requests with which servers ended; facts that only grow."""
+    """Requests that may crash servers; their records only grow."""
 
     requests: tuple[SuspectRequest, ...]
 
 
 class Challenge(NamedTuple):
-    """Sent before Hello, so that the other side's proof is fresh.
+    """Sent before `Hello`, so that a proof cannot be replayed.
 
     Attributes:
-        nonce: Random bytes that the other side's proof has to cover.
+        nonce: Random bytes that the proof of the peer must cover.
     """
 
     nonce: bytes
@@ -191,7 +196,8 @@
     5: BundleRequest,
     6: PartRequest,
     7: PartData,
-    # 8 was the load of single servers; it did not pay and is not used again.
+    # 8 carried the load of single servers, which did not improve the choice
+    # of servers. The number is not reused.
     9: ServersLeaving,
     10: Challenge,
     11: ServersReturned,
@@ -218,7 +224,7 @@
         data: One CBOR array.
 
     Returns:
-        The typed message, or None for a type that is not known here.
+        The typed message, or None for an unknown type.
 
     Raises:
         MessageError: The bytes are not a valid message.
--- a/banyantiller/membership/overlay.py
+++ b/banyantiller/membership/overlay.py
@@ -1,10 +1,10 @@
-"""Which peers a daemon links to.
+"""Chooses the peers that a daemon links to.
 
 The links of all daemons form a connected graph whose degree does not grow
 with the fleet: each daemon links to its successor on a ring ordered by the
-hash of the names, and to a few more that rendezvous hashing picks, spread
-over availability zones. Daemons with the same view need no agreement; other
-views cost a link too many or too few until they meet.
+hash of the names, and to a few more peers that rendezvous hashing selects,
+spread over availability zones. Daemons with the same view need no further
+agreement; while views differ, a daemon has a link too many or too few.
 """
 
 from collections.abc import Sequence
@@ -20,7 +20,7 @@
 
 
 def ring_order(local: str, members: Sequence[MemberEntry]) -> list[MemberEntry]:
-    """Returns the others in ring order, the successor of `local` first."""
+    """Returns the peers in ring order, the successor of `local` first."""
     local_rank = rank("ring", local)
     peers = sorted(
         (entry for entry in members if entry.daemon != local),
@@ -41,12 +41,12 @@
 
     Args:
         local: This daemon's entry.
-        members: Daemons believed to be alive.
-        max_links: Most peers to choose.
+        members: Members that are considered alive.
+        max_links: Maximum number of peers to choose.
 
     Returns:
-        The ring successor, then peers from zones that have the fewest
-        chosen so far, in rendezvous order.
+        The ring successor, then peers from the zones with the fewest chosen
+        members so far, in rendezvous order.
     """
     candidates = ring_order(local.daemon, members)
     if not candidates:
@@ -66,13 +66,14 @@
 def is_selected(
     key: str, local: str, members: Sequence[str], count: int
 ) -> bool:
-    """Tells whether this daemon is among the `count` lowest ranks.
+    """Returns whether this daemon has one of the `count` lowest ranks.
 
     Args:
-        key: What the ranks are for.
+        key: Task that the ranks are computed for.
         local: Name of this daemon.
-        members: Names believed to be alive, with or without `local`.
-        count: How many daemons do the work.
+        members: Names of members that are considered alive, with or without
+            `local`.
+        count: Number of daemons to select.
     """
     local_rank = (rank(key, local), local)
     ahead = sum(1 for name in members if (rank(key, name), name) < local_rank)
--- a/banyantiller/membership/peers.py
+++ b/banyantiller/membership/peers.py
@@ -1,7 +1,7 @@
-"""Membership between daemons: who is alive, and messages to and from them.
+"""Membership of one daemon: failure detection, gossip, and peer messages.
 
-`Peers` keeps the member table, links to a bounded number of peers, passes
-on what changes, and delivers typed messages to subscribers.
+`Peers` keeps the member table and links to a bounded number of peers,
+disseminates changes, and delivers typed messages to subscribers.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 log = structlog.get_logger("banyantiller.membership")
 
 FLUSH_DELAY_S = 0.02
-HEARTBEAT_JITTER = 0.1
+JITTER = 0.1
 SYNC_PERIOD_S = 10.0
 SYNC_SCALING_MEMBERS = 20
 NAME_TAKEOVER_WINDOW_S = 10.0
@@ -37,17 +37,17 @@
 
 
 class Peers:
-    """The other daemons as this one sees them.
+    """The local view of the fleet and the links to peers.
 
     Attributes:
         table: Member entries.
         links: Established links and their traffic counts.
-        last_heard: Loop time of the last message from any peer, or None.
-        on_link: Called with the name of each peer that was linked.
-        displaced: Whether a later run took this daemon's name; it then
-            keeps no links.
-        bundle: Version of the bundle in force here, sent with heartbeats.
-        digest: First bytes of that bundle's digest.
+        last_received_at: Loop time of the last peer message, or None.
+        on_link: Called with the name of a peer when a link is established.
+        displaced: Whether a later incarnation has taken over the name of
+            this daemon, which then keeps no links.
+        bundle_version: Version of the bundle in force, sent in heartbeats.
+        digest_prefix: First bytes of the digest of that bundle.
     """
 
     def __init__(
@@ -109,22 +109,22 @@
 
         Args:
             settings: Settings of the daemon.
-            kernel: Runs the task and gets `MemberChanged` events.
+            kernel: Runs the task and receives `MemberChanged` events.
             wall: Returns wall-clock seconds.
             seed: Seed of all random choices.
 
         Raises:
-            ConfigError: Peers could not be authenticated.
+            ConfigError: The settings have no valid way to authenticate peers.
         """
         return cls(settings, kernel, wall, seed)
 
     @property
     def traffic(self) -> Traffic:
-        """Bytes and messages over all links so far."""
+        """Traffic counts over all links since the start."""
         return self.links.traffic
 
     async def start(self) -> defaults.Endpoint:
-        """Listens and starts the task; returns where it listens."""
+        """Starts to listen and to gossip; returns the bound endpoint."""
         endpoint = await self.links.open()
         self.table.local = self.table.local._replace(port=endpoint.port)
         self.started_at = asyncio.get_running_loop().time()
@@ -132,7 +132,7 @@
         return endpoint
 
     async def close(self) -> None:
-        """Leaves, closes all links and stops listening."""
+        """Announces the departure, closes all links and stops listening."""
         if self.table.local.state != table.State.LEAVING:
             self.leave()
         if self.flush_timer is not None:
@@ -143,7 +143,7 @@
         await self.links.close(CLOSE_LEAVING)
 
     def leave(self) -> None:
-        """Tells the peers that this daemon is ending."""
+        """Announces to the peers that this daemon is shutting down."""
         self._queue_update(self.table.mark_leaving())
 
     def subscribe(self, message_type: type, handler: MessageHandler) -> None:
@@ -151,19 +151,19 @@
         self.message_handlers[message_type].append(handler)
 
     def send(self, daemon: str, message: Any) -> bool:
-        """Sends to one linked peer; False if not linked or its queue full."""
+        """Queues a message; False if not linked or the outbox is full."""
         link = self.links.by_peer.get(daemon)
         return link is not None and link.enqueue(message)
 
     def broadcast(self, message: Any, exclude: str = "") -> int:
-        """Sends to all linked peers.
+        """Queues a message for all linked peers.
 
         Args:
             message: A message of a declared type.
-            exclude: Peer to leave out, such as the one it came from.
+            exclude: Peer to leave out, such as the sender of the message.
 
         Returns:
-            Number of peers it was queued for.
+            Number of peers for which it was queued.
         """
         data = messages.encode(message)
         links = [x for x in self.links.by_peer.values() if x.daemon != exclude]
@@ -174,29 +174,27 @@
         return sorted(self.links.by_peer)
 
     def alive_members(self, include_suspects: bool = True) -> list[MemberEntry]:
-        """Returns this daemon's entry and the members believed to be alive.
+        """Returns the local entry and those of members considered alive.
 
         Args:
-            include_suspects: Whether to count suspects, who may be only slow.
+            include_suspects: Whether to include suspects, which may be slow.
         """
         states = [table.State.ALIVE]
         if include_suspects:
             states.append(table.State.SUSPECT)
         return [self.table.local, *self.table.members_in_states(states)]
 
-    def set_endpoint_hints(
-        self, endpoints: Iterable[defaults.Endpoint]
-    ) -> None:
-        """Names endpoints at which daemons may be found.
+    def set_hints(self, endpoints: Iterable[defaults.Endpoint]) -> None:
+        """Sets endpoints at which peers may listen.
 
-        Meant for a VM list that lags: the endpoints are only tried now and
-        then, and nothing is concluded from one that is missing.
+        They may come from a VM list that lags: they are dialed at intervals
+        only, and a missing endpoint does not make a peer suspect.
         """
         local = self.links.endpoint
         self.dialer.hints = tuple(x for x in endpoints if x != local)
 
     def announce_bundle(self, version: int, digest: str) -> None:
-        """Tells all linked peers at once which bundle is in force here.
+        """Sends the bundle in force to all linked peers without delay.
 
         Args:
             version: Version of the bundle.
@@ -209,7 +207,7 @@
             self._send_heartbeat(link)
 
     def local_hello(self) -> messages.Hello:
-        """Returns what this daemon says of itself on a new link."""
+        """Returns the `Hello` of this daemon, without a proof."""
         local = self.table.local
         return messages.Hello(
             protocol=messages.PROTOCOL_VERSION,
@@ -228,9 +226,7 @@
         self.next_tick_at = loop.time()
         while True:
             self._tick(loop.time())
-            pause = period * self.random.uniform(
-                1 - HEARTBEAT_JITTER, 1 + HEARTBEAT_JITTER
-            )
+            pause = period * self.random.uniform(1 - JITTER, 1 + JITTER)
             self.next_tick_at = loop.time() + pause
             await asyncio.sleep(pause)
 
@@ -252,7 +248,7 @@
         self._sync_full_table(now)
 
     def _reset_link_timeouts(self, now: float) -> None:
-        # This process was paused, so silence says nothing about peers.
+        # Missing heartbeats don't show a failure: nothing was read meanwhile.
         log.warning("membership: this process was paused.")
         for link in self.links.by_peer.values():
             link.last_received_at = now
@@ -271,9 +267,9 @@
             link.abort()
 
     def _sync_full_table(self, now: float) -> None:
-        # Passing on changes reaches everyone unless a full queue dropped
-        # some; sending the whole table now and then mends that. The period
-        # grows with the fleet, so the bytes a second do not.
+        # Gossip of changes reaches all members unless a full outbox dropped
+        # some; the periodic anti-entropy exchange of the table repairs that.
+        # Its period grows with the fleet to bound the bytes per second.
         if now < self.next_sync_at or not self.links.by_peer:
             return
         scale = max(1.0, len(self.table.entries) / SYNC_SCALING_MEMBERS)
@@ -338,28 +334,28 @@
             self.table.entries[daemon] = entry._replace(bundle=version)
 
     def _apply_entry(self, entry: MemberEntry, origin: str) -> None:
-        known = self.table.entries.get(entry.daemon)
+        previous = self.table.entries.get(entry.daemon)
         now = asyncio.get_running_loop().time()
         applied = self.table.apply_entry(entry, now)
         if applied.displaced:
-            is_dead = entry.state == table.State.DEAD
-            self._on_name_conflict(entry.incarnation, is_dead)
+            dead = entry.state == table.State.DEAD
+            self._on_name_conflict(entry.incarnation, dead)
         elif applied.refuted:
             self._queue_update(self.table.local)
         elif applied.changed is not None:
-            self._report_change(applied.changed, origin, known)
+            self._report_change(applied.changed, origin, previous)
 
     def _report_change(
         self,
         entry: MemberEntry,
         origin: str = "",
-        known: MemberEntry | None = None,
+        previous: MemberEntry | None = None,
     ) -> None:
         self._queue_update(entry, origin)
         if (
-            known is not None
-            and known.state == entry.state
-            and known.incarnation == entry.incarnation
+            previous is not None
+            and previous.state == entry.state
+            and previous.incarnation == entry.incarnation
         ):
             return
         state = table.STATE_NAMES[table.State(entry.state)]
@@ -387,14 +383,12 @@
             if entries:
                 link.enqueue(messages.Members(entries))
 
-    def _on_name_conflict(
-        self, incarnation: int, is_dead: bool = False
-    ) -> None:
+    def _on_name_conflict(self, incarnation: int, dead: bool = False) -> None:
         now = asyncio.get_running_loop().time()
         local = self.table.local
-        if is_dead or now - self.started_at < NAME_TAKEOVER_WINDOW_S:
-            # Another run of this name has a later clock, but it is dead or
-            # this one has only just started, so this one is the newer.
+        if dead or now - self.started_at < NAME_TAKEOVER_WINDOW_S:
+            # The other incarnation is higher by its clock. It is dead, or
+            # this daemon has just started, so this one is the newer.
             taken = local._replace(incarnation=incarnation)
             self._queue_update(self.table.raise_incarnation_above(taken))
             return
--- a/banyantiller/membership/table.py
+++ b/banyantiller/membership/table.py
@@ -1,11 +1,11 @@
-"""The member table: who is in the fleet, as far as this daemon knows.
+"""The member table: the local view of the fleet.
 
-Every daemon keeps one `MemberEntry` for each other daemon and merges what
-peers tell. A merge takes the greater entry, so it may happen in any order
-and any number of times. A daemon that hears that it is suspected raises its
-own `heard` counter, which beats the suspicion everywhere.
+Every daemon keeps one `MemberEntry` for each peer and merges the entries that
+it receives. A merge keeps the greater entry, so entries may be merged in any
+order and repeatedly. A daemon that learns that it is suspected raises its own
+`heard` counter; the raised entry overrides the suspicion at all members.
 
-Times are seconds of the loop's clock, passed in as `now`.
+Times are seconds of the event loop's clock, passed in as `now`.
 """
 
 import enum
@@ -21,7 +21,7 @@
 
 
 class State(enum.IntEnum):
-    """States of a member; within one `heard` count the greater wins."""
+    """States of a member; for equal `heard` counters the greater wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -38,20 +38,20 @@
 
 
 def incarnation_id(entry: MemberEntry) -> tuple[int, str, int]:
-    """Tells one run of a daemon from another run of the same name."""
+    """Returns the key that orders the incarnations of one daemon name."""
     return entry.incarnation, entry.address, entry.port
 
 
 def precedence(entry: MemberEntry) -> tuple[object, ...]:
-    """Returns the key by which the greater of two entries wins."""
+    """Returns the key by which a merge compares two entries."""
     return *incarnation_id(entry), entry.heard, entry.state, entry.zone
 
 
 def merge(left: MemberEntry, right: MemberEntry) -> MemberEntry:
-    """Joins two entries of one daemon.
+    """Merges two entries of one daemon.
 
     The result does not depend on the order of the arguments. The bundle
-    version only grows within one run.
+    version never decreases within one incarnation.
     """
     winner, loser = (
         (left, right)
@@ -67,13 +67,14 @@
 
 
 class ApplyResult(NamedTuple):
-    """What came of an entry that a peer told.
+    """Outcome of applying a received entry.
 
     Attributes:
-        changed: Entry that is worth passing on, or None.
-        refuted: Whether the entry is this daemon's own, raised because the
-            peer's was a suspicion or from another run.
-        displaced: Whether a later run has taken this daemon's name.
+        changed: Entry to disseminate, or None.
+        refuted: Whether `changed` is the local entry, which refutes a
+            suspicion or an entry of an earlier incarnation.
+        displaced: Whether a later incarnation has taken over the name of
+            this daemon.
     """
 
     changed: MemberEntry | None = None
@@ -82,12 +83,12 @@
 
 
 class MemberTable:
-    """Entries of all known daemons.
+    """Entries of all members in the local view.
 
     Attributes:
-        own: This daemon's entry.
-        entries: Other daemons' entries by name.
-        since: Time of each entry's last change of state here.
+        local: Entry of this daemon.
+        entries: Entries of the peers by name.
+        state_since: Time at which the state of each entry last changed.
     """
 
     def __init__(self, local: MemberEntry, suspect_s: float) -> None:
@@ -97,14 +98,14 @@
         self.state_since: dict[str, float] = {}
 
     def apply_entry(self, entry: MemberEntry, now: float) -> ApplyResult:
-        """Takes in an entry.
+        """Applies a received entry.
 
         Args:
-            entry: What a peer told.
+            entry: Entry that a peer sent.
             now: Loop time.
 
         Returns:
-            What changed by it.
+            What changed.
         """
         if entry.daemon == self.local.daemon:
             return self._apply_local(entry)
@@ -120,24 +121,24 @@
         return ApplyResult(changed=merged)
 
     def mark_suspect(self, daemon: str, now: float) -> MemberEntry | None:
-        """Marks a member as suspect; returns the entry if it was alive."""
+        """Marks an alive member as suspect; returns its entry, or None."""
         entry = self.entries.get(daemon)
         if entry is None or entry.state != State.ALIVE:
             return None
         return self._store_entry(entry._replace(state=State.SUSPECT), now)
 
     def mark_left(self, daemon: str, now: float) -> MemberEntry | None:
-        """Marks a leaving member as dead once its links have closed."""
+        """Marks a leaving member as dead; returns its entry, or None."""
         entry = self.entries.get(daemon)
         if entry is None or entry.state != State.LEAVING:
             return None
         return self._store_entry(entry._replace(state=State.DEAD), now)
 
     def expire_entries(self, now: float) -> list[MemberEntry]:
-        """Moves members on whose time in a state is over.
+        """Applies the timeouts of the states.
 
-        Suspects that nobody refuted become dead, as do members that have
-        been leaving for long. Dead members are forgotten.
+        Suspects become dead if the suspicion is not refuted in time, as do
+        members that are leaving for too long. Dead members are removed.
 
         Returns:
             Entries that became dead.
@@ -155,25 +156,25 @@
         return dead
 
     def mark_leaving(self) -> MemberEntry:
-        """Marks this daemon as leaving; returns its entry."""
+        """Marks this daemon as leaving; returns the local entry."""
         self.local = self.local._replace(
             state=State.LEAVING, heard=self.local.heard + 1
         )
         return self.local
 
     def raise_incarnation_above(self, other: MemberEntry) -> MemberEntry:
-        """Raises the own incarnation above an earlier run's; returns it."""
+        """Raises the local incarnation above another; returns the entry."""
         self.local = self.local._replace(
             incarnation=max(self.local.incarnation, other.incarnation) + 1
         )
         return self.local
 
     def set_bundle_version(self, version: int) -> None:
-        """Notes the version of the bundle in force here."""
+        """Sets the version of the bundle in force in the local entry."""
         self.local = self.local._replace(bundle=version)
 
     def members_in_states(self, states: Iterable[int]) -> list[MemberEntry]:
-        """Returns the other members in the given states, by name."""
+        """Returns the peers in the given states, sorted by name."""
         wanted_states = set(states)
         return [
             self.entries[name]
@@ -182,7 +183,7 @@
         ]
 
     def all_entries(self) -> tuple[MemberEntry, ...]:
-        """Returns the own entry and all others."""
+        """Returns the local entry and those of all peers."""
         return self.local, *self.entries.values()
 
     def _apply_local(self, entry: MemberEntry) -> ApplyResult:
@@ -190,16 +191,17 @@
             return ApplyResult(displaced=True)
         if incarnation_id(entry) < incarnation_id(self.local):
             return ApplyResult(self.local, refuted=True)
-        # Equal counters with a worse state, or a counter raised by an
-        # entry that outlived a lost one: both are answered by a higher one.
+        # The entry has an equal counter and a worse state, or a higher counter
+        # from an update that this daemon no longer has. Raising the local
+        # counter above that of the entry refutes both.
         if precedence(entry) <= precedence(self.local):
             return ApplyResult()
         self.local = self.local._replace(heard=entry.heard + 1)
         return ApplyResult(self.local, refuted=True)
 
     def _apply_new(self, entry: MemberEntry, now: float) -> ApplyResult:
-        # A dead member that is not known here was forgotten: taking it in
-        # again would let two daemons remind each other of it for ever.
+        # A dead member without an entry has been removed here before. Adding
+        # it again would let two daemons re-infect each other without end.
         if entry.state == State.DEAD or len(self.entries) >= MAX_MEMBERS:
             return ApplyResult()
         return ApplyResult(changed=self._store_entry(entry, now))
