--- a/banyantiller/tests/membership/support.py
+++ b/banyantiller/tests/membership/support.py
@@ -1,4 +1,4 @@
-"""Several `Peers` in one process, over the paused loop's sockets."""
+"""Runs several `Peers` in one process over sockets of the paused loop."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 def wall() -> float:
-    """Wall-clock seconds that follow the paused loop."""
+    """Returns wall-clock seconds that follow the paused loop."""
     return EPOCH + asyncio.get_running_loop().time()
 
 
@@ -26,10 +26,10 @@
 def settings(
     index: int, seeds: int | tuple = 2, **peers: object
 ) -> defaults.Settings:
-    """Settings of daemon number `index`, with the first ones as seeds."""
+    """Returns settings of daemon `index`; the first daemons are seeds."""
     if isinstance(seeds, int):
         seeds = tuple(endpoint(i) for i in range(seeds))
-    chosen = {
+    fields = {
         "listen": endpoint(index),
         "seeds": seeds,
         "secret": SECRET,
@@ -41,14 +41,14 @@
         zone=ZONES[index % len(ZONES)],
         callers=defaults.CallerSettings(listen=endpoint(1000 + index)),
         admin=endpoint(2000 + index),
-        peers=defaults.PeerSettings(**chosen),
+        peers=defaults.PeerSettings(**fields),
         object_api=defaults.ObjectApiSettings(endpoint=endpoint(3000)),
     )
 
 
 @dataclasses.dataclass
 class Node:
-    """One daemon's membership and what it told."""
+    """The membership of one daemon and the changes that it emitted."""
 
     settings: defaults.Settings
     kernel: core.Kernel
@@ -77,7 +77,7 @@
         await self.kernel.stop()
 
     async def kill(self) -> None:
-        """Ends without a word: links are lost and nothing listens."""
+        """Simulates a crash: links are lost and the port is closed."""
         await self.kernel.stop()
         await self.peers.dialer.close()
         for link in list(self.peers.links.by_peer.values()):
@@ -87,12 +87,12 @@
         await self.peers.links.server.wait_closed()
 
 
-def node(chosen: defaults.Settings, seed: int = 1) -> Node:
+def node(node_settings: defaults.Settings, seed: int = 1) -> Node:
     kernel = core.Kernel(seed)
     changes: list[events.MemberChanged] = []
     kernel.subscribe(events.MemberChanged, changes.append)
-    peers = peering.Peers.from_settings(chosen, kernel, wall, seed)
-    return Node(chosen, kernel, peers, changes)
+    peers = peering.Peers.from_settings(node_settings, kernel, wall, seed)
+    return Node(node_settings, kernel, peers, changes)
 
 
 async def start_fleet(count: int, **peers: object) -> list[Node]:
@@ -107,7 +107,7 @@
 
 
 def drop_link_messages(one: Node, other: Node) -> None:
-    """Makes the link between two go silent both ways while it stays open."""
+    """Drops all messages between two nodes while their link stays open."""
     for here, there in ((one, other), (other, one)):
         link = here.peers.links.by_peer.get(there.name)
         if link is not None:
@@ -119,16 +119,16 @@
 
 
 def reachable(nodes: list[Node]) -> set[str]:
-    """Names that the first node reaches over links."""
+    """Returns the names that the first node reaches over links."""
     by_name = {item.name: item for item in nodes}
-    seen = {nodes[0].name}
-    todo = [nodes[0]]
-    while todo:
-        for name in todo.pop().peers.linked_peers():
-            if name in by_name and name not in seen:
-                seen.add(name)
-                todo.append(by_name[name])
-    return seen
+    reached = {nodes[0].name}
+    pending = [nodes[0]]
+    while pending:
+        for name in pending.pop().peers.linked_peers():
+            if name in by_name and name not in reached:
+                reached.add(name)
+                pending.append(by_name[name])
+    return reached
 
 
 def shuffled(items: list, seed: int) -> list:
--- a/banyantiller/tests/membership/test_handshake.py
+++ b/banyantiller/tests/membership/test_handshake.py
@@ -1,4 +1,4 @@
-"""Tests of the handshake: who is let in."""
+"""Tests of the handshake: which peers are accepted."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 from banyantiller.tests.base import TestCase
 
 
-def hello(index: int, **others: object) -> messages.Hello:
-    known = {
+def hello(index: int, **changes: object) -> messages.Hello:
+    fields = {
         "protocol": 1,
         "oldest": 1,
         "deployment": "registry",
@@ -16,9 +16,9 @@
         "incarnation": 5,
         "address": "127.0.0.1",
         "port": 7000 + index,
-        **others,
+        **changes,
     }
-    return messages.Hello(**known)
+    return messages.Hello(**fields)
 
 
 class Channel:
@@ -35,75 +35,79 @@
         return await self.inbox.get()
 
 
-def pair() -> tuple[Channel, Channel]:
+def channel_pair() -> tuple[Channel, Channel]:
     one, two = asyncio.Queue(), asyncio.Queue()
     return Channel(one, two), Channel(two, one)
 
 
-async def meet(dialer, listener, secrets=("s", "s")):
-    """Results of both sides; a side left waiting gives `TimeoutError`."""
-    here, there = pair()
+async def handshake_both_sides(dialer, listener, secrets=("s", "s")):
+    """Returns both results; `TimeoutError` for a side left waiting."""
+    dialer_end, listener_end = channel_pair()
 
-    async def side(channel, role, own, secret):
+    async def side(channel, role, local, secret):
         async with asyncio.timeout(2):
-            return await handshake.perform_handshake(channel, role, own, secret)
+            return await handshake.perform_handshake(
+                channel, role, local, secret
+            )
 
     return await asyncio.gather(
-        side(here, handshake.DIALER, dialer, secrets[0]),
-        side(there, handshake.LISTENER, listener, secrets[1]),
+        side(dialer_end, handshake.DIALER, dialer, secrets[0]),
+        side(listener_end, handshake.LISTENER, listener, secrets[1]),
         return_exceptions=True,
     )
 
 
 class HandshakeTest(TestCase):
-    def refused(self, code, dialer, listener, **others):
+    def assert_refused(self, code, dialer, listener, **options):
         async def body():
-            return await meet(dialer, listener, **others)
+            return await handshake_both_sides(dialer, listener, **options)
 
         dialed, listened = self.run_paused(body())
         self.assertIsInstance(listened, handshake.LinkRefusedError)
         self.assertEqual(code, listened.code)
         self.assertIsInstance(dialed, TimeoutError)
 
-    def test_both_sides_know_each_other(self):
+    def test_both_sides_receive_the_hello_of_the_peer(self):
         async def body():
             for secret in ("s", ""):
-                met = await meet(hello(1), hello(2), (secret, secret))
-                self.assertEqual(["d2", "d1"], [x.daemon for x in met])
+                hellos = await handshake_both_sides(
+                    hello(1), hello(2), (secret, secret)
+                )
+                self.assertEqual(["d2", "d1"], [x.daemon for x in hellos])
 
         self.run_paused(body())
 
-    def test_strangers(self):
+    def test_wrong_or_missing_secret_is_refused(self):
         for secrets in (("wrong", "s"), ("", "s")):
-            self.refused(
+            self.assert_refused(
                 handshake.CLOSE_UNAUTHENTICATED,
                 hello(1),
                 hello(2),
                 secrets=secrets,
             )
 
-    def test_another_fleet_and_itself(self):
+    def test_other_deployment_and_self_link_are_refused(self):
         other = hello(1, deployment="survey")
-        self.refused(handshake.CLOSE_OTHER_DEPLOYMENT, other, hello(2))
-        self.refused(handshake.CLOSE_SELF_LINK, hello(1), hello(1))
+        self.assert_refused(handshake.CLOSE_OTHER_DEPLOYMENT, other, hello(2))
+        self.assert_refused(handshake.CLOSE_SELF_LINK, hello(1), hello(1))
 
     def test_protocol_versions(self):
         async def body():
             newer = hello(1, protocol=4, oldest=1)
-            met = await meet(newer, hello(2))
-            self.assertEqual([1, 4], [x.protocol for x in met])
+            hellos = await handshake_both_sides(newer, hello(2))
+            self.assertEqual([1, 4], [x.protocol for x in hellos])
 
         self.run_paused(body())
-        self.refused(
+        self.assert_refused(
             handshake.CLOSE_NO_COMMON_VERSION,
             hello(1, protocol=4, oldest=2),
             hello(2),
         )
 
-    def test_a_proof_fits_one_link_side_and_daemon(self):
+    def test_proof_is_valid_for_one_link_role_and_daemon(self):
         nonces = handshake.Nonces(b"d" * 32, b"l" * 32)
-        good = handshake.compute_proof("s", handshake.DIALER, nonces, hello(1))
-        others = [
+        proof = handshake.compute_proof("s", handshake.DIALER, nonces, hello(1))
+        other_inputs = [
             ("t", handshake.DIALER, nonces, hello(1)),
             ("s", handshake.LISTENER, nonces, hello(1)),
             (
@@ -116,38 +120,38 @@
             ("s", handshake.DIALER, nonces, hello(2)),
             ("s", handshake.DIALER, nonces, hello(1, deployment="survey")),
         ]
-        for changed in others:
-            self.assertNotEqual(good, handshake.compute_proof(*changed))
+        for changed in other_inputs:
+            self.assertNotEqual(proof, handshake.compute_proof(*changed))
 
     def test_a_reflected_challenge_is_refused(self):
         async def body():
-            here, there = pair()
+            dialer_end, listener_end = channel_pair()
             greeting = asyncio.create_task(
                 handshake.perform_handshake(
-                    here, handshake.DIALER, hello(1), "s"
+                    dialer_end, handshake.DIALER, hello(1), "s"
                 )
             )
-            await there.send(await there.recv())
+            await listener_end.send(await listener_end.recv())
             with self.assertRaises(handshake.LinkRefusedError):
                 await greeting
 
         self.run_paused(body())
 
-    def test_nothing_else_is_taken_before_the_hello(self):
+    def test_other_messages_before_the_hello_are_refused(self):
         async def body(data):
-            here, there = pair()
+            dialer_end, listener_end = channel_pair()
             nonce = messages.encode(messages.Challenge(b"n" * 32))
-            await there.send(nonce)
-            await there.send(data)
+            await listener_end.send(nonce)
+            await listener_end.send(data)
             try:
                 await handshake.perform_handshake(
-                    here, handshake.LISTENER, hello(1), "s"
+                    dialer_end, handshake.LISTENER, hello(1), "s"
                 )
             except handshake.LinkRefusedError as error:
                 return error.code
 
-        beat = messages.encode(messages.Heartbeat(1, 9, b""))
-        for data in (beat, b"\xff\xff", b"", messages.encode(hello(2))):
+        heartbeat = messages.encode(messages.Heartbeat(1, 9, b""))
+        for data in (heartbeat, b"\xff\xff", b"", messages.encode(hello(2))):
             self.assertIn(
                 self.run_paused(body(data)),
                 (handshake.CLOSE_MALFORMED, handshake.CLOSE_UNAUTHENTICATED),
--- a/banyantiller/tests/membership/test_overlay.py
+++ b/banyantiller/tests/membership/test_overlay.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of links."""
+"""Tests of the choice of links and of the selection by rank."""
 
 from banyantiller.membership import overlay
 from banyantiller.membership.messages import MemberEntry
@@ -17,7 +17,7 @@
 
 
 def graph(members, links):
-    """Neighbours of each member when all have the same view."""
+    """Returns the neighbours of each member if all views are equal."""
     edges = {entry.daemon: set() for entry in members}
     for entry in members:
         for other in overlay.choose_link_targets(entry, members, links):
@@ -28,22 +28,22 @@
 
 def connected(edges) -> bool:
     seen = set()
-    todo = [next(iter(edges))]
-    while todo:
-        name = todo.pop()
+    pending = [next(iter(edges))]
+    while pending:
+        name = pending.pop()
         if name not in seen:
             seen.add(name)
-            todo.extend(edges[name])
+            pending.extend(edges[name])
     return len(seen) == len(edges)
 
 
 class OverlayTest(TestCase):
-    def test_connected_with_few_links_at_any_size(self):
+    def test_graph_is_connected_with_few_links_at_any_size(self):
         for count in (2, 3, 14, 28, 56, 200):
             for links in (1, 2, 4):
                 edges = graph(fleet(count), links)
                 self.assertTrue(connected(edges), (count, links))
-                total = sum(len(near) for near in edges.values())
+                total = sum(len(neighbours) for neighbours in edges.values())
                 self.assertLessEqual(total, 2 * links * count)
 
     def test_connected_after_a_zone_is_lost(self):
@@ -70,15 +70,17 @@
             if "d5" not in before:
                 self.assertEqual(before, now)
 
-    def test_alone(self):
+    def test_single_member_has_no_targets(self):
         (local,) = fleet(1)
         self.assertEqual([], overlay.choose_link_targets(local, [local], 4))
 
-    def test_same_views_give_exactly_the_asked_places(self):
+    def test_equal_views_select_the_requested_count(self):
         names = [entry.daemon for entry in fleet(20)]
-        holders = [n for n in names if overlay.is_selected("w", n, names, 3)]
-        self.assertEqual(3, len(holders))
-        fewer = [n for n in names if n not in holders[:1]]
-        left = [n for n in fewer if overlay.is_selected("w", n, fewer, 3)]
-        self.assertEqual(set(holders[1:]), set(left) & set(holders))
+        selected = [n for n in names if overlay.is_selected("w", n, names, 3)]
+        self.assertEqual(3, len(selected))
+        remaining = [n for n in names if n not in selected[:1]]
+        selected_later = [
+            n for n in remaining if overlay.is_selected("w", n, remaining, 3)
+        ]
+        self.assertEqual(set(selected[1:]), set(selected_later) & set(selected))
         self.assertTrue(overlay.is_selected("w", "d1", [], 1))
--- a/banyantiller/tests/membership/test_peers.py
+++ b/banyantiller/tests/membership/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of several daemons' membership on the paused clock."""
+"""Tests of the membership of several daemons on the paused clock."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 
 
 class FleetTest(TestCase):
-    def on_fleet(self, count, body, **peers):
-        """Runs `body(nodes)` on a fleet that has settled, then ends it."""
+    def run_on_fleet(self, count, body, **peers):
+        """Runs `body(nodes)` on a settled fleet, then closes the fleet."""
 
         async def run():
             nodes = await support.start_fleet(count, **peers)
@@ -29,7 +29,7 @@
 
         self.run_paused(run())
 
-    def test_all_meet_and_stay_within_the_budget(self):
+    def test_fleet_is_connected_within_the_traffic_budget(self):
         async def body(nodes):
             names = {item.name for item in nodes}
             self.assertEqual(names, support.reachable(nodes))
@@ -37,72 +37,74 @@
             await asyncio.sleep(30)
             for item, old in zip(nodes, before, strict=True):
                 now = vars(item.peers.traffic)
-                moved = now["bytes_in"] + now["bytes_out"]
-                moved -= old["bytes_in"] + old["bytes_out"]
-                self.assertLess(moved / 30, 1000)
+                transferred = now["bytes_in"] + now["bytes_out"]
+                transferred -= old["bytes_in"] + old["bytes_out"]
+                self.assertLess(transferred / 30, 1000)
                 self.assertLessEqual(len(item.peers.linked_peers()), 13)
             self.assertEqual(0, sum(x.peers.traffic.dropped for x in nodes))
 
-        self.on_fleet(14, body)
+        self.run_on_fleet(14, body)
 
-    def test_a_daemon_that_ends_without_a_word(self):
+    def test_crashed_daemon_is_declared_dead_and_removed(self):
         async def body(nodes):
             await nodes[1].kill()
-            gone = nodes.pop(1)
+            crashed = nodes.pop(1)
             await asyncio.sleep(12)
             for item in nodes:
-                self.assertEqual(table.State.DEAD, item.state(gone.name))
+                self.assertEqual(table.State.DEAD, item.state(crashed.name))
                 states = [x.state for x in item.changes if x.daemon == "d1"]
                 self.assertEqual("dead", states[-1])
             self.assertEqual(len(nodes), len(support.reachable(nodes)))
             await asyncio.sleep(table.FORGET_DEAD_AFTER_S + 10)
             self.assertEqual({None}, {x.state("d1") for x in nodes})
 
-        self.on_fleet(6, body)
+        self.run_on_fleet(6, body)
 
-    def test_a_daemon_that_leaves(self):
+    def test_leaving_daemon_is_dead_once_its_links_close(self):
         async def body(nodes):
             nodes[2].peers.leave()
             await asyncio.sleep(0.2)
-            told = {x.state("d2") for x in nodes if x.name != "d2"}
-            self.assertEqual({table.State.LEAVING}, told)
+            states = {x.state("d2") for x in nodes if x.name != "d2"}
+            self.assertEqual({table.State.LEAVING}, states)
             await nodes.pop(2).close()
             await asyncio.sleep(1)
             self.assertEqual({table.State.DEAD}, {x.state("d2") for x in nodes})
 
-        self.on_fleet(6, body)
+        self.run_on_fleet(6, body)
 
-    def test_a_silent_link_is_replaced_and_nobody_dies(self):
+    def test_unresponsive_link_is_replaced_without_a_death(self):
         async def body(nodes):
             other = next(
                 x for x in nodes if x.name == nodes[0].peers.linked_peers()[0]
             )
-            silent = nodes[0].peers.links.by_peer[other.name]
+            unresponsive = nodes[0].peers.links.by_peer[other.name]
             support.drop_link_messages(nodes[0], other)
             await asyncio.sleep(10)
-            self.assertIsNot(silent, nodes[0].peers.links.by_peer[other.name])
+            self.assertIsNot(
+                unresponsive, nodes[0].peers.links.by_peer[other.name]
+            )
             states = [c.state for x in nodes for c in x.changes]
             self.assertNotIn("dead", states)
 
-        self.on_fleet(5, body)
+        self.run_on_fleet(5, body)
 
-    def test_a_long_pause_is_not_a_death_and_is_refuted(self):
+    def test_paused_daemon_refutes_its_death(self):
         async def body(nodes):
             for other in nodes[1:]:
                 support.drop_link_messages(nodes[0], other)
-            asleep = nodes[0].peers
-            listening = asleep.links.server
-            listening.close(close_connections=False)
-            asleep.dialer.closed = True
+            paused = nodes[0].peers
+            server = paused.links.server
+            server.close(close_connections=False)
+            paused.dialer.closed = True
             await asyncio.sleep(30)
             self.assertNotIn("d0", nodes[1].alive())
-            asleep.dialer.closed = False
+            paused.dialer.closed = False
             await asyncio.sleep(5)
             self.assertEqual({5}, {len(x.alive()) for x in nodes})
 
-        self.on_fleet(5, body)
+        self.run_on_fleet(5, body)
 
-    def test_a_tick_that_comes_late_forgives_silence(self):
+    def test_late_tick_resets_link_timeouts(self):
         async def body(nodes):
             peers = nodes[0].peers
             now = asyncio.get_running_loop().time()
@@ -110,12 +112,12 @@
             peers._tick(now + 60)
             await asyncio.sleep(0.1)
             self.assertEqual(before, peers.links.by_peer)
-            peers.next_tick = now + 60
+            peers.next_tick_at = now + 60
             peers._tick(now + 120)
 
-        self.on_fleet(3, body)
+        self.run_on_fleet(3, body)
 
-    def test_a_split_heals_by_seeds_and_hints(self):
+    def test_partition_heals_through_seeds_and_hints(self):
         async def run():
             west = [support.node(support.settings(i, seeds=1)) for i in (0, 1)]
             east = [
@@ -126,40 +128,39 @@
                 await item.start()
             await asyncio.sleep(10)
             self.assertEqual({2}, {len(x.alive()) for x in west + east})
-            east[1].peers.set_endpoint_hints(
-                [support.endpoint(1), support.endpoint(99)]
-            )
+            east[1].peers.set_hints([support.endpoint(1), support.endpoint(99)])
             await asyncio.sleep(20)
             self.assertEqual({4}, {len(x.alive()) for x in west + east})
             await support.close_fleet(west + east)
 
         self.run_paused(run())
 
-    def test_a_restart_with_a_clock_set_back_takes_its_name(self):
+    def test_restart_with_clock_set_back_keeps_its_name(self):
         async def body(nodes):
             await nodes[0].kill()
-            again = support.node(support.settings(0))
-            own = again.peers.table.local
-            again.peers.table.local = own._replace(incarnation=1)
-            await again.start()
-            nodes[0] = again
+            restarted = support.node(support.settings(0))
+            local = restarted.peers.table.local
+            restarted.peers.table.local = local._replace(incarnation=1)
+            await restarted.start()
+            nodes[0] = restarted
             await asyncio.sleep(15)
-            self.assertFalse(again.peers.displaced)
+            self.assertFalse(restarted.peers.displaced)
             refused = [
                 x.peers.links.refused_handshakes.get(4003, 0) for x in nodes
             ]
             self.assertLess(sum(refused), 4)
             self.assertEqual({4}, {len(x.alive()) for x in nodes})
 
-        self.on_fleet(4, body)
+        self.run_on_fleet(4, body)
 
-    def test_a_name_whose_last_run_is_dead_is_taken_late(self):
-        """A daemon starts anew with its clock set back, and without peers.
+    def test_name_of_a_dead_incarnation_can_be_taken_over_late(self):
+        """Guards against a restarted daemon giving up its own name.
 
-        The others have counted its last run as dead for long when it reaches
-        them, 30 s after its start. They told it of that run, whose start is
-        later by the clock, and it gave up its links for the life of the
-        process: `membership: another daemon took this one's name.`
+        The daemon restarts with its clock set back and first reaches a peer
+        30 s after its start. The peer still has its previous incarnation,
+        which is dead but higher by the clock. The daemon treated that entry
+        as a name conflict, logged `membership: another daemon took this
+        one's name.` and kept no links until its next start.
         """
 
         async def run():
@@ -167,24 +168,24 @@
             await asyncio.sleep(2)
             await nodes[1].kill()
             await asyncio.sleep(30)
-            again = support.node(support.settings(5, seeds=()))
-            own = again.peers.table.local
-            again.peers.table.local = own._replace(
-                daemon="d1", incarnation=own.incarnation - 3_600_000
+            restarted = support.node(support.settings(5, seeds=()))
+            local = restarted.peers.table.local
+            restarted.peers.table.local = local._replace(
+                daemon="d1", incarnation=local.incarnation - 3_600_000
             )
-            await again.start()
+            await restarted.start()
             await asyncio.sleep(30)
             self.assertEqual(table.State.DEAD, nodes[0].state("d1"))
-            again.peers.set_endpoint_hints((support.endpoint(0),))
+            restarted.peers.set_hints((support.endpoint(0),))
             await asyncio.sleep(10)
-            self.assertFalse(again.peers.displaced)
-            self.assertEqual(["d0"], again.peers.linked_peers())
+            self.assertFalse(restarted.peers.displaced)
+            self.assertEqual(["d0"], restarted.peers.linked_peers())
             self.assertEqual(table.State.ALIVE, nodes[0].state("d1"))
-            await support.close_fleet([nodes[0], again])
+            await support.close_fleet([nodes[0], restarted])
 
         self.run_paused(run())
 
-    def test_of_two_daemons_with_one_name_the_later_stays(self):
+    def test_later_of_two_daemons_with_one_name_keeps_it(self):
         async def body(nodes):
             await asyncio.sleep(10)
             listen = {"listen": support.endpoint(50)}
@@ -200,14 +201,14 @@
             )
             nodes.append(second)
 
-        self.on_fleet(4, body)
+        self.run_on_fleet(4, body)
 
     def test_messages_reach_subscribers(self):
         async def body(nodes):
-            got = []
+            received = []
             for item in nodes:
                 item.peers.subscribe(
-                    messages.BundleRequest, lambda d, m: got.append((d, m))
+                    messages.BundleRequest, lambda d, m: received.append((d, m))
                 )
             request = messages.BundleRequest(3)
             self.assertEqual(2, nodes[0].peers.broadcast(request))
@@ -215,29 +216,29 @@
             self.assertFalse(nodes[0].peers.send("d9", request))
             nodes[0].peers.announce_bundle(7, "ab" * 32)
             await asyncio.sleep(0.1)
-            self.assertEqual([("d0", request)] * 3, got)
+            self.assertEqual([("d0", request)] * 3, received)
             entry = nodes[1].peers.table.entries["d0"]
             self.assertEqual(7, entry.bundle)
 
-        self.on_fleet(3, body)
+        self.run_on_fleet(3, body)
 
 
-class StrangerTest(TestCase):
-    def test_wrong_secret_and_no_secret(self):
+class AuthenticationTest(TestCase):
+    def test_peer_with_wrong_secret_is_refused(self):
         async def run():
-            good = await support.start_fleet(2)
-            bad = support.node(support.settings(5, secret="guessed"))
-            await bad.start()
+            fleet = await support.start_fleet(2)
+            intruder = support.node(support.settings(5, secret="guessed"))
+            await intruder.start()
             await asyncio.sleep(8)
-            self.assertEqual({"d5"}, bad.alive())
-            self.assertEqual([], bad.peers.linked_peers())
-            self.assertEqual({"d0", "d1"}, good[0].alive())
-            self.assertIn(1008, good[0].peers.links.refused_handshakes)
-            await support.close_fleet([*good, bad])
+            self.assertEqual({"d5"}, intruder.alive())
+            self.assertEqual([], intruder.peers.linked_peers())
+            self.assertEqual({"d0", "d1"}, fleet[0].alive())
+            self.assertIn(1008, fleet[0].peers.links.refused_handshakes)
+            await support.close_fleet([*fleet, intruder])
 
         self.run_paused(run())
 
-    def test_a_stranger_is_cut_off_whatever_it_sends(self):
+    def test_unauthenticated_client_is_disconnected(self):
         async def talk(endpoint, frames):
             uri = f"ws://{endpoint.address}:{endpoint.port}/"
             async with client.connect(uri, proxy=None) as websocket:
@@ -249,10 +250,16 @@
 
         async def run():
             (node,) = await support.start_fleet(1)
-            beat = messages.encode(messages.Heartbeat(1, 1, b""))
+            heartbeat = messages.encode(messages.Heartbeat(1, 1, b""))
             entry = support.node(support.settings(9)).peers.table.local
             forged = messages.encode(messages.Members((entry,)))
-            for frames in ([], [beat], [forged] * 3, [b"x" * 100_000], ["a"]):
+            for frames in (
+                [],
+                [heartbeat],
+                [forged] * 3,
+                [b"x" * 100_000],
+                ["a"],
+            ):
                 try:
                     await talk(node.peers.links.endpoint, frames)
                 except websockets.ConnectionClosed:
@@ -265,7 +272,7 @@
 
         self.run_paused(run())
 
-    def test_peers_must_be_authenticated(self):
+    def test_settings_without_authentication_are_rejected(self):
         async def run(chosen):
             with self.assertRaises(exceptions.ConfigError):
                 support.node(support.settings(0, **chosen))
@@ -276,7 +283,7 @@
 
 
 class LinkTest(TestCase):
-    def test_a_full_outbox_refuses_and_counts(self):
+    def test_full_outbox_drops_and_counts_messages(self):
         async def run():
             nodes = await support.start_fleet(2)
             await asyncio.sleep(2)
@@ -291,7 +298,7 @@
 
         self.run_paused(run())
 
-    def test_a_malformed_message_ends_the_link(self):
+    def test_malformed_message_closes_the_link(self):
         async def run():
             nodes = await support.start_fleet(2)
             await asyncio.sleep(2)
--- a/banyantiller/tests/membership/test_table.py
+++ b/banyantiller/tests/membership/test_table.py
@@ -29,13 +29,13 @@
 class MergeTest(TestCase):
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(st.lists(ENTRIES, min_size=1, max_size=5), st.randoms())
-    def test_order_and_repetition_do_not_matter(self, entries, rng):
+    def test_merge_is_independent_of_order_and_repetition(self, entries, rng):
         once = functools.reduce(table.merge, entries)
         again = entries + entries
         rng.shuffle(again)
         self.assertEqual(once, functools.reduce(table.merge, again))
 
-    def test_a_later_run_wins_with_its_own_bundle(self):
+    def test_later_incarnation_wins_with_its_own_bundle_version(self):
         earlier = PEER._replace(bundle=7, heard=9, state=table.State.DEAD)
         later = PEER._replace(incarnation=101)
         self.assertEqual(later, table.merge(earlier, later))
@@ -51,20 +51,20 @@
         suspected = self.members.mark_suspect("other", 1.0)
         self.assertEqual(table.State.SUSPECT, suspected.state)
         self.assertIsNone(self.members.apply_entry(PEER, 1.5).changed)
-        there = table.MemberTable(PEER, suspect_s=2.0)
-        refuted = there.apply_entry(suspected, 1.6)
+        peer_table = table.MemberTable(PEER, suspect_s=2.0)
+        refuted = peer_table.apply_entry(suspected, 1.6)
         self.assertTrue(refuted.refuted)
         applied = self.members.apply_entry(refuted.changed, 1.7)
         self.assertEqual(table.State.ALIVE, applied.changed.state)
         self.assertEqual([], self.members.expire_entries(60.0))
 
-    def test_a_daemon_that_wakes_refutes_its_death(self):
+    def test_resumed_daemon_refutes_its_death(self):
         dead = PEER._replace(state=table.State.DEAD)
-        there = table.MemberTable(PEER, suspect_s=2.0)
-        alive = there.apply_entry(dead, 0.0).changed
+        peer_table = table.MemberTable(PEER, suspect_s=2.0)
+        alive = peer_table.apply_entry(dead, 0.0).changed
         self.assertEqual(alive, table.merge(dead, alive))
 
-    def test_suspects_die_and_the_dead_are_forgotten(self):
+    def test_suspects_become_dead_and_the_dead_are_removed(self):
         self.members.apply_entry(PEER, 0.0)
         suspected = self.members.mark_suspect("other", 1.0)
         self.assertEqual([], self.members.expire_entries(4.9))
@@ -74,12 +74,12 @@
         self.members.expire_entries(5.0 + table.FORGET_DEAD_AFTER_S)
         self.assertEqual({}, self.members.entries)
         self.assertEqual({}, self.members.state_since)
-        # A peer that has not forgotten yet must not bring it back.
+        # A peer that still has the dead entry must not bring it back.
         self.assertEqual(
             table.ApplyResult(), self.members.apply_entry(dead, 400.0)
         )
 
-    def test_leaving_is_final_for_the_run(self):
+    def test_leaving_is_final_for_an_incarnation(self):
         self.members.apply_entry(PEER, 0.0)
         leaving = table.MemberTable(PEER, 2.0).mark_leaving()
         self.members.apply_entry(leaving, 1.0)
@@ -89,7 +89,7 @@
             table.State.DEAD, self.members.mark_left("other", 3).state
         )
 
-    def test_another_run_of_the_own_name(self):
+    def test_other_incarnations_of_the_local_name(self):
         earlier = LOCAL._replace(incarnation=99)
         self.assertEqual(LOCAL, self.members.apply_entry(earlier, 0.0).changed)
         later = LOCAL._replace(incarnation=101)
@@ -103,7 +103,7 @@
             self.members.apply_entry(PEER._replace(daemon=f"d{index}"), 0.0)
         self.assertEqual(table.MAX_MEMBERS, len(self.members.entries))
 
-    def test_state_grows_with_the_fleet_only(self):
+    def test_table_size_depends_on_the_fleet_only(self):
         entries = [PEER._replace(daemon=f"d{i}") for i in range(50)]
         for seed in range(20):
             for entry in support.shuffled(entries, seed):
--- a/banyantiller/tests/membership/test_tls.py
+++ b/banyantiller/tests/membership/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of TLS between daemons, over real sockets of the loopback address."""
+"""Tests of TLS between daemons over sockets of the loopback interface."""
 
 import asyncio
 import tempfile
@@ -11,10 +11,10 @@
 from banyantiller.tests.certificates import LOOPBACK, Authority
 from banyantiller.tests.membership import support
 
-WAIT_S = 10.0
+TIMEOUT_S = 10.0
 
 
-async def start(
+async def start_peers(
     index: int, files: defaults.TlsFiles, seeds: tuple = ()
 ) -> peering.Peers:
     settings = support.settings(
@@ -30,15 +30,21 @@
 
 
 class TlsTest(TestCase):
-    def meet(self, first: defaults.TlsFiles, second: defaults.TlsFiles, met):
-        """Starts two daemons; `met(first, second)` tells when to end."""
+    def run_pair(
+        self, first: defaults.TlsFiles, second: defaults.TlsFiles, is_done
+    ):
+        """Runs two daemons until `is_done(first, second)` returns true.
+
+        Returns:
+            Number of alive members in the view of each daemon.
+        """
 
         async def body():
-            one = await start(0, first)
-            two = await start(1, second, seeds=(one.links.endpoint,))
+            one = await start_peers(0, first)
+            two = await start_peers(1, second, seeds=(one.links.endpoint,))
             try:
-                async with asyncio.timeout(WAIT_S):
-                    while not met(one, two):  # noqa: ASYNC110
+                async with asyncio.timeout(TIMEOUT_S):
+                    while not is_done(one, two):  # noqa: ASYNC110
                         await asyncio.sleep(0.02)
                 return len(one.alive_members()), len(two.alive_members())
             finally:
@@ -49,24 +55,30 @@
 
     def test_certificates_of_both_sides_are_verified(self):
         with tempfile.TemporaryDirectory() as folder:
-            ours = Authority(folder, "ours")
-            theirs = Authority(folder, "theirs")
-            good = ours.issue("d0", "peers")
-            both = self.meet(
-                good,
-                ours.issue("d1", "peers"),
+            trusted = Authority(folder, "ours")
+            foreign = Authority(folder, "theirs")
+            certified = trusted.issue("d0", "peers")
+            alive_counts = self.run_pair(
+                certified,
+                trusted.issue("d1", "peers"),
                 lambda one, two: one.linked_peers() and two.linked_peers(),
             )
-            self.assertEqual((2, 2), both)
+            self.assertEqual((2, 2), alive_counts)
 
-            def has_tried(one, two):
+            def has_failed_dials(one, two):
                 return any(
                     backoff.failures >= 2
                     for backoff in two.dialer.dial_backoffs.values()
                 )
 
-            stranger = theirs.issue("d2", "peers")
-            self.assertEqual((1, 1), self.meet(good, stranger, has_tried))
-            # A stranger that trusts us is still not trusted by us.
-            trusting = stranger._replace(trust=ours.trust)
-            self.assertEqual((1, 1), self.meet(good, trusting, has_tried))
+            foreign_files = foreign.issue("d2", "peers")
+            self.assertEqual(
+                (1, 1),
+                self.run_pair(certified, foreign_files, has_failed_dials),
+            )
+            # It is refused even if it trusts the certificates of the fleet.
+            trusting_files = foreign_files._replace(trust=trusted.trust)
+            self.assertEqual(
+                (1, 1),
+                self.run_pair(certified, trusting_files, has_failed_dials),
+            )
