--- a/banyantiller/commands/statuses.py
+++ b/banyantiller/commands/statuses.py
@@ -38,7 +38,7 @@
         StoreError: The object API gave no answer.
     """
     listed = await session.store.list(
-        writing.KIND, {"deployment": session.deployment}
+        writing.OBJECT_KIND, {"deployment": session.deployment}
     )
     if isinstance(listed, interface.Unavailable):
         failures.raise_for(NotReached(listed.reason))
@@ -50,7 +50,10 @@
     found: tuple[DaemonStatus, ...], now: float
 ) -> tuple[DaemonStatus, ...]:
     """Returns those who renewed their status in time; others may be gone."""
-    renewal = max(writing.RENEW_S, writing.RENEW_SPACING_S * len(found))
+    renewal = max(
+        writing.RENEWAL_PERIOD_S,
+        writing.RENEWAL_PERIOD_PER_MEMBER_S * len(found),
+    )
     limit = renewal * SPEAKING_PERIODS
     return tuple(item for item in found if now - item.at <= limit)
 
--- a/banyantiller/daemon/assembly.py
+++ b/banyantiller/daemon/assembly.py
@@ -22,8 +22,7 @@
 from banyantiller.measuring import budget as budgeting
 from banyantiller.membership import peers as peering
 from banyantiller.proxy import proxy as proxying
-from banyantiller.replica import spread as spreading
-from banyantiller.replica import state
+from banyantiller.replica import replicator, state
 from banyantiller.store import interface as store_interface
 from banyantiller.telemetry import admin, metrics, tallies
 from banyantiller.vmlist import interface as vm_interface
@@ -63,7 +62,7 @@
         self.peers = peering.Peers.from_settings(
             settings, self.kernel, wall, seed
         )
-        self.spread = spreading.BundleSpread.from_settings(
+        self.spread = replicator.BundleReplicator.from_settings(
             settings,
             self.store,
             self.peers,
@@ -189,7 +188,7 @@
 
     def state(self) -> dict[str, object]:
         """Returns the daemon's state for the status page."""
-        held = self.spread.held
+        held = self.spread.in_force
         return {
             "deployment": self.settings.deployment,
             "daemon": self.settings.daemon,
--- a/banyantiller/daemon/bundles.py
+++ b/banyantiller/daemon/bundles.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from banyantiller.kernel import events
-from banyantiller.replica import spread as spreading
+from banyantiller.replica import replicator
 
 if TYPE_CHECKING:
     from banyantiller.daemon import assembly
@@ -15,7 +15,7 @@
 def connect(daemon: "assembly.Daemon") -> None:
     """Subscribes the data path to bundles, members and isolation."""
 
-    def on_bundle(held: spreading.Held) -> None:
+    def on_bundle(held: replicator.InForceBundle) -> None:
         manifest = held.accepted.manifest
         # First, since the others must not follow a bundle that it refuses.
         daemon.proxy.apply(
@@ -30,7 +30,7 @@
     def is_outdated() -> bool:
         if daemon.spread.store_lost:
             return True
-        return daemon.proxy.version < daemon.spread.newest_known
+        return daemon.proxy.version < daemon.spread.newest_accepted
 
     daemon.proxy.is_outdated = is_outdated
     daemon.spread.subscribe(on_bundle)
--- a/banyantiller/daemon/reload.py
+++ b/banyantiller/daemon/reload.py
@@ -43,7 +43,7 @@
     daemon.settings = daemon.settings._replace(
         **{name: getattr(fresh, name) for name in taken}
     )
-    daemon.spread.replica.trusted = daemon.settings.trusted_keys
+    daemon.spread.replica.trusted_keys = daemon.settings.trusted_keys
     logs.configure(
         daemon.settings.log,
         deployment=daemon.settings.deployment,
--- a/banyantiller/replay/replica_player.py
+++ b/banyantiller/replay/replica_player.py
@@ -201,7 +201,7 @@
 
     def _advance(self, daemon: str, floor: int = 0) -> None:
         held = self.replicas[daemon].advance(floor)
-        if not isinstance(held, replicas.Held):
+        if not isinstance(held, replicas.InForceBundle):
             return
         lives = self.log.lives[daemon]
         lives[-1].append(held.version)
--- a/banyantiller/replay/replica_recording.py
+++ b/banyantiller/replay/replica_recording.py
@@ -75,19 +75,21 @@
         self.idle[source] = ignored
         return verdict
 
-    def add_part(self, data: bytes, keep_spare: bool = False) -> bool:
+    def add_part(self, data: bytes, cache_unneeded: bool = False) -> bool:
         """Takes in a part, and records it if it may be kept."""
-        is_wanted = super().add_part(data, keep_spare)
-        if is_wanted or keep_spare:
+        is_wanted = super().add_part(data, cache_unneeded)
+        if is_wanted or cache_unneeded:
             text = replica_inputs.to_text(data)
-            self.note(replica_inputs.Part(self.daemon, text, keep_spare))
+            self.note(replica_inputs.Part(self.daemon, text, cache_unneeded))
         return is_wanted
 
-    def advance(self, floor: int = 0) -> state.Held | state.Refuse | None:
+    def advance(
+        self, min_version: int = 0
+    ) -> state.InForceBundle | state.Refuse | None:
         """Puts a bundle in force, and records which or that none was."""
-        result = super().advance(floor)
-        item = replica_inputs.Advance(self.daemon, floor)
-        if isinstance(result, state.Held):
+        result = super().advance(min_version)
+        item = replica_inputs.Advance(self.daemon, min_version)
+        if isinstance(result, state.InForceBundle):
             item = item._replace(version=result.version, digest=result.digest)
         ignored = item if result is None else None
         if ignored is None or self.idle.get("advance") != ignored:
--- a/banyantiller/replica/spread.py
+++ b/banyantiller/replica/replicator.py
@@ -20,21 +20,21 @@
 from banyantiller.kernel import core, events
 from banyantiller.membership import messages
 from banyantiller.membership import peers as peering
-from banyantiller.replica import fetching, reading, state, status
+from banyantiller.replica import part_fetcher, state, status, store_reader
 from banyantiller.store import interface
 
 log = structlog.get_logger("banyantiller.replica")
 
-Held = state.Held
-OnBundle = Callable[[Held], None]
+InForceBundle = state.InForceBundle
+BundleCallback = Callable[[InForceBundle], None]
 
-REQUEST_WAIT_S = 0.5
-HOLD_S = 3.0
-HOLD_CHECK_S = 0.1
-MOST_REPORTED = 64
+REQUEST_TIMEOUT_S = 0.5
+MAX_HOLD_S = 3.0
+HOLD_CHECK_PERIOD_S = 0.1
+MAX_REPORTED_REFUSALS = 64
 
 
-class BundleSpread:
+class BundleReplicator:
     """Keeps the newest accepted bundle in force at this daemon.
 
     Attributes:
@@ -63,31 +63,33 @@
         self.replica = replica or state.Replica(
             settings.trusted_keys, settings.deployment
         )
-        handlers = reading.ReadHandlers(
-            self._found, self._part_written, self._answered
+        handlers = store_reader.ReaderHandlers(
+            self._on_head, self._on_part_written, self._on_store_response
         )
-        self.reader = reading.Reader(settings, store, peers, handlers, rng)
-        self.fetcher = fetching.Fetcher(
-            self.replica, store, peers, self._advance, rng
+        self.reader = store_reader.StoreReader(
+            settings, store, peers, handlers, rng
+        )
+        self.fetcher = part_fetcher.PartFetcher(
+            self.replica, store, peers, self._advance_replica, rng
         )
         self.status = status.StatusWriter(settings, store, peers, wall, rng)
-        self.callbacks: list[OnBundle] = []
+        self.callbacks: list[BundleCallback] = []
         self.sources: dict[int, str] = {}
-        self.reported: collections.deque[tuple[int, str]] = collections.deque(
-            maxlen=MOST_REPORTED
+        self.reported_refusals: collections.deque[tuple[int, str]] = (
+            collections.deque(maxlen=MAX_REPORTED_REFUSALS)
         )
-        self.asked: tuple[int, float] = (0, 0.0)
-        self.highest: tuple[int, float] = (0, 0.0)
+        self.last_request: tuple[int, float] = (0, 0.0)
+        self.highest_accepted: tuple[int, float] = (0, 0.0)
         self.store_reachable: bool | None = None
-        self.last_answer: float | None = None
-        self.lost_at: float | None = None
-        self.started: float | None = None
+        self.last_store_response_at: float | None = None
+        self.store_unreachable_since: float | None = None
+        self.started_at: float | None = None
         peers.subscribe(messages.Heartbeat, self._on_heartbeat)
-        peers.subscribe(messages.BundleOffer, self._on_offer)
-        peers.subscribe(messages.BundleRequest, self._on_request)
+        peers.subscribe(messages.BundleOffer, self._on_bundle_offer)
+        peers.subscribe(messages.BundleRequest, self._on_bundle_request)
         peers.subscribe(messages.PartRequest, self._on_part_request)
-        peers.subscribe(messages.PartData, self._on_part)
-        kernel.subscribe(events.MemberChanged, self._on_member)
+        peers.subscribe(messages.PartData, self._on_part_data)
+        kernel.subscribe(events.MemberChanged, self._on_member_changed)
 
     @classmethod
     def from_settings(
@@ -99,7 +101,7 @@
         wall: Callable[[], float],
         seed: int,
         replica: state.Replica | None = None,
-    ) -> "BundleSpread":
+    ) -> "BundleReplicator":
         """Builds the spread of bundles of one daemon.
 
         Args:
@@ -114,14 +116,14 @@
         return cls(settings, store, peers, kernel, wall, seed, replica)
 
     @property
-    def held(self) -> Held | None:
+    def in_force(self) -> InForceBundle | None:
         """The bundle in force, or None."""
-        return self.replica.held
+        return self.replica.in_force
 
     @property
-    def newest_known(self) -> int:
+    def newest_accepted(self) -> int:
         """Highest version known to be accepted, in force here or not."""
-        return max(self.replica.newest, self._floor())
+        return max(self.replica.newest_version, self._min_first_version())
 
     @property
     def store_lost(self) -> bool:
@@ -130,160 +132,171 @@
         Counted from the first call without an answer, since reads are far
         apart in a large fleet. Peers don't count: they may be cut off too.
         """
-        if self.last_answer is None:
+        if self.last_store_response_at is None:
             return True
-        if self.lost_at is None:
+        if self.store_unreachable_since is None:
             return False
         limit = self.settings.outage.isolated_after_s
-        return asyncio.get_running_loop().time() - self.lost_at > limit
+        return (
+            asyncio.get_running_loop().time() - self.store_unreachable_since
+            > limit
+        )
 
     @property
     def isolated(self) -> bool:
         """Whether neither the object API nor any peer answered for long."""
-        if self.started is None:
+        if self.started_at is None:
             return False
-        times = (self.started, self.last_answer, self.peers.last_received_at)
+        times = (
+            self.started_at,
+            self.last_store_response_at,
+            self.peers.last_received_at,
+        )
         latest = max(time for time in times if time is not None)
         limit = self.settings.outage.isolated_after_s
         return asyncio.get_running_loop().time() - latest > limit
 
-    def subscribe(self, callback: OnBundle) -> None:
+    def subscribe(self, callback: BundleCallback) -> None:
         """Calls `callback(held)` for the bundle in force and later ones."""
         self.callbacks.append(callback)
-        if self.held is not None:
-            callback(self.held)
+        if self.in_force is not None:
+            callback(self.in_force)
 
     async def run(self) -> None:
         """Learns, fetches and reports until cancelled.
 
         A cancelled run deletes the daemon's status object.
         """
-        if self.started is None:
-            self.started = asyncio.get_running_loop().time()
+        if self.started_at is None:
+            self.started_at = asyncio.get_running_loop().time()
         try:
             async with asyncio.TaskGroup() as tasks:
-                tasks.create_task(self.reader.watch())
-                tasks.create_task(self.reader.read())
+                tasks.create_task(self.reader.run_watch())
+                tasks.create_task(self.reader.run_reads())
                 tasks.create_task(self.fetcher.run())
                 tasks.create_task(self.status.run())
-                tasks.create_task(self._release())
+                tasks.create_task(self._release_first_bundle())
         except asyncio.CancelledError:
-            await self.status.remove()
+            await self.status.remove_object()
             raise
 
-    def _found(
+    def _on_head(
         self, found: outcomes.HeadFound | outcomes.Damaged, source: str
     ) -> None:
         if isinstance(found, outcomes.HeadFound):
-            self._offer(found.accepted, source)
+            self._offer_to_replica(found.accepted, source)
         else:
-            self._refused(0, found.reason, source)
+            self._report_refusal(0, found.reason, source)
 
-    def _offer(self, accepted: Accepted, source: str) -> None:
+    def _offer_to_replica(self, accepted: Accepted, source: str) -> None:
         version = accepted.manifest.version
         verdict = self.replica.offer(accepted, self.wall(), source)
         if isinstance(verdict, state.Refuse):
-            self._refused(version, verdict.reason, source)
+            self._report_refusal(version, verdict.reason, source)
         elif isinstance(verdict, state.Adopt):
             self.sources.setdefault(version, source)
-            self._note_accepted(version)
+            self._record_accepted_version(version)
             if verdict.missing:
-                self.fetcher.wanted.set()
+                self.fetcher.parts_missing.set()
             else:
-                self._advance()
+                self._advance_replica()
 
-    def _advance(self) -> None:
-        if not self._may_start():
+    def _advance_replica(self) -> None:
+        if not self._may_apply_first_bundle():
             return
-        before = self.held
+        before = self.in_force
         descends = {
             version: self.replica.descends(candidate.accepted)
             for version, candidate in self.replica.candidates.items()
         }
-        result = self.replica.advance(self._floor() if before is None else 0)
+        result = self.replica.advance(
+            self._min_first_version() if before is None else 0
+        )
         if isinstance(result, state.Refuse):
-            self._refused(result.version, result.reason, "parts")
+            self._report_refusal(result.version, result.reason, "parts")
         elif result is not None:
             if not descends[result.version]:
                 log.error(
                     "replica: a bundle does not follow the one before.",
                     version=result.version,
                 )
-            self._in_force(result)
+            self._announce_in_force(result)
 
-    def _in_force(self, held: Held) -> None:
-        version = held.version
+    def _announce_in_force(self, in_force: InForceBundle) -> None:
+        version = in_force.version
         source = self.sources.get(version, "peer")
         self.sources = {v: s for v, s in self.sources.items() if v > version}
-        self.peers.announce_bundle(version, held.digest)
-        if not self._tell(held):
+        self.peers.announce_bundle(version, in_force.digest)
+        if not self._notify_subscribers(in_force):
             return
         log.info(
             "replica: bundle in force.",
             version=version,
-            digest=held.digest[:12],
+            digest=in_force.digest[:12],
             source=source,
         )
-        self.status.note(held)
+        self.status.record_in_force(in_force)
         self.kernel.emit(
             events.BundleInForce(
                 version,
-                held.digest,
-                held.accepted.accepted_at,
+                in_force.digest,
+                in_force.accepted.accepted_at,
                 self.wall(),
                 source,
             )
         )
 
-    def _tell(self, held: Held) -> bool:
+    def _notify_subscribers(self, in_force: InForceBundle) -> bool:
         """Tells all subscribers of a bundle and whether all took it.
 
         A bundle that one of them did not take is held and passed on, but
         neither the status nor the evidence may say that it is in force.
         """
-        taken = True
+        all_succeeded = True
         for callback in self.callbacks:
             try:
-                callback(held)
+                callback(in_force)
             except Exception:
                 log.exception("replica: a subscriber failed.")
-                taken = False
-        return taken
+                all_succeeded = False
+        return all_succeeded
 
-    def _may_start(self) -> bool:
+    def _may_apply_first_bundle(self) -> bool:
         """Tells whether a first bundle may be put in force yet.
 
         A read can be stale and a peer behind, so a daemon that just started
         asks both before it takes a first bundle, unless there are no peers
         or one of them does not answer for long.
         """
-        if self.held is not None or not self._expects_peers():
+        if self.in_force is not None or not self._expects_peers():
             return True
-        if self.fetcher.holders(1) and self.reader.tried:
+        if self.fetcher.peers_with_version(1) and self.reader.first_read_done:
             return True
         now = asyncio.get_running_loop().time()
-        return self.started is not None and now - self.started >= HOLD_S
+        return (
+            self.started_at is not None and now - self.started_at >= MAX_HOLD_S
+        )
 
     def _expects_peers(self) -> bool:
         return bool(self.settings.peers.seeds or self.peers.dialer.hints)
 
-    def _floor(self) -> int:
+    def _min_first_version(self) -> int:
         """Returns the highest version that lately was known to be accepted."""
-        version, heard_at = self.highest
-        age = asyncio.get_running_loop().time() - heard_at
+        version, learned_at = self.highest_accepted
+        age = asyncio.get_running_loop().time() - learned_at
         return version if age < self.settings.outage.isolated_after_s else 0
 
-    async def _release(self) -> None:
+    async def _release_first_bundle(self) -> None:
         """Puts a first bundle in force once it need not be held back."""
-        while self.held is None:
+        while self.in_force is None:
             if self.replica.candidates:
-                self._advance()
-            await asyncio.sleep(HOLD_CHECK_S)
+                self._advance_replica()
+            await asyncio.sleep(HOLD_CHECK_PERIOD_S)
 
-    def _refused(self, version: int, reason: str, source: str) -> None:
-        if (version, reason) in self.reported:
+    def _report_refusal(self, version: int, reason: str, source: str) -> None:
+        if (version, reason) in self.reported_refusals:
             return
-        self.reported.append((version, reason))
+        self.reported_refusals.append((version, reason))
         log.warning(
             "replica: bundle refused.",
             version=version,
@@ -294,83 +307,92 @@
             events.BundleRefused(version, reason, source, self.wall())
         )
 
-    def _part_written(self, data: bytes) -> None:
-        self.fetcher.add(data, keep_spare=True)
+    def _on_part_written(self, data: bytes) -> None:
+        self.fetcher.add_part(data, cache_unneeded=True)
 
-    def _answered(self, reachable: bool, reason: str) -> None:
+    def _on_store_response(self, reachable: bool, reason: str) -> None:
         now = asyncio.get_running_loop().time()
         if reachable:
-            self.last_answer = now
+            self.last_store_response_at = now
         if reachable == self.store_reachable:
             return
         self.store_reachable = reachable
-        self.lost_at = None if reachable else now
+        self.store_unreachable_since = None if reachable else now
         if reachable:
             log.info("replica: the object API answers.")
         else:
             log.warning("replica: no object API.", reason=reason)
         self.kernel.emit(events.StoreState(reachable, self.wall()))
 
-    def _on_heartbeat(self, peer: str, beat: messages.Heartbeat) -> None:
-        self.fetcher.announced[peer] = beat.bundle
-        self._note_accepted(beat.bundle)
+    def _on_heartbeat(self, peer: str, heartbeat: messages.Heartbeat) -> None:
+        self.fetcher.announced_versions[peer] = heartbeat.bundle
+        self._record_accepted_version(heartbeat.bundle)
         if (
-            beat.bundle > self.replica.version
-            and beat.bundle not in self.replica.candidates
+            heartbeat.bundle > self.replica.version
+            and heartbeat.bundle not in self.replica.candidates
         ):
-            self._ask(peer, beat.bundle)
-        elif beat.bundle and beat.bundle == self.replica.version:
-            self._compare(peer, beat)
+            self._request_bundle(peer, heartbeat.bundle)
+        elif heartbeat.bundle and heartbeat.bundle == self.replica.version:
+            self._compare_digests(peer, heartbeat)
 
-    def _ask(self, peer: str, version: int) -> None:
+    def _request_bundle(self, peer: str, version: int) -> None:
         # One peer is asked at a time; if it does not answer, the next
         # heartbeat of any peer leads to the next request.
         now = asyncio.get_running_loop().time()
-        asked_version, asked_at = self.asked
-        if asked_version >= version and now - asked_at < REQUEST_WAIT_S:
+        requested_version, requested_at = self.last_request
+        if (
+            requested_version >= version
+            and now - requested_at < REQUEST_TIMEOUT_S
+        ):
             return
-        self.asked = (version, now)
+        self.last_request = (version, now)
         self.peers.send(peer, messages.BundleRequest(version - 1))
 
-    def _compare(self, peer: str, beat: messages.Heartbeat) -> None:
-        own = bytes.fromhex(self.held.digest)[: len(beat.digest)]
-        if own != beat.digest:
-            self._refused(
-                beat.bundle,
+    def _compare_digests(
+        self, peer: str, heartbeat: messages.Heartbeat
+    ) -> None:
+        local_prefix = bytes.fromhex(self.in_force.digest)[
+            : len(heartbeat.digest)
+        ]
+        if local_prefix != heartbeat.digest:
+            self._report_refusal(
+                heartbeat.bundle,
                 f"Daemon '{peer}' has another bundle of this version in"
                 " force: the object API's history was changed.",
                 "peer",
             )
 
-    def _note_accepted(self, version: int) -> None:
-        if version >= self._floor():
+    def _record_accepted_version(self, version: int) -> None:
+        if version >= self._min_first_version():
             now = asyncio.get_running_loop().time()
-            self.highest = (version, now)
+            self.highest_accepted = (version, now)
 
-    def _on_member(self, event: events.MemberChanged) -> None:
+    def _on_member_changed(self, event: events.MemberChanged) -> None:
         if event.state == "dead":
-            self.fetcher.announced.pop(event.daemon, None)
+            self.fetcher.announced_versions.pop(event.daemon, None)
 
-    def _on_request(self, peer: str, request: messages.BundleRequest) -> None:
-        if self.held is not None and self.held.version > request.above:
-            data = canonical.encode_accepted(self.held.accepted)
+    def _on_bundle_request(
+        self, peer: str, request: messages.BundleRequest
+    ) -> None:
+        if self.in_force is not None and self.in_force.version > request.above:
+            data = canonical.encode_accepted(self.in_force.accepted)
             self.peers.send(peer, messages.BundleOffer(data))
 
-    def _on_offer(self, peer: str, offer: messages.BundleOffer) -> None:
+    def _on_bundle_offer(self, peer: str, offer: messages.BundleOffer) -> None:
         try:
             accepted = canonical.decode_accepted(offer.accepted)
         except canonical.CanonicalError as error:
-            self._refused(0, f"Daemon '{peer}' offered {error}.", "peer")
+            self._report_refusal(0, f"Daemon '{peer}' offered {error}.", "peer")
             return
-        self._offer(accepted, "peer")
+        self._offer_to_replica(accepted, "peer")
 
     def _on_part_request(
         self, peer: str, request: messages.PartRequest
     ) -> None:
-        for digest in request.digests[: fetching.PARTS_A_REQUEST]:
-            data = self.replica.data_of(digest.hex())
+        for digest in request.digests[: part_fetcher.MAX_PARTS_PER_REQUEST]:
+            data = self.replica.part_data(digest.hex())
             if data is not None:
                 self.peers.send(peer, messages.PartData(data))
 
-    def _on_part(self, peer: str, part: messages.PartData) -> None:  # noqa: ARG002
-        self.fetcher.add(part.data)
+    def _on_part_data(self, peer: str, part: messages.PartData) -> None:  # noqa: ARG002
+        self.fetcher.add_part(part.data)
--- a/banyantiller/replica/state.py
+++ b/banyantiller/replica/state.py
@@ -14,11 +14,11 @@
 from banyantiller.bundle.options import Bundle, Service
 from banyantiller.config.defaults import TrustedKey
 
-MOST_CANDIDATES = 4
-MOST_SPARE_BYTES = 1_000_000
+MAX_CANDIDATES = 4
+MAX_CACHED_BYTES = 1_000_000
 
 
-class Held(NamedTuple):
+class InForceBundle(NamedTuple):
     """A bundle in force.
 
     Attributes:
@@ -88,25 +88,25 @@
     """
 
     def __init__(
-        self, trusted: tuple[TrustedKey, ...], deployment: str
+        self, trusted_keys: tuple[TrustedKey, ...], deployment: str
     ) -> None:
-        self.trusted = trusted
+        self.trusted_keys = trusted_keys
         self.deployment = deployment
-        self.held: Held | None = None
+        self.in_force: InForceBundle | None = None
         self.candidates: dict[int, Candidate] = {}
         self.parts: dict[str, bytes] = {}
-        self.spare: collections.OrderedDict[str, bytes] = (
+        self.cached_parts: collections.OrderedDict[str, bytes] = (
             collections.OrderedDict()
         )
-        self.services: dict[str, Service] = {}
+        self.decoded_services: dict[str, Service] = {}
 
     @property
     def version(self) -> int:
         """Version in force, 0 for none."""
-        return self.held.version if self.held else 0
+        return self.in_force.version if self.in_force else 0
 
     @property
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         """Highest verified version, in force or not."""
         return max(self.candidates, default=self.version)
 
@@ -127,25 +127,25 @@
         if version < self.version:
             return Ignore()
         digest = canonical.manifest_digest(accepted.manifest)
-        known = self._digest_of(version)
-        if known == digest:
-            return self._repeated(version)
+        known_digest = self._known_digest(version)
+        if known_digest == digest:
+            return self._verdict_on_candidate(version)
         reasons = verification.verify(
-            accepted, self.trusted, self.deployment, wall_now
+            accepted, self.trusted_keys, self.deployment, wall_now
         )
         if reasons:
             return Refuse(" ".join(reasons))
-        if known:
+        if known_digest:
             return Refuse(
-                f"Version {version} is known as {known[:12]}, not as"
+                f"Version {version} is known as {known_digest[:12]}, not as"
                 f" {digest[:12]}: the object API's history was changed.",
                 fork=True,
             )
         self.candidates[version] = Candidate(accepted, digest)
-        if len(self.candidates) > MOST_CANDIDATES:
+        if len(self.candidates) > MAX_CANDIDATES:
             del self.candidates[min(self.candidates)]
-        self._use_spare()
-        return self._repeated(version)
+        self._use_cached_parts()
+        return self._verdict_on_candidate(version)
 
     def descends(self, accepted: Accepted) -> bool:
         """Tells whether an accepted bundle may follow the one in force.
@@ -154,16 +154,16 @@
         ones are taken to descend from it.
         """
         manifest = accepted.manifest
-        if self.held is None or manifest.version != self.version + 1:
+        if self.in_force is None or manifest.version != self.version + 1:
             return True
-        return manifest.parent == self.held.digest
+        return manifest.parent == self.in_force.digest
 
-    def add_part(self, data: bytes, keep_spare: bool = False) -> bool:
+    def add_part(self, data: bytes, cache_unneeded: bool = False) -> bool:
         """Takes in a part.
 
         Args:
             data: Canonical JSON of the part, from anywhere.
-            keep_spare: Whether to keep it for a while if no known bundle
+            cache_unneeded: Whether to keep it for a while if no known bundle
                 needs it.
 
         Returns:
@@ -172,33 +172,33 @@
         digest = canonical.digest(data)
         if digest in self.parts:
             return False
-        if any(part.digest == digest for part in self.missing()):
+        if any(part.digest == digest for part in self.missing_parts()):
             self.parts[digest] = data
             return True
-        if keep_spare:
-            self._keep_spare(digest, data)
+        if cache_unneeded:
+            self._cache_part(digest, data)
         return False
 
-    def missing(self, at_most: int | None = None) -> tuple[Part, ...]:
+    def missing_parts(self, max_version: int | None = None) -> tuple[Part, ...]:
         """Returns the parts that candidates wait for, newest first.
 
         Args:
-            at_most: Highest version that counts, or None for all.
+            max_version: Highest version that counts, or None for all.
         """
         found = {
             part.digest: part
             for version in sorted(self.candidates, reverse=True)
-            if at_most is None or version <= at_most
+            if max_version is None or version <= max_version
             for part in self.candidates[version].accepted.manifest.parts
             if part.digest not in self.parts
         }
         return tuple(found.values())
 
-    def advance(self, floor: int = 0) -> Held | Refuse | None:
+    def advance(self, min_version: int = 0) -> InForceBundle | Refuse | None:
         """Puts the newest complete candidate in force.
 
         Args:
-            floor: Lowest version that may be put in force now.
+            min_version: Lowest version that may be put in force now.
 
         Returns:
             The bundle that is in force from now on; a refusal of a signed
@@ -206,45 +206,49 @@
         """
         for version in sorted(self.candidates, reverse=True):
             manifest = self.candidates[version].accepted.manifest
-            if version < floor or not self._is_complete(manifest):
+            if version < min_version or not self._is_complete(manifest):
                 continue
             return self._put_in_force(self.candidates[version])
         return None
 
-    def data_of(self, digest: str) -> bytes | None:
+    def part_data(self, digest: str) -> bytes | None:
         """Returns a part for a peer that asks for it."""
-        return self.parts.get(digest) or self.spare.get(digest)
+        return self.parts.get(digest) or self.cached_parts.get(digest)
 
-    def _put_in_force(self, candidate: Candidate) -> Held | Refuse:
+    def _put_in_force(self, candidate: Candidate) -> InForceBundle | Refuse:
         manifest = candidate.accepted.manifest
         try:
-            services = tuple(self._service(part) for part in manifest.parts)
+            services = tuple(
+                self._decode_service(part) for part in manifest.parts
+            )
         except canonical.CanonicalError as error:
             del self.candidates[manifest.version]
-            self._prune()
+            self._prune_parts()
             reason = f"A signed part is not valid: {error}."
             return Refuse(reason, version=manifest.version)
         bundle = Bundle(services, manifest.description)
-        self.held = Held(candidate.accepted, bundle, candidate.digest)
+        self.in_force = InForceBundle(
+            candidate.accepted, bundle, candidate.digest
+        )
         for version in [v for v in self.candidates if v <= manifest.version]:
             del self.candidates[version]
-        self._prune()
-        return self.held
+        self._prune_parts()
+        return self.in_force
 
-    def _service(self, part: Part) -> Service:
-        service = self.services.get(part.digest)
+    def _decode_service(self, part: Part) -> Service:
+        service = self.decoded_services.get(part.digest)
         if service is None:
             service = canonical.decode_part(self.parts[part.digest], part)
-            self.services[part.digest] = service
+            self.decoded_services[part.digest] = service
         return service
 
-    def _digest_of(self, version: int) -> str:
-        if self.held is not None and version == self.version:
-            return self.held.digest
+    def _known_digest(self, version: int) -> str:
+        if self.in_force is not None and version == self.version:
+            return self.in_force.digest
         candidate = self.candidates.get(version)
         return candidate.digest if candidate else ""
 
-    def _repeated(self, version: int) -> Verdict:
+    def _verdict_on_candidate(self, version: int) -> Verdict:
         candidate = self.candidates.get(version)
         if candidate is None:
             return Ignore()
@@ -254,29 +258,31 @@
     def _is_complete(self, manifest: Manifest) -> bool:
         return all(part.digest in self.parts for part in manifest.parts)
 
-    def _use_spare(self) -> None:
-        for part in self.missing():
-            data = self.spare.pop(part.digest, None)
+    def _use_cached_parts(self) -> None:
+        for part in self.missing_parts():
+            data = self.cached_parts.pop(part.digest, None)
             if data is not None:
                 self.parts[part.digest] = data
 
-    def _keep_spare(self, digest: str, data: bytes) -> None:
-        self.spare[digest] = data
-        self.spare.move_to_end(digest)
-        while sum(map(len, self.spare.values())) > MOST_SPARE_BYTES:
-            self.spare.popitem(last=False)
+    def _cache_part(self, digest: str, data: bytes) -> None:
+        self.cached_parts[digest] = data
+        self.cached_parts.move_to_end(digest)
+        while sum(map(len, self.cached_parts.values())) > MAX_CACHED_BYTES:
+            self.cached_parts.popitem(last=False)
 
-    def _prune(self) -> None:
+    def _prune_parts(self) -> None:
         needed = {
             part.digest
             for candidate in self.candidates.values()
             for part in candidate.accepted.manifest.parts
         }
-        if self.held is not None:
-            manifest = self.held.accepted.manifest
+        if self.in_force is not None:
+            manifest = self.in_force.accepted.manifest
             needed.update(part.digest for part in manifest.parts)
         # Operators go back to earlier content under a new version, whose
         # parts are then not written again.
         for digest in [d for d in self.parts if d not in needed]:
-            self._keep_spare(digest, self.parts.pop(digest))
-        self.services = {d: x for d, x in self.services.items() if d in needed}
+            self._cache_part(digest, self.parts.pop(digest))
+        self.decoded_services = {
+            d: x for d, x in self.decoded_services.items() if d in needed
+        }
--- a/banyantiller/replica/status.py
+++ b/banyantiller/replica/status.py
@@ -10,20 +10,20 @@
 
 from banyantiller.config import defaults
 from banyantiller.membership.peers import Peers
-from banyantiller.replica.state import Held
+from banyantiller.replica.state import InForceBundle
 from banyantiller.store import interface
 
 log = structlog.get_logger("banyantiller.replica")
 
-KIND = "daemonstatuses"
-RENEW_S = 60.0
-RENEW_SPACING_S = 2.0
-DELAY_S = 0.1
-DELAY_SPACING_S = 0.01
-GAP_SPACING_S = 0.5
-RETRY_S = 1.0
-LONGEST_RETRY_S = 15.0
-REMOVE_S = 1.0
+OBJECT_KIND = "daemonstatuses"
+RENEWAL_PERIOD_S = 60.0
+RENEWAL_PERIOD_PER_MEMBER_S = 2.0
+MAX_DELAY_S = 0.1
+MAX_DELAY_PER_MEMBER_S = 0.01
+WRITE_GAP_PER_MEMBER_S = 0.5
+INITIAL_RETRY_S = 1.0
+MAX_RETRY_S = 15.0
+REMOVE_TIMEOUT_S = 1.0
 
 
 class StatusWriter:
@@ -52,78 +52,84 @@
         self.peers = peers
         self.wall = wall
         self.random = rng
-        self.held: Held | None = None
+        self.in_force: InForceBundle | None = None
         self.changed = asyncio.Event()
-        self.item: interface.StoredObject | None = None
-        self.next_write = 0.0
+        self.stored_object: interface.StoredObject | None = None
+        self.next_write_at = 0.0
 
-    def note(self, held: Held) -> None:
+    def record_in_force(self, in_force: InForceBundle) -> None:
         """Notes the bundle in force and has it written."""
-        self.held = held
+        self.in_force = in_force
         self.changed.set()
 
     async def run(self) -> None:
         """Writes on each change and now and then."""
-        pause = RETRY_S
+        pause = INITIAL_RETRY_S
         while True:
             await self._wait_for_change()
-            while not await self._write():
+            while not await self._write_object():
                 await asyncio.sleep(pause * self.random.uniform(0.5, 1.0))
-                pause = min(pause * 2, LONGEST_RETRY_S)
-            pause = RETRY_S
+                pause = min(pause * 2, MAX_RETRY_S)
+            pause = INITIAL_RETRY_S
 
-    async def remove(self) -> None:
+    async def remove_object(self) -> None:
         """Deletes the object when the daemon ends, if that works at once."""
-        if self.item is None:
+        if self.stored_object is None:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(REMOVE_S):
-                await self.store.delete(self.item)
+            async with asyncio.timeout(REMOVE_TIMEOUT_S):
+                await self.store.delete(self.stored_object)
 
     async def _wait_for_change(self) -> None:
         members = len(self.peers.alive_members())
-        renew = max(RENEW_S, RENEW_SPACING_S * members)
+        renewal_period = max(
+            RENEWAL_PERIOD_S, RENEWAL_PERIOD_PER_MEMBER_S * members
+        )
         try:
-            async with asyncio.timeout(renew * self.random.uniform(0.8, 1.2)):
+            async with asyncio.timeout(
+                renewal_period * self.random.uniform(0.8, 1.2)
+            ):
                 await self.changed.wait()
         except TimeoutError:
             return
         # Daemons that change together write a little apart.
-        longest = DELAY_S + DELAY_SPACING_S * members
-        gap = self.next_write - asyncio.get_running_loop().time()
-        await asyncio.sleep(max(gap, 0.0) + longest * self.random.random())
+        max_delay = MAX_DELAY_S + MAX_DELAY_PER_MEMBER_S * members
+        gap = self.next_write_at - asyncio.get_running_loop().time()
+        await asyncio.sleep(max(gap, 0.0) + max_delay * self.random.random())
 
-    async def _write(self) -> bool:
+    async def _write_object(self) -> bool:
         self.changed.clear()
         now = asyncio.get_running_loop().time()
-        self.next_write = now + GAP_SPACING_S * len(self.peers.alive_members())
-        value = self._value()
+        self.next_write_at = now + WRITE_GAP_PER_MEMBER_S * len(
+            self.peers.alive_members()
+        )
+        value = self._status_fields()
         name = self.settings.daemon
-        if self.item is None:
+        if self.stored_object is None:
             labels = {"deployment": self.settings.deployment}
-            outcome = await self.store.create(KIND, name, value, labels)
+            outcome = await self.store.create(OBJECT_KIND, name, value, labels)
         else:
-            outcome = await self.store.update(self.item, value)
+            outcome = await self.store.update(self.stored_object, value)
         if isinstance(outcome, interface.Found):
-            self.item = outcome.item
+            self.stored_object = outcome.item
             return True
         await self._read_back()
         return False
 
     async def _read_back(self) -> None:
-        found = await self.store.get(KIND, self.settings.daemon)
+        found = await self.store.get(OBJECT_KIND, self.settings.daemon)
         if isinstance(found, interface.Found):
-            self.item = found.item
+            self.stored_object = found.item
         elif isinstance(found, interface.Missing):
-            self.item = None
+            self.stored_object = None
 
-    def _value(self) -> dict[str, Any]:
-        held = self.held
+    def _status_fields(self) -> dict[str, Any]:
+        in_force = self.in_force
         return {
             "daemon": self.settings.daemon,
             "zone": self.settings.zone,
-            "bundle": held.version if held else 0,
-            "digest": held.digest if held else "",
+            "bundle": in_force.version if in_force else 0,
+            "digest": in_force.digest if in_force else "",
             "at": self.wall(),
             "incarnation": self.peers.table.local.incarnation,
         }
--- a/banyantiller/replica/reading.py
+++ b/banyantiller/replica/store_reader.py
@@ -24,15 +24,15 @@
 log = structlog.get_logger("banyantiller.replica")
 
 WATCH_KEY = "watch"
-RANK_CHECK_S = 0.5
-FIRST_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 1.0
-READ_SPACING_S = 0.7
-READS_WHEN_ALONE = 3
-NO_SUCH_LABEL = {"prefetch": "none"}
+SELECTION_CHECK_S = 0.5
+INITIAL_PAUSE_S = 0.2
+MAX_PAUSE_S = 1.0
+READ_PERIOD_PER_MEMBER_S = 0.7
+READS_PER_ISOLATION_PERIOD = 3
+UNMATCHED_LABELS = {"prefetch": "none"}
 
 
-class ReadHandlers(NamedTuple):
+class ReaderHandlers(NamedTuple):
     """Whom the reader tells what it found.
 
     Attributes:
@@ -41,12 +41,12 @@
         answered: Called with whether the object API answered, and why not.
     """
 
-    found: Callable[[outcomes.HeadFound | outcomes.Damaged, str], None]
-    part: Callable[[bytes], None]
-    answered: Callable[[bool, str], None]
+    on_head: Callable[[outcomes.HeadFound | outcomes.Damaged, str], None]
+    on_part: Callable[[bytes], None]
+    on_store_response: Callable[[bool, str], None]
 
 
-class Reader:
+class StoreReader:
     """Watches and reads the head of one deployment.
 
     Attributes:
@@ -59,7 +59,7 @@
         settings: defaults.Settings,
         store: interface.ObjectStore,
         peers: Peers,
-        handlers: ReadHandlers,
+        handlers: ReaderHandlers,
         rng: random.Random,
     ) -> None:
         self.settings = settings
@@ -68,17 +68,17 @@
         self.handlers = handlers
         self.random = rng
         self.watching = False
-        self.tried = False
+        self.first_read_done = False
 
-    def has_rank(self) -> bool:
+    def is_watcher(self) -> bool:
         """Tells whether this daemon is one of those that watch."""
         alive = [
             entry.daemon
             for entry in self.peers.alive_members(include_suspects=False)
         ]
         key = f"{WATCH_KEY} {self.settings.deployment}"
-        places = self.settings.object_api.watchers
-        return overlay.is_selected(key, self.settings.daemon, alive, places)
+        watchers = self.settings.object_api.watchers
+        return overlay.is_selected(key, self.settings.daemon, alive, watchers)
 
     def read_period(self) -> float:
         """Returns the mean time between reads, in seconds.
@@ -89,77 +89,79 @@
         """
         period = max(
             self.settings.object_api.poll_s,
-            READ_SPACING_S * len(self.peers.alive_members()),
+            READ_PERIOD_PER_MEMBER_S * len(self.peers.alive_members()),
         )
         if self.peers.linked_peers():
             return period
-        alone = self.settings.outage.isolated_after_s / READS_WHEN_ALONE
-        return min(period, alone)
+        unlinked_period = (
+            self.settings.outage.isolated_after_s / READS_PER_ISOLATION_PERIOD
+        )
+        return min(period, unlinked_period)
 
-    async def watch(self) -> None:
+    async def run_watch(self) -> None:
         """Watches whenever this daemon has the rank to."""
-        pause = FIRST_PAUSE_S
+        pause = INITIAL_PAUSE_S
         while True:
-            if not self.has_rank():
-                await asyncio.sleep(RANK_CHECK_S)
+            if not self.is_watcher():
+                await asyncio.sleep(SELECTION_CHECK_S)
                 continue
             if await self._watch_once():
-                pause = FIRST_PAUSE_S
+                pause = INITIAL_PAUSE_S
             await asyncio.sleep(pause * self.random.uniform(0.5, 1.0))
-            pause = min(pause * 2, LONGEST_PAUSE_S)
+            pause = min(pause * 2, MAX_PAUSE_S)
 
-    async def read(self) -> None:
+    async def run_reads(self) -> None:
         """Reads the head periodically."""
         while True:
-            await self.read_once()
+            await self.read_and_report()
             period = self.read_period()
             await asyncio.sleep(period * self.random.uniform(0.5, 1.5))
 
-    async def read_once(self) -> None:
+    async def read_and_report(self) -> None:
         """Reads the head."""
         found = await bundle_reading.read_head(
             self.store, self.settings.deployment
         )
-        self.tried = True
+        self.first_read_done = True
         if isinstance(found, outcomes.NotReached):
-            self.handlers.answered(False, found.reason)
+            self.handlers.on_store_response(False, found.reason)
             return
-        self.handlers.answered(True, "")
+        self.handlers.on_store_response(True, "")
         if not isinstance(found, outcomes.NoHead):
-            self.handlers.found(found, "read")
+            self.handlers.on_head(found, "read")
 
     async def _watch_once(self) -> bool:
         """Lists, then watches; returns whether the list was answered."""
         listed = await self.store.list(bundle_reading.HEADS)
         if isinstance(listed, interface.Unavailable):
-            self.handlers.answered(False, listed.reason)
+            self.handlers.on_store_response(False, listed.reason)
             return False
-        self.handlers.answered(True, "")
+        self.handlers.on_store_response(True, "")
         for item in listed.items:
-            self._take(item)
+            self._process_head(item)
         parts = asyncio.create_task(self._watch_parts())
         self.watching = True
         try:
-            await self._follow(listed.version)
+            await self._follow_heads(listed.version)
         finally:
             self.watching = False
             parts.cancel()
             await asyncio.gather(parts, return_exceptions=True)
         return True
 
-    async def _follow(self, version: str) -> None:
+    async def _follow_heads(self, version: str) -> None:
         events = self.store.watch(bundle_reading.HEADS, version)
         async with contextlib.aclosing(events):
             async for event in events:
                 if isinstance(event, interface.Unavailable):
-                    self.handlers.answered(False, event.reason)
+                    self.handlers.on_store_response(False, event.reason)
                     return
-                self.handlers.answered(True, "")
+                self.handlers.on_store_response(True, "")
                 if isinstance(event, interface.Gone):
                     return
                 if isinstance(event, interface.Changed):
-                    self._take(event.item)
-                if not self.has_rank():
+                    self._process_head(event.item)
+                if not self.is_watcher():
                     return
 
     async def _watch_parts(self) -> None:
@@ -167,19 +169,19 @@
         # is accepted means that an accept is all that must be learned when
         # the object API goes down right after it. The list matches nothing:
         # it is made for its version.
-        listed = await self.store.list(bundle_reading.PARTS, NO_SUCH_LABEL)
+        listed = await self.store.list(bundle_reading.PARTS, UNMATCHED_LABELS)
         if isinstance(listed, interface.Unavailable):
             return
         events = self.store.watch(bundle_reading.PARTS, listed.version)
         async with contextlib.aclosing(events):
             async for event in events:
                 if isinstance(event, interface.Changed):
-                    self._take_part(event.item.value.get("data"))
+                    self._process_part(event.item.value.get("data"))
 
-    def _take(self, item: interface.StoredObject) -> None:
+    def _process_head(self, item: interface.StoredObject) -> None:
         if item.name == self.settings.deployment:
-            self.handlers.found(bundle_reading.decode_head(item), "watch")
+            self.handlers.on_head(bundle_reading.decode_head(item), "watch")
 
-    def _take_part(self, data: Any) -> None:
+    def _process_part(self, data: Any) -> None:
         if isinstance(data, str):
-            self.handlers.part(data.encode("utf-8", "replace"))
+            self.handlers.on_part(data.encode("utf-8", "replace"))
--- a/banyantiller/tests/daemon/test_reload.py
+++ b/banyantiller/tests/daemon/test_reload.py
@@ -29,7 +29,7 @@
                 daemon,
                 daemon.settings._replace(trusted_keys=fewer, drain=drain),
             )
-            self.assertEqual(fewer, daemon.spread.replica.trusted)
+            self.assertEqual(fewer, daemon.spread.replica.trusted_keys)
             self.assertEqual(0.0, daemon.settings.drain.grace_s)
             self.assertEqual(200, (await call).status)
             await fleet.stop()
--- a/banyantiller/tests/daemon/test_whole_path.py
+++ b/banyantiller/tests/daemon/test_whole_path.py
@@ -302,7 +302,7 @@
             text = samples.BUNDLE.partition("  - name: archive")[0]
             await samples.roll(store, await samples.prepare(store, text))
             await asyncio.sleep(SETTLED_S)
-            self.assertEqual(2, daemon.spread.held.version)
+            self.assertEqual(2, daemon.spread.in_force.version)
             answer = await send(8001, "GET", "/archive/1")
             self.assertEqual(200, answer.status, answer)
             self.assertIn("archive", daemon.budget.ledgers)
--- a/banyantiller/tests/examples/test_examples.py
+++ b/banyantiller/tests/examples/test_examples.py
@@ -71,7 +71,7 @@
             following = asyncio.create_task(
                 self.load("replica")["follow"](chosen, store, shown.append)
             )
-            digest = await samples.prepare(store, support.text(1))
+            digest = await samples.prepare(store, support.bundle_text(1))
             await samples.roll(store, digest)
             await asyncio.sleep(5)
             following.cancel()
--- a/banyantiller/tests/replay/test_replica_recording.py
+++ b/banyantiller/tests/replay/test_replica_recording.py
@@ -129,7 +129,7 @@
         for _ in range(3):
             replica = self.create(most_bytes=4000)
             for number in range(100):
-                replica.add_part(b"part %d" % number, keep_spare=True)
+                replica.add_part(b"part %d" % number, cache_unneeded=True)
             replica.recording.close()
         text = self.file.read_text()
         self.assertTrue(len(text) < 4100)
@@ -138,7 +138,7 @@
 
     def test_a_killed_daemons_broken_line_is_dropped(self):
         replica = self.create()
-        replica.add_part(b"\xff\x00 not text", keep_spare=True)
+        replica.add_part(b"\xff\x00 not text", cache_unneeded=True)
         replica.recording.write('{"t": 8, "part')
         replica.recording.close()
         self.create().recording.close()
@@ -170,8 +170,8 @@
 
         replica.recording.write = write
         for _ in range(2):
-            replica.add_part(b"part", keep_spare=True)
-        self.assertEqual(1, len(replica.spare))
+            replica.add_part(b"part", cache_unneeded=True)
+        self.assertEqual(1, len(replica.cached_parts))
         self.assertTrue(replica.recording.is_full)
         replica.recording.close()
 
--- a/banyantiller/tests/replica/support.py
+++ b/banyantiller/tests/replica/support.py
@@ -11,14 +11,14 @@
 from banyantiller.bundle.manifest import Accepted
 from banyantiller.config import defaults
 from banyantiller.kernel import events
-from banyantiller.replica import spread as spreading
+from banyantiller.replica import replicator
 from banyantiller.store import memory
 from banyantiller.store import table as tables
 from banyantiller.tests.bundle import samples
 from banyantiller.tests.membership import support
 
 
-def text(number: int) -> str:
+def bundle_text(number: int) -> str:
     """A bundle whose second service differs with the number."""
     return samples.BUNDLE.replace("9003", str(9100 + number))
 
@@ -41,38 +41,38 @@
 
     index: int
     table: tables.ObjectTable
-    chosen: defaults.Settings
+    settings: defaults.Settings
     history: list[int] = dataclasses.field(default_factory=list)
-    refused: list[events.BundleRefused] = dataclasses.field(
+    refusals: list[events.BundleRefused] = dataclasses.field(
         default_factory=list
     )
-    states: list[bool] = dataclasses.field(default_factory=list)
+    store_states: list[bool] = dataclasses.field(default_factory=list)
     in_force_at: dict[int, float] = dataclasses.field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.store = memory.MemoryStore(self.table)
 
     async def start(self) -> None:
-        self.node = support.node(self.chosen, seed=self.index)
+        self.node = support.node(self.settings, seed=self.index)
         kernel = self.node.kernel
-        self.spread = spreading.BundleSpread.from_settings(
-            self.chosen,
+        self.replicator = replicator.BundleReplicator.from_settings(
+            self.settings,
             self.store,
             self.node.peers,
             kernel,
             support.wall,
             self.index,
         )
-        kernel.subscribe(events.BundleRefused, self.refused.append)
+        kernel.subscribe(events.BundleRefused, self.refusals.append)
         kernel.subscribe(
-            events.StoreState, lambda e: self.states.append(e.reachable)
+            events.StoreState, lambda e: self.store_states.append(e.reachable)
         )
-        self.spread.subscribe(self._note)
+        self.replicator.subscribe(self._record_in_force)
         await self.node.start()
-        kernel.start("spread", self.spread.run)
+        kernel.start("spread", self.replicator.run)
 
     async def kill(self) -> None:
-        self.spread.status.item = None
+        self.replicator.status.stored_object = None
         await self.node.kill()
 
     async def restart(self) -> None:
@@ -84,9 +84,9 @@
 
     @property
     def version(self) -> int:
-        return self.spread.replica.version
+        return self.replicator.replica.version
 
-    def _note(self, held: spreading.Held) -> None:
+    def _record_in_force(self, held: replicator.InForceBundle) -> None:
         self.history.append(held.version)
         now = asyncio.get_running_loop().time()
         self.in_force_at.setdefault(held.version, now)
@@ -120,13 +120,15 @@
         return self.version
 
     async def propose(self) -> str:
-        return await samples.prepare(self.operators, text(self.version + 1))
+        return await samples.prepare(
+            self.operators, bundle_text(self.version + 1)
+        )
 
-    def set_down(self, down: bool) -> None:
+    def set_store_down(self, down: bool) -> None:
         for daemon in self.daemons:
             daemon.store.faults.down = down
 
-    async def until(self, version: int, within_s: float) -> float:
+    async def wait_in_force(self, version: int, within_s: float) -> float:
         """Waits until a version is in force everywhere.
 
         Returns:
@@ -140,10 +142,10 @@
             await asyncio.sleep(0.01)
         return float("inf")
 
-    def reverted(self) -> list[tuple[str, list[int]]]:
+    def downgrades(self) -> list[tuple[str, list[int]]]:
         """Daemons that ever put a lower version in force, with history."""
         return [
-            (daemon.chosen.daemon, daemon.history)
+            (daemon.settings.daemon, daemon.history)
             for daemon in self.daemons
             if daemon.history != sorted(daemon.history)
         ]
--- a/banyantiller/tests/replica/test_spread.py
+++ b/banyantiller/tests/replica/test_replicator.py
@@ -18,24 +18,24 @@
 
 
 class SpreadTest(TestCase):
-    def on_fleet(self, count, body, rolls=1, **others):
+    def run_on_fleet(self, count, body, rolls=1, **others):
         """Runs `body(fleet)` after `rolls` bundles are in force."""
 
         async def run():
             fleet = support.Fleet(count, **others)
             await fleet.start()
             for _ in range(rolls):
-                await self.in_force(fleet, await fleet.roll())
+                await self.assert_in_force(fleet, await fleet.roll())
             await body(fleet)
-            self.assertEqual([], fleet.reverted())
+            self.assertEqual([], fleet.downgrades())
             failures = [x.node.kernel.failures for x in fleet.daemons]
             self.assertEqual([{}] * count, failures)
             await fleet.close()
 
         self.run_paused(run())
 
-    async def in_force(self, fleet, version, within_s=WITHIN_S):
-        took = await fleet.until(version, within_s)
+    async def assert_in_force(self, fleet, version, within_s=WITHIN_S):
+        took = await fleet.wait_in_force(version, within_s)
         self.assertLessEqual(took, within_s, fleet.versions())
 
     def test_everywhere_within_a_second_and_only_what_changed(self):
@@ -43,16 +43,16 @@
             for _ in range(3):
                 before = [x.node.peers.traffic.bytes_in for x in fleet.daemons]
                 version = await fleet.roll()
-                await self.in_force(fleet, version, 1.0)
+                await self.assert_in_force(fleet, version, 1.0)
                 after = [x.node.peers.traffic.bytes_in for x in fleet.daemons]
                 moved = [b - a for a, b in zip(before, after, strict=True)]
                 self.assertLess(max(moved), 4000)
-            watching = [x.spread.reader.watching for x in fleet.daemons]
+            watching = [x.replicator.reader.watching for x in fleet.daemons]
             self.assertEqual(3, sum(watching))
             gets = sum(x.store.calls["get"] for x in fleet.daemons)
             self.assertLess(gets, 14 * 3)
 
-        self.on_fleet(14, body)
+        self.run_on_fleet(14, body)
 
     def test_calls_do_not_grow_with_the_fleet(self):
         rates = []
@@ -64,13 +64,13 @@
             after = sum(sum(calls.values()) for calls in stores)
             rates.append((after - before) / 60)
 
-        self.on_fleet(7, body)
-        self.on_fleet(14, body)
+        self.run_on_fleet(7, body)
+        self.run_on_fleet(14, body)
         self.assertLess(max(rates), 3.0)
 
     def test_reads_are_rarer_in_a_large_fleet(self):
         async def body(fleet):
-            spread = fleet.daemons[0].spread
+            spread = fleet.daemons[0].replicator
             small = spread.reader.read_period()
             table = fleet.daemons[0].node.peers.table
             for index in range(100):
@@ -78,7 +78,7 @@
                 table.apply_entry(entry, 0.0)
             self.assertGreater(spread.reader.read_period(), 6 * small)
 
-        self.on_fleet(2, body)
+        self.run_on_fleet(2, body)
 
     def test_an_hour_without_the_object_api(self):
         peers = members.settings(0).peers._replace(
@@ -89,22 +89,22 @@
             fleet = support.Fleet(4)
             for index, daemon in enumerate(fleet.daemons):
                 own = peers._replace(listen=members.endpoint(index))
-                daemon.chosen = daemon.chosen._replace(peers=own)
+                daemon.settings = daemon.settings._replace(peers=own)
             await fleet.start()
-            await self.in_force(fleet, await fleet.roll())
-            fleet.set_down(True)
+            await self.assert_in_force(fleet, await fleet.roll())
+            fleet.set_store_down(True)
             for daemon in fleet.daemons[:2]:
                 await asyncio.sleep(1500)
                 await daemon.restart()
-                await self.in_force(fleet, 1, 30)
+                await self.assert_in_force(fleet, 1, 30)
             await asyncio.sleep(600)
-            isolated = [x.spread.isolated for x in fleet.daemons]
+            isolated = [x.replicator.isolated for x in fleet.daemons]
             self.assertEqual([False] * 4, isolated)
-            fleet.set_down(False)
+            fleet.set_store_down(False)
             await asyncio.sleep(20)
-            await self.in_force(fleet, await fleet.roll())
-            self.assertEqual([], fleet.reverted())
-            self.assertEqual([True, False, True], fleet.daemons[3].states)
+            await self.assert_in_force(fleet, await fleet.roll())
+            self.assertEqual([], fleet.downgrades())
+            self.assertEqual([True, False, True], fleet.daemons[3].store_states)
             await fleet.close()
 
         self.run_paused(run())
@@ -114,46 +114,48 @@
             digest = await fleet.propose()
             await asyncio.sleep(1)
             # One daemon that watches hears of it, the others do not.
-            watching = [x for x in fleet.daemons if x.spread.reader.watching]
+            watching = [
+                x for x in fleet.daemons if x.replicator.reader.watching
+            ]
             for daemon in fleet.daemons:
                 daemon.store.faults.down = daemon is not watching[0]
             await asyncio.sleep(1)
             faults = watching[0].store.faults
-            watching[0].spread.callbacks.append(
+            watching[0].replicator.callbacks.append(
                 lambda held: setattr(faults, "down", True)
             )
             await samples.roll(fleet.operators, digest)
-            await self.in_force(fleet, 2, 1.0)
+            await self.assert_in_force(fleet, 2, 1.0)
 
-        self.on_fleet(8, body)
+        self.run_on_fleet(8, body)
 
     def test_lost_answers_and_a_slow_object_api(self):
         async def body(fleet):
             fleet.operators.faults.lose_answers = 2
-            await self.in_force(fleet, await fleet.roll())
+            await self.assert_in_force(fleet, await fleet.roll())
             for daemon in fleet.daemons:
                 daemon.store.faults.slow_s = 1.5
-            await self.in_force(fleet, await fleet.roll())
+            await self.assert_in_force(fleet, await fleet.roll())
             for daemon in fleet.daemons:
                 daemon.store.faults.slow_s = 30.0
             await fleet.daemons[0].restart()
-            await self.in_force(fleet, await fleet.roll())
+            await self.assert_in_force(fleet, await fleet.roll())
 
-        self.on_fleet(5, body)
+        self.run_on_fleet(5, body)
 
     def test_stale_reads_never_lower_a_daemon(self):
         async def body(fleet):
             for daemon in fleet.daemons[:3]:
                 daemon.store.serve_stale(True)
                 daemon.store.faults.silent_watches = True
-            await self.in_force(fleet, await fleet.roll())
+            await self.assert_in_force(fleet, await fleet.roll())
             await asyncio.sleep(30)
             # The restarted daemon reads version 1 and must wait for peers.
             await fleet.daemons[0].restart()
-            await self.in_force(fleet, 2)
+            await self.assert_in_force(fleet, 2)
             self.assertEqual([1, 2, 2], fleet.daemons[0].history)
 
-        self.on_fleet(5, body)
+        self.run_on_fleet(5, body)
 
     def test_a_starting_daemon_waits_while_a_peer_is_ahead(self):
         async def body(fleet):
@@ -164,15 +166,15 @@
             await fleet.roll()
             await asyncio.sleep(1)
             self.assertEqual(2, fleet.daemons[1].version)
-            real = fleet.daemons[1].spread
+            real = fleet.daemons[1].replicator
             answer = real.peers.message_handlers.pop(messages.BundleRequest)
             await late.start()
             await asyncio.sleep(8)
             self.assertEqual(0, late.version)
             real.peers.message_handlers[messages.BundleRequest] = answer
-            await self.in_force(fleet, 2)
+            await self.assert_in_force(fleet, 2)
 
-        self.on_fleet(2, body)
+        self.run_on_fleet(2, body)
 
     def test_a_restart_before_anyone_else_has_the_bundle(self):
         async def body(fleet):
@@ -184,24 +186,24 @@
             self.assertEqual([2, 1], fleet.versions())
             first.store.faults.slow_s = 1.0
             await first.restart()
-            await self.in_force(fleet, 2)
+            await self.assert_in_force(fleet, 2)
 
-        self.on_fleet(2, body)
+        self.run_on_fleet(2, body)
 
     def test_silent_watches(self):
         async def body(fleet):
             for daemon in fleet.daemons:
                 daemon.store.faults.silent_watches = True
             await asyncio.sleep(0.5)
-            await self.in_force(fleet, await fleet.roll(), 6.0)
+            await self.assert_in_force(fleet, await fleet.roll(), 6.0)
 
-        self.on_fleet(5, body)
+        self.run_on_fleet(5, body)
 
     def test_racing_operators(self):
         async def body(fleet):
             first = await fleet.propose()
             second = await samples.prepare(
-                fleet.operators, support.text(50), "ben"
+                fleet.operators, support.bundle_text(50), "ben"
             )
             results = await asyncio.gather(
                 samples.roll(fleet.operators, first, "ana"),
@@ -209,36 +211,36 @@
             )
             won = [x for x in results if isinstance(x, outcomes.Rolled)]
             self.assertEqual(1, len(won))
-            await self.in_force(fleet, 2)
-            digests = {x.spread.held.digest for x in fleet.daemons}
+            await self.assert_in_force(fleet, 2)
+            digests = {x.replicator.in_force.digest for x in fleet.daemons}
             self.assertEqual({won[0].digest}, digests)
 
-        self.on_fleet(5, body)
+        self.run_on_fleet(5, body)
 
     def test_starting_amid_an_outage_with_some_peers_only(self):
         async def body(fleet):
-            fleet.set_down(True)
+            fleet.set_store_down(True)
             late = fleet.daemons[4]
             await late.kill()
             only = (members.endpoint(2),)
-            late.chosen = late.chosen._replace(
-                peers=late.chosen.peers._replace(seeds=only, links=1)
+            late.settings = late.settings._replace(
+                peers=late.settings.peers._replace(seeds=only, links=1)
             )
             for other in fleet.daemons[:2]:
                 await other.restart()
             await late.start()
-            await self.in_force(fleet, 2)
+            await self.assert_in_force(fleet, 2)
 
-        self.on_fleet(5, body, rolls=2)
+        self.run_on_fleet(5, body, rolls=2)
 
     def test_links_that_go_silent_during_a_roll(self):
         async def body(fleet):
             for daemon in fleet.daemons[1:]:
                 members.drop_link_messages(fleet.daemons[0].node, daemon.node)
             fleet.daemons[0].store.faults.down = True
-            await self.in_force(fleet, await fleet.roll(), 6.0)
+            await self.assert_in_force(fleet, await fleet.roll(), 6.0)
 
-        self.on_fleet(5, body)
+        self.run_on_fleet(5, body)
 
     def test_a_long_pause_amid_an_outage(self):
         async def body(fleet):
@@ -250,50 +252,52 @@
                 members.drop_link_messages(asleep.node, daemon.node)
             await fleet.roll()
             await asyncio.sleep(60)
-            self.assertTrue(asleep.spread.isolated)
+            self.assertTrue(asleep.replicator.isolated)
             self.assertEqual(1, asleep.version)
-            fleet.set_down(True)
+            fleet.set_store_down(True)
             asleep.node.peers.dialer.closed = False
-            await self.in_force(fleet, 2)
-            self.assertFalse(asleep.spread.isolated)
+            await self.assert_in_force(fleet, 2)
+            self.assertFalse(asleep.replicator.isolated)
 
-        self.on_fleet(4, body)
+        self.run_on_fleet(4, body)
 
     def test_a_changed_history_is_reported_and_not_followed(self):
         async def body(fleet):
-            digest = fleet.daemons[0].spread.held.digest
+            digest = fleet.daemons[0].replicator.in_force.digest
             head = fleet.table.get(reading.HEADS, samples.DEPLOYMENT, None)
             parent = await reading.read_head(
                 fleet.operators, samples.DEPLOYMENT
             )
             await fleet.operators.delete(head.item)
             fleet.version = 0
-            other = await samples.prepare(fleet.operators, support.text(77))
+            other = await samples.prepare(
+                fleet.operators, support.bundle_text(77)
+            )
             rolled = await samples.roll(fleet.operators, other)
             self.assertIsInstance(rolled, outcomes.Rolled)
             self.assertNotEqual(parent.digest, rolled.digest)
             await asyncio.sleep(20)
             self.assertEqual(
-                {digest}, {x.spread.held.digest for x in fleet.daemons}
+                {digest}, {x.replicator.in_force.digest for x in fleet.daemons}
             )
             for daemon in fleet.daemons:
-                self.assertIn("history", daemon.refused[0].reason)
+                self.assertIn("history", daemon.refusals[0].reason)
             # A later version leads the fleet on.
             fleet.version = 1
-            await self.in_force(fleet, await fleet.roll())
+            await self.assert_in_force(fleet, await fleet.roll())
 
-        self.on_fleet(3, body)
+        self.run_on_fleet(3, body)
 
     def test_a_bundle_without_parts_does_not_keep_others_waiting(self):
         async def body(fleet):
             late = fleet.daemons[0]
             late.store.faults.down = True
             newer, _ = test_state.accepted(3, number=50)
-            late.spread._offer(newer, "watch")
-            await self.in_force(fleet, await fleet.roll())
-            self.assertEqual([3], list(late.spread.replica.candidates))
+            late.replicator._offer_to_replica(newer, "watch")
+            await self.assert_in_force(fleet, await fleet.roll())
+            self.assertEqual([3], list(late.replicator.replica.candidates))
 
-        self.on_fleet(2, body)
+        self.run_on_fleet(2, body)
 
     def test_another_bundle_in_force_at_a_peer_is_reported_once(self):
         async def body(fleet):
@@ -301,28 +305,28 @@
                 beat = messages.Heartbeat(sequence, 1, b"another.")
                 fleet.daemons[1].node.peers.send("d0", beat)
             await asyncio.sleep(1)
-            (refused,) = fleet.daemons[0].refused
+            (refused,) = fleet.daemons[0].refusals
             self.assertIn("Daemon 'd1'", refused.reason)
             self.assertEqual(1, fleet.daemons[0].version)
 
-        self.on_fleet(2, body)
+        self.run_on_fleet(2, body)
 
     def test_a_key_that_is_trusted_later_lets_the_bundle_in(self):
         async def body(fleet):
             late = fleet.daemons[0]
-            late.spread.replica.trusted = samples.TRUSTED[:1]
+            late.replicator.replica.trusted_keys = samples.TRUSTED[:1]
             await fleet.roll()
             await asyncio.sleep(5)
             self.assertEqual([1, 2], fleet.versions())
-            self.assertIn("No key of operator", late.refused[0].reason)
-            late.spread.replica.trusted = samples.TRUSTED
-            await self.in_force(fleet, 2, 20)
+            self.assertIn("No key of operator", late.refusals[0].reason)
+            late.replicator.replica.trusted_keys = samples.TRUSTED
+            await self.assert_in_force(fleet, 2, 20)
 
-        self.on_fleet(2, body)
+        self.run_on_fleet(2, body)
 
     def test_forged_offers_from_a_peer(self):
         async def body(fleet):
-            held = fleet.daemons[1].spread.held.accepted
+            held = fleet.daemons[1].replicator.in_force.accepted
             forged = held._replace(manifest=held.manifest._replace(version=9))
             for data in (
                 acceptance.reading.canonical.encode_accepted(forged),
@@ -335,9 +339,9 @@
             fleet.daemons[1].node.peers.send("d0", request)
             await asyncio.sleep(1)
             self.assertEqual(1, fleet.daemons[0].version)
-            self.assertEqual(3, len(fleet.daemons[0].refused))
+            self.assertEqual(3, len(fleet.daemons[0].refusals))
 
-        self.on_fleet(2, body)
+        self.run_on_fleet(2, body)
 
     def test_isolation_is_told_and_ends(self):
         outage = defaults.OutageSettings(isolated_after_s=5.0)
@@ -345,26 +349,26 @@
         async def body(fleet):
             (alone,) = fleet.daemons
             await asyncio.sleep(30)
-            self.assertFalse(alone.spread.isolated)
-            fleet.set_down(True)
+            self.assertFalse(alone.replicator.isolated)
+            fleet.set_store_down(True)
             await asyncio.sleep(4)
-            self.assertFalse(alone.spread.isolated)
+            self.assertFalse(alone.replicator.isolated)
             await asyncio.sleep(4)
-            self.assertTrue(alone.spread.isolated)
+            self.assertTrue(alone.replicator.isolated)
             self.assertEqual(1, alone.version)
-            fleet.set_down(False)
+            fleet.set_store_down(False)
             await asyncio.sleep(5)
-            self.assertFalse(alone.spread.isolated)
-            self.assertEqual([True, False, True], alone.states)
+            self.assertFalse(alone.replicator.isolated)
+            self.assertEqual([True, False, True], alone.store_states)
 
-        self.on_fleet(1, body, outage=outage)
+        self.run_on_fleet(1, body, outage=outage)
 
     def test_status_objects_follow_in_few_writes(self):
         async def body(fleet):
             await asyncio.sleep(2)
             before = [x.store.calls["update"] for x in fleet.daemons]
             for _ in range(2):
-                await self.in_force(fleet, await fleet.roll())
+                await self.assert_in_force(fleet, await fleet.roll())
                 await asyncio.sleep(2)
             after = [x.store.calls["update"] for x in fleet.daemons]
             self.assertEqual(
@@ -373,11 +377,11 @@
             listed = fleet.table.list("daemonstatuses", None, None)
             self.assertEqual([3] * 3, [x.value["bundle"] for x in listed.items])
             self.assertEqual(
-                {x.spread.held.digest for x in fleet.daemons},
+                {x.replicator.in_force.digest for x in fleet.daemons},
                 {x.value["digest"] for x in listed.items},
             )
             await fleet.daemons[0].node.kernel.stop()
             listed = fleet.table.list("daemonstatuses", None, None)
             self.assertEqual(2, len(listed.items))
 
-        self.on_fleet(3, body)
+        self.run_on_fleet(3, body)
--- a/banyantiller/tests/replica/test_state.py
+++ b/banyantiller/tests/replica/test_state.py
@@ -14,7 +14,9 @@
     version: int, number: int | None = None, parent: str = "ab" * 32
 ) -> tuple[Accepted, list[bytes]]:
     """A signed bundle of a version and its parts."""
-    bundle = samples.bundle(support.text(version if number is None else number))
+    bundle = samples.bundle(
+        support.bundle_text(version if number is None else number)
+    )
     parts = canonical.split(bundle)
     manifest = Manifest(
         samples.DEPLOYMENT,
@@ -106,21 +108,21 @@
                 if kind == "offer":
                     replica.offer(value, samples.NOW)
                 else:
-                    replica.add_part(value, keep_spare=rng.random() < 0.5)
-                replica.advance(floor=rng.choice((0, 0, 3)))
+                    replica.add_part(value, cache_unneeded=rng.random() < 0.5)
+                replica.advance(min_version=rng.choice((0, 0, 3)))
                 self.assertGreaterEqual(replica.version, before)
                 before = replica.version
                 self.assertLessEqual(
-                    len(replica.candidates), state.MOST_CANDIDATES
+                    len(replica.candidates), state.MAX_CANDIDATES
                 )
 
     def test_spare_parts_complete_an_offer_at_once(self):
         made, parts = accepted(1)
         for data in parts:
-            self.assertFalse(self.replica.add_part(data, keep_spare=True))
+            self.assertFalse(self.replica.add_part(data, cache_unneeded=True))
         self.assertEqual(state.Adopt(()), self.offer(made))
         self.assertEqual(1, self.replica.advance().version)
-        self.assertEqual({}, self.replica.spare)
+        self.assertEqual({}, self.replica.cached_parts)
 
     def test_earlier_content_under_a_new_version_needs_no_part(self):
         self.put(1)
@@ -131,9 +133,9 @@
 
     def test_spare_parts_are_bounded(self):
         for number in range(30):
-            self.replica.add_part(b"%d" % number * 50_000, keep_spare=True)
-        kept = sum(map(len, self.replica.spare.values()))
-        self.assertLessEqual(kept, state.MOST_SPARE_BYTES)
+            self.replica.add_part(b"%d" % number * 50_000, cache_unneeded=True)
+        kept = sum(map(len, self.replica.cached_parts.values()))
+        self.assertLessEqual(kept, state.MAX_CACHED_BYTES)
         self.assertGreater(kept, 0)
 
     def test_a_signed_part_that_is_no_service_is_refused(self):
--- a/banyantiller/tests/spec/test_bundles_conformance.py
+++ b/banyantiller/tests/spec/test_bundles_conformance.py
@@ -98,13 +98,13 @@
 
 
 def watch_applied(daemon, trace):
-    daemon_note = daemon._note
+    record_in_force = daemon._record_in_force
 
     def note(held):
-        daemon_note(held)
+        record_in_force(held)
         trace.append(f"apply({daemon.index},{held.version})")
 
-    daemon._note = note
+    daemon._record_in_force = note
 
 
 async def fail_somehow(fleet, rng, trace):
--- a/bench/slopes_control.py
+++ b/bench/slopes_control.py
@@ -35,7 +35,7 @@
             percent,
             sizes.CONTROL_PERCENT,
             EXTRAPOLATED,
-            "membership/peers.py, replica/spread.py",
+            "membership/peers.py, replica/replicator.py",
         )
     )
     idle, idle_text = both("control, no rolls (KB/s")
@@ -48,7 +48,7 @@
             idle + roll_kb * sizes.CHANGES_PER_S,
             sizes.CONTROL_KB_PER_S,
             EXTRAPOLATED,
-            "membership/overlay.py, replica/fetching.py",
+            "membership/overlay.py, replica/part_fetcher.py",
         )
     )
     messages = slopes.line("daemons", "messages on links")
@@ -101,7 +101,7 @@
             in_force,
             sizes.IN_FORCE_S,
             EXTRAPOLATED,
-            "replica/spread.py",
+            "replica/replicator.py",
         )
     )
     rows.append(
@@ -115,7 +115,7 @@
             ),
             None,
             MEASURED,
-            "replica/fetching.py",
+            "replica/part_fetcher.py",
         )
     )
     return rows
@@ -143,7 +143,7 @@
             sizes.WATCHERS,
             None,
             sizes.ASSUMPTION,
-            "replica/reading.py",
+            "replica/store_reader.py",
         ),
         Row(
             "object API",
@@ -153,7 +153,7 @@
             total,
             sizes.READS_PER_S,
             EXTRAPOLATED,
-            "replica/reading.py, replica/status.py",
+            "replica/store_reader.py, replica/status.py",
         ),
         Row(
             "object API",
--- a/examples/replica.py
+++ b/examples/replica.py
@@ -8,24 +8,26 @@
 from banyantiller.config import defaults, settings
 from banyantiller.kernel.core import Kernel
 from banyantiller.membership.peers import Peers
-from banyantiller.replica.spread import BundleSpread, Held
+from banyantiller.replica.replicator import BundleReplicator, InForceBundle
 from banyantiller.store.interface import ObjectStore
 from banyantiller.store.kubernetes import KubernetesStore
 
 
 async def follow(
-    chosen: defaults.Settings, store: ObjectStore, show: Callable[[Held], None]
+    chosen: defaults.Settings,
+    store: ObjectStore,
+    show: Callable[[InForceBundle], None],
 ) -> None:
     """Calls `show` for each bundle in force, until cancelled."""
     kernel = Kernel()
     peers = Peers.from_settings(chosen, kernel, time.time, seed=1)
-    spread = BundleSpread.from_settings(
+    replicator = BundleReplicator.from_settings(
         chosen, store, peers, kernel, time.time, seed=1
     )
-    spread.subscribe(show)
+    replicator.subscribe(show)
     await peers.start()
     try:
-        await spread.run()
+        await replicator.run()
     finally:
         await peers.close()
 
@@ -33,6 +35,4 @@
 if __name__ == "__main__":
     loaded = settings.load(sys.argv[1])
     api = KubernetesStore.from_settings(loaded.object_api, loaded.deployment)
-    asyncio.run(
-        follow(loaded, api, lambda held: print("in force:", held.version))
-    )
+    asyncio.run(follow(loaded, api, lambda x: print("in force:", x.version)))
