--- a/banyantiller/replica/__init__.py
+++ b/banyantiller/replica/__init__.py
@@ -1,1 +1,1 @@
-"""The accepted bundle that a daemon holds."""
+"""Replicates the accepted bundle to a daemon and puts it in force."""
--- a/banyantiller/replica/part_fetcher.py
+++ b/banyantiller/replica/part_fetcher.py
@@ -1,4 +1,4 @@
-"""Gets the missing parts of verified bundles from peers or the object API."""
+"""Fetches missing parts of verified bundles from peers or the object API."""
 
 import asyncio
 import random
@@ -20,10 +20,12 @@
 
 
 class PartFetcher:
-    """Fetches what the replica misses.
+    """Fetches the parts that candidates of the replica need.
 
     Attributes:
-        announced: Version that each linked peer said is in force there.
+        announced_versions: Version in force that each peer announced.
+        parts_missing: Set when a candidate has missing parts.
+        part_added: Set when a needed part was added.
     """
 
     def __init__(
@@ -37,11 +39,11 @@
         """Prepares the fetcher.
 
         Args:
-            replica: Whose parts are fetched.
+            replica: Replica to which the parts are added.
             store: The object API.
-            peers: The other daemons.
-            on_part_added: Called after parts were added.
-            rng: Chooses peers.
+            peers: Membership of this daemon.
+            on_part_added: Called after a needed part was added.
+            rng: Selects peers and varies pauses.
         """
         self.replica = replica
         self.store = store
@@ -53,7 +55,7 @@
         self.part_added = asyncio.Event()
 
     async def run(self) -> None:
-        """Fetches whenever parts are missing."""
+        """Fetches missing parts until cancelled."""
         pause = INITIAL_RETRY_S
         while True:
             if not self.replica.missing_parts():
@@ -71,13 +73,13 @@
             pause = min(pause * 2, MAX_RETRY_S)
 
     def add_part(self, data: bytes, cache_unneeded: bool = False) -> None:
-        """Takes in a part that a peer or a watch delivered."""
+        """Adds a part received from a peer, a read or a watch."""
         if self.replica.add_part(data, cache_unneeded):
             self.part_added.set()
             self.on_part_added()
 
     def peers_with_version(self, version: int) -> list[str]:
-        """Returns linked peers at which a version or a later is in force."""
+        """Returns linked peers with this or a later version in force."""
         return [
             name
             for name in self.peers.linked_peers()
@@ -91,8 +93,8 @@
         if not peers:
             return
         peer = self.random.choice(peers)
-        # A peer has the parts of what is in force there. Those of a newer
-        # bundle may be nowhere, and must not keep an older one waiting.
+        # A peer has all parts of its bundle in force. Parts of a newer bundle
+        # may be unavailable everywhere and must not block an older candidate.
         missing = self.replica.missing_parts(self.announced_versions[peer])
         requested = missing[:MAX_PARTS_PER_REQUEST]
         digests = tuple(bytes.fromhex(part.digest) for part in requested)
@@ -101,8 +103,8 @@
         await self._wait_for_parts(requested)
 
     async def _wait_for_parts(self, requested: tuple[Part, ...]) -> None:
-        # Each part that arrives renews the wait, so a long answer is not
-        # given up while it flows.
+        # Each received part restarts the timeout, so a long transfer isn't
+        # abandoned while it makes progress.
         while any(part.digest not in self.replica.parts for part in requested):
             self.part_added.clear()
             try:
@@ -115,13 +117,11 @@
         missing = self.replica.missing_parts()
         for start in range(0, len(missing), CONCURRENT_STORE_READS):
             batch = missing[start : start + CONCURRENT_STORE_READS]
-            outcomes_of_batch = await asyncio.gather(
+            results = await asyncio.gather(
                 *(bundle_reading.read_part(self.store, p) for p in batch)
             )
-            for outcome in outcomes_of_batch:
+            for outcome in results:
                 if isinstance(outcome, outcomes.PartFound):
                     self.add_part(outcome.data)
-            if any(
-                isinstance(x, outcomes.NotReached) for x in outcomes_of_batch
-            ):
+            if any(isinstance(x, outcomes.NotReached) for x in results):
                 return
--- a/banyantiller/replica/replicator.py
+++ b/banyantiller/replica/replicator.py
@@ -1,10 +1,11 @@
-"""Spreads accepted bundles: from the object API and peers into force here.
-
-`BundleSpread` learns of accepted bundles from a watch, from reads and from
-peers, lets the pure `Replica` judge them, fetches missing parts, and tells
-subscribers and peers what is in force. Peers announce the version in force
-in each heartbeat, and at once when it changes; who is behind asks one of
-them for the signed manifest and for the parts that it has not got.
+"""Replicates accepted bundles from the object API and from peers.
+
+`BundleReplicator` learns of accepted bundles from a watch, from reads and
+from peers, passes them to the pure `Replica` for verification, fetches missing
+parts, and notifies subscribers and peers of the bundle in force. Peers announce
+the version in force in each heartbeat, and immediately when it changes. A
+daemon with an older version requests the signed manifest and the missing parts
+from one of them.
 """
 
 import asyncio
@@ -40,9 +41,16 @@
     Attributes:
         replica: Bundle in force and candidates.
         reader: Reads and watches the object API.
-        store_reachable: Whether the object API answered last, or None.
-        last_answer: Loop time of its last answer, or None.
-        lost_at: Loop time from which it no longer answered, or None.
+        sources: Source of each candidate by version.
+        reported_refusals: Last refusals, which are not reported again.
+        last_request: Version and loop time of the last request to a peer.
+        highest_accepted: Highest accepted version that this daemon learned
+            of, and the loop time of the last report of it.
+        store_reachable: Whether the last call of the object API succeeded;
+            None before the first.
+        last_store_response_at: Loop time of its last response, or None.
+        failing_since: Loop time of its first failed call, or None while it
+            responds.
     """
 
     def __init__(
@@ -82,7 +90,7 @@
         self.highest_accepted: tuple[int, float] = (0, 0.0)
         self.store_reachable: bool | None = None
         self.last_store_response_at: float | None = None
-        self.store_unreachable_since: float | None = None
+        self.failing_since: float | None = None
         self.started_at: float | None = None
         peers.subscribe(messages.Heartbeat, self._on_heartbeat)
         peers.subscribe(messages.BundleOffer, self._on_bundle_offer)
@@ -102,16 +110,17 @@
         seed: int,
         replica: state.Replica | None = None,
     ) -> "BundleReplicator":
-        """Builds the spread of bundles of one daemon.
+        """Builds the replicator of one daemon.
 
         Args:
             settings: Settings of the daemon.
             store: The object API.
-            peers: The other daemons; started by the caller.
-            kernel: Gets `BundleInForce`, `BundleRefused` and `StoreState`.
+            peers: Membership of this daemon; the caller starts it.
+            kernel: Receives `BundleInForce`, `BundleRefused` and
+                `StoreState` events.
             wall: Returns wall-clock seconds.
             seed: Seed of all random choices.
-            replica: A replica that records, or None for a plain one.
+            replica: A recording replica, or None for a plain one.
         """
         return cls(settings, store, peers, kernel, wall, seed, replica)
 
@@ -122,29 +131,27 @@
 
     @property
     def newest_accepted(self) -> int:
-        """Highest version known to be accepted, in force here or not."""
+        """Highest version known to be accepted, in force or not."""
         return max(self.replica.newest_version, self._min_first_version())
 
     @property
     def store_lost(self) -> bool:
-        """Whether the object API has not answered for long, or never.
+        """Whether the object API has been unresponsive for too long.
 
-        Counted from the first call without an answer, since reads are far
-        apart in a large fleet. Peers don't count: they may be cut off too.
+        True as well if it has never responded. The time is counted from the
+        first failed call, as reads are far apart in a large fleet. Messages
+        from peers don't count, as the peers may be cut off too.
         """
         if self.last_store_response_at is None:
             return True
-        if self.store_unreachable_since is None:
+        if self.failing_since is None:
             return False
         limit = self.settings.outage.isolated_after_s
-        return (
-            asyncio.get_running_loop().time() - self.store_unreachable_since
-            > limit
-        )
+        return asyncio.get_running_loop().time() - self.failing_since > limit
 
     @property
     def isolated(self) -> bool:
-        """Whether neither the object API nor any peer answered for long."""
+        """Whether neither the object API nor a peer has responded for long."""
         if self.started_at is None:
             return False
         times = (
@@ -157,15 +164,15 @@
         return asyncio.get_running_loop().time() - latest > limit
 
     def subscribe(self, callback: BundleCallback) -> None:
-        """Calls `callback(held)` for the bundle in force and later ones."""
+        """Calls `callback` with the bundle in force and each later one."""
         self.callbacks.append(callback)
         if self.in_force is not None:
             callback(self.in_force)
 
     async def run(self) -> None:
-        """Learns, fetches and reports until cancelled.
+        """Reads, fetches and writes the status until cancelled.
 
-        A cancelled run deletes the daemon's status object.
+        Cancelling deletes the status object of the daemon.
         """
         if self.started_at is None:
             self.started_at = asyncio.get_running_loop().time()
@@ -247,10 +254,10 @@
         )
 
     def _notify_subscribers(self, in_force: InForceBundle) -> bool:
-        """Tells all subscribers of a bundle and whether all took it.
+        """Notifies all subscribers; returns whether all of them succeeded.
 
-        A bundle that one of them did not take is held and passed on, but
-        neither the status nor the evidence may say that it is in force.
+        If a subscriber fails, the bundle is kept and offered to peers, but
+        neither the status nor the evidence may report it as in force.
         """
         all_succeeded = True
         for callback in self.callbacks:
@@ -262,11 +269,11 @@
         return all_succeeded
 
     def _may_apply_first_bundle(self) -> bool:
-        """Tells whether a first bundle may be put in force yet.
+        """Returns whether the first bundle may be put in force yet.
 
-        A read can be stale and a peer behind, so a daemon that just started
-        asks both before it takes a first bundle, unless there are no peers
-        or one of them does not answer for long.
+        A read can be stale and a peer can be behind, so a daemon that just
+        started consults both before it applies its first bundle, unless it
+        expects no peers or one of the two does not respond for `MAX_HOLD_S`.
         """
         if self.in_force is not None or not self._expects_peers():
             return True
@@ -281,13 +288,13 @@
         return bool(self.settings.peers.seeds or self.peers.dialer.hints)
 
     def _min_first_version(self) -> int:
-        """Returns the highest version that lately was known to be accepted."""
+        """Returns the highest recently accepted version, or 0 for none."""
         version, learned_at = self.highest_accepted
         age = asyncio.get_running_loop().time() - learned_at
         return version if age < self.settings.outage.isolated_after_s else 0
 
     async def _release_first_bundle(self) -> None:
-        """Puts a first bundle in force once it need not be held back."""
+        """Puts the first bundle in force once it may be applied."""
         while self.in_force is None:
             if self.replica.candidates:
                 self._advance_replica()
@@ -317,7 +324,7 @@
         if reachable == self.store_reachable:
             return
         self.store_reachable = reachable
-        self.store_unreachable_since = None if reachable else now
+        self.failing_since = None if reachable else now
         if reachable:
             log.info("replica: the object API answers.")
         else:
@@ -333,28 +340,21 @@
         ):
             self._request_bundle(peer, heartbeat.bundle)
         elif heartbeat.bundle and heartbeat.bundle == self.replica.version:
-            self._compare_digests(peer, heartbeat)
+            self._check_digest(peer, heartbeat)
 
     def _request_bundle(self, peer: str, version: int) -> None:
-        # One peer is asked at a time; if it does not answer, the next
-        # heartbeat of any peer leads to the next request.
+        # Only one request is outstanding. If the peer does not respond, the
+        # next heartbeat of any peer triggers another request.
         now = asyncio.get_running_loop().time()
-        requested_version, requested_at = self.last_request
-        if (
-            requested_version >= version
-            and now - requested_at < REQUEST_TIMEOUT_S
-        ):
+        last_version, last_at = self.last_request
+        if last_version >= version and now - last_at < REQUEST_TIMEOUT_S:
             return
         self.last_request = (version, now)
         self.peers.send(peer, messages.BundleRequest(version - 1))
 
-    def _compare_digests(
-        self, peer: str, heartbeat: messages.Heartbeat
-    ) -> None:
-        local_prefix = bytes.fromhex(self.in_force.digest)[
-            : len(heartbeat.digest)
-        ]
-        if local_prefix != heartbeat.digest:
+    def _check_digest(self, peer: str, heartbeat: messages.Heartbeat) -> None:
+        prefix = bytes.fromhex(self.in_force.digest)[: len(heartbeat.digest)]
+        if prefix != heartbeat.digest:
             self._report_refusal(
                 heartbeat.bundle,
                 f"Daemon '{peer}' has another bundle of this version in"
--- a/banyantiller/replica/state.py
+++ b/banyantiller/replica/state.py
@@ -1,8 +1,9 @@
-"""The replica: which accepted bundle is in force at this daemon.
+"""The replica: decides which accepted bundle is in force at this daemon.
 
-`Replica` is pure. It takes accepted bundles and parts from anywhere, keeps
-those that it has verified, and only ever moves to a higher version. The
-bundle in force stays in force until all parts of the next one are here.
+`Replica` is pure: it uses neither a socket nor a clock. It receives accepted
+bundles and parts from any source, keeps those that it has verified, and only
+moves to higher versions. A bundle stays in force until all parts of the next
+one are present.
 """
 
 import collections
@@ -19,11 +20,11 @@
 
 
 class InForceBundle(NamedTuple):
-    """A bundle in force.
+    """The bundle in force.
 
     Attributes:
         accepted: Its manifest and signatures.
-        bundle: Its whole content.
+        bundle: Its decoded content.
         digest: Hex SHA-256 of its manifest.
     """
 
@@ -39,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adopt:
-    """The offer is newer and verified; `missing` parts are still needed."""
+    """The offer is verified and newer; parts in `missing` are needed."""
 
     missing: tuple[Part, ...]
 
@@ -51,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """The offer must not be taken.
+    """The offer must not be applied.
 
     Attributes:
-        reason: One sentence or more.
+        reason: One or more sentences.
         fork: Whether another bundle is known under the same version.
-        version: Version that is refused, where the caller can't know it.
+        version: Refused version, if the caller does not know it.
     """
 
     reason: str
@@ -78,13 +79,14 @@
     """Bundle in force, candidates for the next one, and their parts.
 
     Attributes:
-        trusted: Keys of operators.
-        deployment: Fleet of this daemon.
-        held: The bundle in force, or None.
+        trusted_keys: Keys of operators.
+        deployment: Deployment of this daemon.
+        in_force: The bundle in force, or None.
         candidates: Verified newer bundles by version.
         parts: Canonical JSON of needed parts by digest.
-        spare: Parts that no known bundle needs, not yet or no longer, oldest
-            first.
+        cached_parts: Canonical JSON of parts that no known bundle needs yet
+            or any more, by digest, oldest first.
+        decoded_services: Decoded parts by digest.
     """
 
     def __init__(
@@ -116,12 +118,12 @@
         wall_now: float,
         source: str = "",  # noqa: ARG002
     ) -> Verdict:
-        """Judges an accepted bundle and keeps it if it is newer.
+        """Verifies an accepted bundle and keeps it if it is newer.
 
         Args:
-            accepted: The bundle as the object API or a peer gave it.
+            accepted: The bundle as received from the object API or a peer.
             wall_now: Wall-clock seconds.
-            source: Where it came from, which only recordings keep.
+            source: Source of the bundle; only recordings use it.
         """
         version = accepted.manifest.version
         if version < self.version:
@@ -148,10 +150,10 @@
         return self._verdict_on_candidate(version)
 
     def descends(self, accepted: Accepted) -> bool:
-        """Tells whether an accepted bundle may follow the one in force.
+        """Returns whether an accepted bundle may descend from that in force.
 
-        Only the next version names the bundle in force as its parent; later
-        ones are taken to descend from it.
+        Only the next version can name the bundle in force as its parent;
+        later versions are assumed to descend from it.
         """
         manifest = accepted.manifest
         if self.in_force is None or manifest.version != self.version + 1:
@@ -159,15 +161,14 @@
         return manifest.parent == self.in_force.digest
 
     def add_part(self, data: bytes, cache_unneeded: bool = False) -> bool:
-        """Takes in a part.
+        """Adds a part.
 
         Args:
-            data: Canonical JSON of the part, from anywhere.
-            cache_unneeded: Whether to keep it for a while if no known bundle
-                needs it.
+            data: Canonical JSON of the part, from any source.
+            cache_unneeded: Whether to cache it if no known bundle needs it.
 
         Returns:
-            Whether a candidate was waiting for it.
+            Whether a candidate needed it.
         """
         digest = canonical.digest(data)
         if digest in self.parts:
@@ -180,10 +181,10 @@
         return False
 
     def missing_parts(self, max_version: int | None = None) -> tuple[Part, ...]:
-        """Returns the parts that candidates wait for, newest first.
+        """Returns the parts that candidates need, newest version first.
 
         Args:
-            max_version: Highest version that counts, or None for all.
+            max_version: Highest version to include, or None for all.
         """
         found = {
             part.digest: part
@@ -198,11 +199,11 @@
         """Puts the newest complete candidate in force.
 
         Args:
-            min_version: Lowest version that may be put in force now.
+            min_version: Lowest version that may be put in force.
 
         Returns:
-            The bundle that is in force from now on; a refusal of a signed
-            bundle whose parts are not valid; None if nothing changed.
+            The new bundle in force; a refusal of a signed bundle whose parts
+            are not valid; None if nothing changed.
         """
         for version in sorted(self.candidates, reverse=True):
             manifest = self.candidates[version].accepted.manifest
@@ -212,7 +213,7 @@
         return None
 
     def part_data(self, digest: str) -> bytes | None:
-        """Returns a part for a peer that asks for it."""
+        """Returns the canonical JSON of a part, or None if it is not here."""
         return self.parts.get(digest) or self.cached_parts.get(digest)
 
     def _put_in_force(self, candidate: Candidate) -> InForceBundle | Refuse:
@@ -279,8 +280,8 @@
         if self.in_force is not None:
             manifest = self.in_force.accepted.manifest
             needed.update(part.digest for part in manifest.parts)
-        # Operators go back to earlier content under a new version, whose
-        # parts are then not written again.
+        # Operators may return to earlier content under a new version. Its
+        # parts are not written again, so no watch delivers them.
         for digest in [d for d in self.parts if d not in needed]:
             self._cache_part(digest, self.parts.pop(digest))
         self.decoded_services = {
--- a/banyantiller/replica/status.py
+++ b/banyantiller/replica/status.py
@@ -1,4 +1,4 @@
-"""Writes which bundle is in force here to the object API, in few writes."""
+"""Writes the status of the daemon to the object API, in few writes."""
 
 import asyncio
 import contextlib
@@ -27,16 +27,19 @@
 
 
 class StatusWriter:
-    """Keeps one daemon's status object up to date.
+    """Keeps the status object of one daemon up to date.
 
     A change is written within a fraction of a second, or after a gap that
-    grows with the fleet when changes follow each other closely, so that all
-    daemons together write no more than two statuses a second in the long
-    run. Without a change the object is renewed about every `RENEW_S`, less
-    often in a large fleet.
+    grows with the fleet if changes follow each other closely, so that all
+    daemons together write at most two statuses per second in the long run.
+    Without a change the object is renewed about every `RENEWAL_PERIOD_S`,
+    less often in a large fleet.
 
     Attributes:
-        item: The object as last seen, or None.
+        in_force: The bundle in force, or None.
+        changed: Set when a change has to be written.
+        stored_object: The object as last read or written, or None.
+        next_write_at: Loop time before which a change is not written.
     """
 
     def __init__(
@@ -58,12 +61,12 @@
         self.next_write_at = 0.0
 
     def record_in_force(self, in_force: InForceBundle) -> None:
-        """Notes the bundle in force and has it written."""
+        """Records the bundle in force and schedules a write."""
         self.in_force = in_force
         self.changed.set()
 
     async def run(self) -> None:
-        """Writes on each change and now and then."""
+        """Writes the object on each change and once per renewal period."""
         pause = INITIAL_RETRY_S
         while True:
             await self._wait_for_change()
@@ -73,7 +76,7 @@
             pause = INITIAL_RETRY_S
 
     async def remove_object(self) -> None:
-        """Deletes the object when the daemon ends, if that works at once."""
+        """Deletes the object on shutdown, unless that takes too long."""
         if self.stored_object is None:
             return
         with contextlib.suppress(TimeoutError):
@@ -92,7 +95,7 @@
                 await self.changed.wait()
         except TimeoutError:
             return
-        # Daemons that change together write a little apart.
+        # A random delay spreads the writes of daemons that change together.
         max_delay = MAX_DELAY_S + MAX_DELAY_PER_MEMBER_S * members
         gap = self.next_write_at - asyncio.get_running_loop().time()
         await asyncio.sleep(max(gap, 0.0) + max_delay * self.random.random())
--- a/banyantiller/replica/store_reader.py
+++ b/banyantiller/replica/store_reader.py
@@ -1,9 +1,10 @@
-"""Reads the accepted bundle from the object API: a watch by some, reads by all.
+"""Reads the accepted bundle from the object API.
 
-The daemons that watch are those with the lowest rendezvous ranks among the
-members believed to be alive. Nothing depends on that choice but the number
-of calls: with wrong views more or fewer daemons watch, and the others learn
-from their own reads and from peers.
+All daemons read it periodically, and a few watch it. The watchers are the
+daemons with the lowest rendezvous ranks among the members that are considered
+alive. Only the number of calls depends on that choice: if views differ, more
+or fewer daemons watch, and the rest learn of changes from their own reads and
+from peers.
 """
 
 import asyncio
@@ -33,12 +34,13 @@
 
 
 class ReaderHandlers(NamedTuple):
-    """Whom the reader tells what it found.
+    """Callbacks for what the reader receives.
 
     Attributes:
-        found: Called with a head and "watch" or "read".
-        part: Called with the canonical JSON of a part that was written.
-        answered: Called with whether the object API answered, and why not.
+        on_head: Called with a head and its source, "watch" or "read".
+        on_part: Called with the canonical JSON of a part that was written.
+        on_store_response: Called with whether the object API responded, and
+            the reason if it did not.
     """
 
     on_head: Callable[[outcomes.HeadFound | outcomes.Damaged, str], None]
@@ -50,8 +52,8 @@
     """Watches and reads the head of one deployment.
 
     Attributes:
-        watching: Whether a watch is open here.
-        tried: Whether a first read was answered or failed.
+        watching: Whether this daemon has an open watch.
+        first_read_done: Whether a read has succeeded or failed.
     """
 
     def __init__(
@@ -71,7 +73,7 @@
         self.first_read_done = False
 
     def is_watcher(self) -> bool:
-        """Tells whether this daemon is one of those that watch."""
+        """Returns whether this daemon is selected as a watcher."""
         alive = [
             entry.daemon
             for entry in self.peers.alive_members(include_suspects=False)
@@ -83,9 +85,9 @@
     def read_period(self) -> float:
         """Returns the mean time between reads, in seconds.
 
-        It grows with the fleet so that all daemons together make a bounded
-        number of calls. A daemon without links reads more often, since its
-        reads alone tell whether it is isolated.
+        It grows with the fleet to bound the rate of calls of all daemons. A
+        daemon without links reads more often, as only its reads show whether
+        it is isolated.
         """
         period = max(
             self.settings.object_api.poll_s,
@@ -99,7 +101,7 @@
         return min(period, unlinked_period)
 
     async def run_watch(self) -> None:
-        """Watches whenever this daemon has the rank to."""
+        """Watches the head while this daemon is selected as a watcher."""
         pause = INITIAL_PAUSE_S
         while True:
             if not self.is_watcher():
@@ -118,7 +120,7 @@
             await asyncio.sleep(period * self.random.uniform(0.5, 1.5))
 
     async def read_and_report(self) -> None:
-        """Reads the head."""
+        """Reads the head once and reports the result to the callbacks."""
         found = await bundle_reading.read_head(
             self.store, self.settings.deployment
         )
@@ -131,7 +133,7 @@
             self.handlers.on_head(found, "read")
 
     async def _watch_once(self) -> bool:
-        """Lists, then watches; returns whether the list was answered."""
+        """Lists, then watches; returns whether the list succeeded."""
         listed = await self.store.list(bundle_reading.HEADS)
         if isinstance(listed, interface.Unavailable):
             self.handlers.on_store_response(False, listed.reason)
@@ -165,10 +167,10 @@
                     return
 
     async def _watch_parts(self) -> None:
-        # Parts are written when a bundle is proposed. Having them before it
-        # is accepted means that an accept is all that must be learned when
-        # the object API goes down right after it. The list matches nothing:
-        # it is made for its version.
+        # Parts are written when a bundle is proposed. With the parts fetched
+        # in advance, only the acceptance is missing if the object API becomes
+        # unavailable right after it. The list matches no object; only its
+        # version is needed to start the watch.
         listed = await self.store.list(bundle_reading.PARTS, UNMATCHED_LABELS)
         if isinstance(listed, interface.Unavailable):
             return
