--- a/banyantiller/tests/replica/support.py
+++ b/banyantiller/tests/replica/support.py
@@ -1,7 +1,7 @@
-"""Several daemons' membership and replicas in one process.
+"""Runs the membership and replicas of several daemons in one process.
 
-Each daemon reaches one object table through a store with faults of its own.
-Every version that a daemon puts in force is recorded, across restarts too.
+All daemons use one object table, each through a store with its own faults.
+Every version that a daemon puts in force is recorded, also across restarts.
 """
 
 import asyncio
@@ -19,24 +19,26 @@
 
 
 def bundle_text(number: int) -> str:
-    """A bundle whose second service differs with the number."""
+    """Returns a bundle whose second service depends on the number."""
     return samples.BUNDLE.replace("9003", str(9100 + number))
 
 
-def settings(index: int, **others: object) -> defaults.Settings:
+def settings(index: int, **changes: object) -> defaults.Settings:
     base = support.settings(index)
     return base._replace(
-        deployment=samples.DEPLOYMENT, trusted_keys=samples.TRUSTED, **others
+        deployment=samples.DEPLOYMENT, trusted_keys=samples.TRUSTED, **changes
     )
 
 
 @dataclasses.dataclass
 class Daemon:
-    """One daemon.
+    """One daemon with its membership and replicator.
 
     Attributes:
-        history: Versions put in force, over all runs of this name.
-        refused: Refusals that were reported.
+        history: Versions put in force by all incarnations of the daemon.
+        refusals: Refusals that were reported.
+        store_states: Reported changes of the object API's reachability.
+        in_force_at: Loop time at which each version first came in force.
     """
 
     index: int
@@ -86,20 +88,20 @@
     def version(self) -> int:
         return self.replicator.replica.version
 
-    def _record_in_force(self, held: replicator.InForceBundle) -> None:
-        self.history.append(held.version)
+    def _record_in_force(self, in_force: replicator.InForceBundle) -> None:
+        self.history.append(in_force.version)
         now = asyncio.get_running_loop().time()
-        self.in_force_at.setdefault(held.version, now)
+        self.in_force_at.setdefault(in_force.version, now)
 
 
 class Fleet:
-    """Daemons that share an object table, and an operators' store."""
+    """Daemons that share an object table with a store of the operators."""
 
-    def __init__(self, count: int, **others: object) -> None:
+    def __init__(self, count: int, **changes: object) -> None:
         self.table = tables.ObjectTable()
         self.operators = memory.MemoryStore(self.table)
         self.daemons = [
-            Daemon(index, self.table, settings(index, **others))
+            Daemon(index, self.table, settings(index, **changes))
             for index in range(count)
         ]
         self.version = 0
@@ -132,7 +134,7 @@
         """Waits until a version is in force everywhere.
 
         Returns:
-            Seconds that it took, or infinity after `within_s`.
+            Seconds until then, or infinity if longer than `within_s`.
         """
         loop = asyncio.get_running_loop()
         start = loop.time()
@@ -143,7 +145,7 @@
         return float("inf")
 
     def downgrades(self) -> list[tuple[str, list[int]]]:
-        """Daemons that ever put a lower version in force, with history."""
+        """Returns name and history of daemons that went to a lower version."""
         return [
             (daemon.settings.daemon, daemon.history)
             for daemon in self.daemons
--- a/banyantiller/tests/replica/test_replicator.py
+++ b/banyantiller/tests/replica/test_replicator.py
@@ -1,7 +1,7 @@
-"""Tests of bundles in force over several daemons, under faults.
+"""Tests of the replication of bundles to several daemons, under faults.
 
-Each test ends by checking that no daemon ever went back to a lower version,
-not even over a restart.
+Each test on a fleet also checks that no daemon ever went back to a lower
+version, not even across a restart.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 WITHIN_S = 4.0
 
 
-class SpreadTest(TestCase):
-    def run_on_fleet(self, count, body, rolls=1, **others):
+class ReplicatorTest(TestCase):
+    def run_on_fleet(self, count, body, rolls=1, **changes):
         """Runs `body(fleet)` after `rolls` bundles are in force."""
 
         async def run():
-            fleet = support.Fleet(count, **others)
+            fleet = support.Fleet(count, **changes)
             await fleet.start()
             for _ in range(rolls):
                 await self.assert_in_force(fleet, await fleet.roll())
@@ -38,15 +38,17 @@
         took = await fleet.wait_in_force(version, within_s)
         self.assertLessEqual(took, within_s, fleet.versions())
 
-    def test_everywhere_within_a_second_and_only_what_changed(self):
+    def test_changed_parts_are_in_force_within_a_second(self):
         async def body(fleet):
             for _ in range(3):
                 before = [x.node.peers.traffic.bytes_in for x in fleet.daemons]
                 version = await fleet.roll()
                 await self.assert_in_force(fleet, version, 1.0)
                 after = [x.node.peers.traffic.bytes_in for x in fleet.daemons]
-                moved = [b - a for a, b in zip(before, after, strict=True)]
-                self.assertLess(max(moved), 4000)
+                transferred = [
+                    b - a for a, b in zip(before, after, strict=True)
+                ]
+                self.assertLess(max(transferred), 4000)
             watching = [x.replicator.reader.watching for x in fleet.daemons]
             self.assertEqual(3, sum(watching))
             gets = sum(x.store.calls["get"] for x in fleet.daemons)
@@ -54,7 +56,7 @@
 
         self.run_on_fleet(14, body)
 
-    def test_calls_do_not_grow_with_the_fleet(self):
+    def test_store_calls_do_not_grow_with_the_fleet(self):
         rates = []
 
         async def body(fleet):
@@ -70,13 +72,13 @@
 
     def test_reads_are_rarer_in_a_large_fleet(self):
         async def body(fleet):
-            spread = fleet.daemons[0].replicator
-            small = spread.reader.read_period()
+            replicator = fleet.daemons[0].replicator
+            small = replicator.reader.read_period()
             table = fleet.daemons[0].node.peers.table
             for index in range(100):
                 entry = table.local._replace(daemon=f"other{index}")
                 table.apply_entry(entry, 0.0)
-            self.assertGreater(spread.reader.read_period(), 6 * small)
+            self.assertGreater(replicator.reader.read_period(), 6 * small)
 
         self.run_on_fleet(2, body)
 
@@ -88,8 +90,8 @@
         async def run():
             fleet = support.Fleet(4)
             for index, daemon in enumerate(fleet.daemons):
-                own = peers._replace(listen=members.endpoint(index))
-                daemon.settings = daemon.settings._replace(peers=own)
+                peer_settings = peers._replace(listen=members.endpoint(index))
+                daemon.settings = daemon.settings._replace(peers=peer_settings)
             await fleet.start()
             await self.assert_in_force(fleet, await fleet.roll())
             fleet.set_store_down(True)
@@ -109,11 +111,11 @@
 
         self.run_paused(run())
 
-    def test_down_right_after_the_accept(self):
+    def test_store_outage_right_after_the_acceptance(self):
         async def body(fleet):
             digest = await fleet.propose()
             await asyncio.sleep(1)
-            # One daemon that watches hears of it, the others do not.
+            # Only one watcher learns of the acceptance from the object API.
             watching = [
                 x for x in fleet.daemons if x.replicator.reader.watching
             ]
@@ -122,14 +124,14 @@
             await asyncio.sleep(1)
             faults = watching[0].store.faults
             watching[0].replicator.callbacks.append(
-                lambda held: setattr(faults, "down", True)
+                lambda accepted: setattr(faults, "down", True)
             )
             await samples.roll(fleet.operators, digest)
             await self.assert_in_force(fleet, 2, 1.0)
 
         self.run_on_fleet(8, body)
 
-    def test_lost_answers_and_a_slow_object_api(self):
+    def test_lost_responses_and_a_slow_object_api(self):
         async def body(fleet):
             fleet.operators.faults.lose_answers = 2
             await self.assert_in_force(fleet, await fleet.roll())
@@ -143,14 +145,15 @@
 
         self.run_on_fleet(5, body)
 
-    def test_stale_reads_never_lower_a_daemon(self):
+    def test_stale_reads_never_downgrade_a_daemon(self):
         async def body(fleet):
             for daemon in fleet.daemons[:3]:
                 daemon.store.serve_stale(True)
                 daemon.store.faults.silent_watches = True
             await self.assert_in_force(fleet, await fleet.roll())
             await asyncio.sleep(30)
-            # The restarted daemon reads version 1 and must wait for peers.
+            # The restarted daemon reads a stale version 1 and must consult
+            # its peers before it applies a bundle.
             await fleet.daemons[0].restart()
             await self.assert_in_force(fleet, 2)
             self.assertEqual([1, 2, 2], fleet.daemons[0].history)
@@ -166,17 +169,17 @@
             await fleet.roll()
             await asyncio.sleep(1)
             self.assertEqual(2, fleet.daemons[1].version)
-            real = fleet.daemons[1].replicator
-            answer = real.peers.message_handlers.pop(messages.BundleRequest)
+            ahead = fleet.daemons[1].replicator
+            handler = ahead.peers.message_handlers.pop(messages.BundleRequest)
             await late.start()
             await asyncio.sleep(8)
             self.assertEqual(0, late.version)
-            real.peers.message_handlers[messages.BundleRequest] = answer
+            ahead.peers.message_handlers[messages.BundleRequest] = handler
             await self.assert_in_force(fleet, 2)
 
         self.run_on_fleet(2, body)
 
-    def test_a_restart_before_anyone_else_has_the_bundle(self):
+    def test_restart_before_a_peer_has_the_bundle(self):
         async def body(fleet):
             first, other = fleet.daemons
             other.store.faults.down = True
@@ -190,7 +193,7 @@
 
         self.run_on_fleet(2, body)
 
-    def test_silent_watches(self):
+    def test_unresponsive_watches(self):
         async def body(fleet):
             for daemon in fleet.daemons:
                 daemon.store.faults.silent_watches = True
@@ -209,22 +212,22 @@
                 samples.roll(fleet.operators, first, "ana"),
                 samples.roll(fleet.operators, second, "ben"),
             )
-            won = [x for x in results if isinstance(x, outcomes.Rolled)]
-            self.assertEqual(1, len(won))
+            winners = [x for x in results if isinstance(x, outcomes.Rolled)]
+            self.assertEqual(1, len(winners))
             await self.assert_in_force(fleet, 2)
             digests = {x.replicator.in_force.digest for x in fleet.daemons}
-            self.assertEqual({won[0].digest}, digests)
+            self.assertEqual({winners[0].digest}, digests)
 
         self.run_on_fleet(5, body)
 
-    def test_starting_amid_an_outage_with_some_peers_only(self):
+    def test_start_during_an_outage_with_a_single_seed(self):
         async def body(fleet):
             fleet.set_store_down(True)
             late = fleet.daemons[4]
             await late.kill()
-            only = (members.endpoint(2),)
+            seeds = (members.endpoint(2),)
             late.settings = late.settings._replace(
-                peers=late.settings.peers._replace(seeds=only, links=1)
+                peers=late.settings.peers._replace(seeds=seeds, links=1)
             )
             for other in fleet.daemons[:2]:
                 await other.restart()
@@ -233,7 +236,7 @@
 
         self.run_on_fleet(5, body, rolls=2)
 
-    def test_links_that_go_silent_during_a_roll(self):
+    def test_unresponsive_links_during_a_roll(self):
         async def body(fleet):
             for daemon in fleet.daemons[1:]:
                 members.drop_link_messages(fleet.daemons[0].node, daemon.node)
@@ -242,22 +245,22 @@
 
         self.run_on_fleet(5, body)
 
-    def test_a_long_pause_amid_an_outage(self):
+    def test_long_pause_during_an_outage(self):
         async def body(fleet):
-            asleep = fleet.daemons[0]
-            asleep.store.faults.down = True
-            asleep.node.peers.dialer.closed = True
-            asleep.node.peers.links.server.close(close_connections=False)
+            paused = fleet.daemons[0]
+            paused.store.faults.down = True
+            paused.node.peers.dialer.closed = True
+            paused.node.peers.links.server.close(close_connections=False)
             for daemon in fleet.daemons[1:]:
-                members.drop_link_messages(asleep.node, daemon.node)
+                members.drop_link_messages(paused.node, daemon.node)
             await fleet.roll()
             await asyncio.sleep(60)
-            self.assertTrue(asleep.replicator.isolated)
-            self.assertEqual(1, asleep.version)
+            self.assertTrue(paused.replicator.isolated)
+            self.assertEqual(1, paused.version)
             fleet.set_store_down(True)
-            asleep.node.peers.dialer.closed = False
+            paused.node.peers.dialer.closed = False
             await self.assert_in_force(fleet, 2)
-            self.assertFalse(asleep.replicator.isolated)
+            self.assertFalse(paused.replicator.isolated)
 
         self.run_on_fleet(4, body)
 
@@ -265,7 +268,7 @@
         async def body(fleet):
             digest = fleet.daemons[0].replicator.in_force.digest
             head = fleet.table.get(reading.HEADS, samples.DEPLOYMENT, None)
-            parent = await reading.read_head(
+            first_head = await reading.read_head(
                 fleet.operators, samples.DEPLOYMENT
             )
             await fleet.operators.delete(head.item)
@@ -275,20 +278,20 @@
             )
             rolled = await samples.roll(fleet.operators, other)
             self.assertIsInstance(rolled, outcomes.Rolled)
-            self.assertNotEqual(parent.digest, rolled.digest)
+            self.assertNotEqual(first_head.digest, rolled.digest)
             await asyncio.sleep(20)
             self.assertEqual(
                 {digest}, {x.replicator.in_force.digest for x in fleet.daemons}
             )
             for daemon in fleet.daemons:
                 self.assertIn("history", daemon.refusals[0].reason)
-            # A later version leads the fleet on.
+            # A later version is applied again.
             fleet.version = 1
             await self.assert_in_force(fleet, await fleet.roll())
 
         self.run_on_fleet(3, body)
 
-    def test_a_bundle_without_parts_does_not_keep_others_waiting(self):
+    def test_candidate_without_parts_does_not_block_an_older_one(self):
         async def body(fleet):
             late = fleet.daemons[0]
             late.store.faults.down = True
@@ -299,11 +302,11 @@
 
         self.run_on_fleet(2, body)
 
-    def test_another_bundle_in_force_at_a_peer_is_reported_once(self):
+    def test_other_digest_at_a_peer_is_reported_once(self):
         async def body(fleet):
             for sequence in (90, 91):
-                beat = messages.Heartbeat(sequence, 1, b"another.")
-                fleet.daemons[1].node.peers.send("d0", beat)
+                heartbeat = messages.Heartbeat(sequence, 1, b"another.")
+                fleet.daemons[1].node.peers.send("d0", heartbeat)
             await asyncio.sleep(1)
             (refused,) = fleet.daemons[0].refusals
             self.assertIn("Daemon 'd1'", refused.reason)
@@ -311,7 +314,7 @@
 
         self.run_on_fleet(2, body)
 
-    def test_a_key_that_is_trusted_later_lets_the_bundle_in(self):
+    def test_bundle_is_accepted_once_its_key_is_trusted(self):
         async def body(fleet):
             late = fleet.daemons[0]
             late.replicator.replica.trusted_keys = samples.TRUSTED[:1]
@@ -326,8 +329,10 @@
 
     def test_forged_offers_from_a_peer(self):
         async def body(fleet):
-            held = fleet.daemons[1].replicator.in_force.accepted
-            forged = held._replace(manifest=held.manifest._replace(version=9))
+            accepted = fleet.daemons[1].replicator.in_force.accepted
+            forged = accepted._replace(
+                manifest=accepted.manifest._replace(version=9)
+            )
             for data in (
                 acceptance.reading.canonical.encode_accepted(forged),
                 b"{}",
@@ -343,27 +348,27 @@
 
         self.run_on_fleet(2, body)
 
-    def test_isolation_is_told_and_ends(self):
+    def test_isolation_starts_and_ends(self):
         outage = defaults.OutageSettings(isolated_after_s=5.0)
 
         async def body(fleet):
-            (alone,) = fleet.daemons
+            (daemon,) = fleet.daemons
             await asyncio.sleep(30)
-            self.assertFalse(alone.replicator.isolated)
+            self.assertFalse(daemon.replicator.isolated)
             fleet.set_store_down(True)
             await asyncio.sleep(4)
-            self.assertFalse(alone.replicator.isolated)
+            self.assertFalse(daemon.replicator.isolated)
             await asyncio.sleep(4)
-            self.assertTrue(alone.replicator.isolated)
-            self.assertEqual(1, alone.version)
+            self.assertTrue(daemon.replicator.isolated)
+            self.assertEqual(1, daemon.version)
             fleet.set_store_down(False)
             await asyncio.sleep(5)
-            self.assertFalse(alone.replicator.isolated)
-            self.assertEqual([True, False, True], alone.store_states)
+            self.assertFalse(daemon.replicator.isolated)
+            self.assertEqual([True, False, True], daemon.store_states)
 
         self.run_on_fleet(1, body, outage=outage)
 
-    def test_status_objects_follow_in_few_writes(self):
+    def test_status_objects_are_updated_in_few_writes(self):
         async def body(fleet):
             await asyncio.sleep(2)
             before = [x.store.calls["update"] for x in fleet.daemons]
--- a/banyantiller/tests/replica/test_state.py
+++ b/banyantiller/tests/replica/test_state.py
@@ -13,7 +13,7 @@
 def accepted(
     version: int, number: int | None = None, parent: str = "ab" * 32
 ) -> tuple[Accepted, list[bytes]]:
-    """A signed bundle of a version and its parts."""
+    """Returns a signed bundle of a version, and its parts."""
     bundle = samples.bundle(
         support.bundle_text(version if number is None else number)
     )
@@ -30,8 +30,8 @@
         signing.sign(samples.KEYS[name].private, name, role, manifest)
         for name, role in (("ana", signing.PROPOSE), ("ben", signing.SIGN))
     )
-    made = Accepted(manifest, signatures, samples.NOW, "ana")
-    return made, [data for _, data in parts.values()]
+    signed = Accepted(manifest, signatures, samples.NOW, "ana")
+    return signed, [data for _, data in parts.values()]
 
 
 class ReplicaTest(TestCase):
@@ -39,21 +39,21 @@
         super().setUp()
         self.replica = state.Replica(samples.TRUSTED, samples.DEPLOYMENT)
 
-    def offer(self, made: Accepted):
-        return self.replica.offer(made, samples.NOW)
+    def offer(self, signed: Accepted):
+        return self.replica.offer(signed, samples.NOW)
 
-    def put(self, version: int) -> Accepted:
-        made, parts = accepted(version)
-        self.offer(made)
+    def put_in_force(self, version: int) -> Accepted:
+        signed, parts = accepted(version)
+        self.offer(signed)
         for data in parts:
             self.replica.add_part(data)
         self.replica.advance()
-        return made
+        return signed
 
-    def test_the_old_one_stays_until_every_part_is_here(self):
-        self.put(1)
-        made, parts = accepted(2)
-        verdict = self.offer(made)
+    def test_old_bundle_stays_in_force_until_all_parts_arrived(self):
+        self.put_in_force(1)
+        signed, parts = accepted(2)
+        verdict = self.offer(signed)
         # The first service did not change, so only one part is missing.
         self.assertEqual(1, len(verdict.missing))
         self.assertIsNone(self.replica.advance())
@@ -66,40 +66,42 @@
         self.assertEqual(2, self.replica.advance().version)
         self.assertEqual(2, len(self.replica.parts))
 
-    def test_never_lower_and_never_twice(self):
+    def test_older_and_repeated_bundles_are_ignored(self):
         first, _ = accepted(1)
-        second = self.put(2)
+        second = self.put_in_force(2)
         self.assertEqual(state.Ignore(), self.offer(first))
         self.assertEqual(state.Ignore(), self.offer(second))
         self.assertIsNone(self.replica.advance())
 
-    def test_another_digest_of_one_version_is_a_fork(self):
-        self.put(2)
-        other, _ = accepted(2, number=9)
-        self.assertTrue(self.offer(other).fork)
+    def test_second_digest_of_a_version_is_a_fork(self):
+        self.put_in_force(2)
+        conflicting, _ = accepted(2, number=9)
+        self.assertTrue(self.offer(conflicting).fork)
         third, _ = accepted(3)
         self.offer(third)
         self.assertTrue(self.offer(accepted(3, number=9)[0]).fork)
         self.assertFalse(self.replica.descends(third))
         self.assertTrue(self.replica.descends(accepted(4)[0]))
 
-    def test_bad_signatures_are_refused_and_are_no_fork(self):
-        self.put(1)
-        made, _ = accepted(2)
-        for bad in (
-            made._replace(signatures=made.signatures[:1]),
-            made._replace(manifest=made.manifest._replace(version=3)),
-            made._replace(manifest=made.manifest._replace(deployment="other")),
+    def test_invalid_signatures_are_refused_and_are_no_fork(self):
+        self.put_in_force(1)
+        signed, _ = accepted(2)
+        for invalid in (
+            signed._replace(signatures=signed.signatures[:1]),
+            signed._replace(manifest=signed.manifest._replace(version=3)),
+            signed._replace(
+                manifest=signed.manifest._replace(deployment="other")
+            ),
         ):
-            verdict = self.offer(bad)
+            verdict = self.offer(invalid)
             self.assertIsInstance(verdict, state.Refuse)
             self.assertFalse(verdict.fork)
         self.assertEqual({}, self.replica.candidates)
 
-    def test_any_order_of_offers_and_parts_only_goes_up(self):
-        made = [accepted(version) for version in range(1, 7)]
-        steps = [("offer", one) for one, _ in made]
-        steps += [("part", data) for _, parts in made for data in parts]
+    def test_version_never_decreases_for_any_order_of_inputs(self):
+        signed = [accepted(version) for version in range(1, 7)]
+        steps = [("offer", one) for one, _ in signed]
+        steps += [("part", data) for _, parts in signed for data in parts]
         for seed in range(60):
             rng = random.Random(seed)
             replica = state.Replica(samples.TRUSTED, samples.DEPLOYMENT)
@@ -116,43 +118,43 @@
                     len(replica.candidates), state.MAX_CANDIDATES
                 )
 
-    def test_spare_parts_complete_an_offer_at_once(self):
-        made, parts = accepted(1)
+    def test_cached_parts_complete_an_offer_at_once(self):
+        signed, parts = accepted(1)
         for data in parts:
             self.assertFalse(self.replica.add_part(data, cache_unneeded=True))
-        self.assertEqual(state.Adopt(()), self.offer(made))
+        self.assertEqual(state.Adopt(()), self.offer(signed))
         self.assertEqual(1, self.replica.advance().version)
         self.assertEqual({}, self.replica.cached_parts)
 
     def test_earlier_content_under_a_new_version_needs_no_part(self):
-        self.put(1)
-        self.put(2)
-        made, _ = accepted(3, number=1)
-        self.assertEqual(state.Adopt(()), self.offer(made))
+        self.put_in_force(1)
+        self.put_in_force(2)
+        signed, _ = accepted(3, number=1)
+        self.assertEqual(state.Adopt(()), self.offer(signed))
         self.assertEqual(3, self.replica.advance().version)
 
-    def test_spare_parts_are_bounded(self):
+    def test_cached_parts_are_bounded(self):
         for number in range(30):
             self.replica.add_part(b"%d" % number * 50_000, cache_unneeded=True)
-        kept = sum(map(len, self.replica.cached_parts.values()))
-        self.assertLessEqual(kept, state.MAX_CACHED_BYTES)
-        self.assertGreater(kept, 0)
+        cached_bytes = sum(map(len, self.replica.cached_parts.values()))
+        self.assertLessEqual(cached_bytes, state.MAX_CACHED_BYTES)
+        self.assertGreater(cached_bytes, 0)
 
     def test_a_signed_part_that_is_no_service_is_refused(self):
-        self.put(1)
-        made, _ = accepted(2)
+        self.put_in_force(1)
+        signed, _ = accepted(2)
         data = b'{"name":1}'
-        part = made.manifest.parts[0]._replace(
+        part = signed.manifest.parts[0]._replace(
             digest=canonical.digest(data), size=len(data)
         )
-        manifest = made.manifest._replace(parts=(part,))
+        manifest = signed.manifest._replace(parts=(part,))
         signatures = tuple(
             signing.sign(
                 samples.KEYS[x.operator].private, x.operator, x.role, manifest
             )
-            for x in made.signatures
+            for x in signed.signatures
         )
-        self.offer(made._replace(manifest=manifest, signatures=signatures))
+        self.offer(signed._replace(manifest=manifest, signatures=signatures))
         self.replica.add_part(data)
         refused = self.replica.advance()
         self.assertIsInstance(refused, state.Refuse)
