--- a/banyantiller/membership/table.py
+++ b/banyantiller/membership/table.py
@@ -135,7 +135,7 @@
         return self._store_entry(entry._replace(state=State.DEAD), now)
 
     def expire_entries(self, now: float) -> list[MemberEntry]:
-        """Applies the timeouts of the states.
+        """Applies the time limits of the states.
 
         Suspects become dead if the suspicion is not refuted in time, as do
         members that are leaving for too long. Dead members are removed.
--- a/banyantiller/tests/replica/test_replicator.py
+++ b/banyantiller/tests/replica/test_replicator.py
@@ -124,7 +124,7 @@
             await asyncio.sleep(1)
             faults = watching[0].store.faults
             watching[0].replicator.callbacks.append(
-                lambda accepted: setattr(faults, "down", True)
+                lambda in_force: setattr(faults, "down", True)
             )
             await samples.roll(fleet.operators, digest)
             await self.assert_in_force(fleet, 2, 1.0)
