--- a/banyantiller/claims/arbiter.py
+++ b/banyantiller/claims/arbiter.py
@@ -13,7 +13,7 @@
 
 from banyantiller.claims import (
     attempts,
-    known,
+    outcome_cache,
     records,
     settling,
     sweeping,
@@ -24,7 +24,7 @@
 
 log = structlog.get_logger("banyantiller.claims")
 
-FINISH_S = 2.0
+FINISH_MARGIN_S = 2.0
 
 
 class StoreClaims:
@@ -55,14 +55,14 @@
         self.daemon = daemon
         self.wall = wall
         self.nonce = nonce
-        self.active: dict[str, attempts.Attempt] = {}
-        self.known = known.KnownKeys()
+        self.active: dict[str, attempts.ClaimAttempt] = {}
+        self.outcomes = outcome_cache.OutcomeCache()
         self.settler = settling.Settler(store, deployment)
         self.sweeper = sweeping.Sweeper(
             store, deployment, wall, random.Random(daemon)
         )
         self.arbitration = attempts.Arbitration(
-            store, deployment, wall, self.settler.unsent, self.known
+            store, deployment, wall, self.settler.unsent_nonces, self.outcomes
         )
 
     @classmethod
@@ -100,15 +100,15 @@
     ) -> types.ClaimOutcome:
         """Claims a key; see `claims.types.Claims.claim`."""
         name = records.object_name(self.deployment, request)
-        outcome = self._judge_locally(name, request)
+        outcome = self._check_local_state(name, request)
         if outcome is not None:
             return outcome
         now = asyncio.get_running_loop().time()
         if now >= deadline:
             return attempts.unavailable("The deadline passed before the claim.")
-        if not self.arbitration.breaker.may_try(now):
+        if not self.arbitration.breaker.allows_call(now):
             return attempts.unavailable("The object API does not answer.")
-        attempt = self._start(name, request, deadline - now)
+        attempt = self._start_attempt(name, request, deadline - now)
         try:
             outcome = await self._arbitrate_until(attempt, deadline)
             attempt.granted = isinstance(outcome, types.Granted)
@@ -121,44 +121,49 @@
         self,
         request: types.ClaimRequest,
         nonce: str,
-        answer: types.RecordedAnswer,
+        response: types.RecordedResponse,
     ) -> None:
         """Records the answer; remembered here even while the API is down."""
-        await self._end(
-            request, nonce, records.State.DONE, records.keep(answer)
+        await self._settle(
+            request,
+            nonce,
+            records.State.DONE,
+            records.to_stored_response(response),
         )
 
     async def release(self, request: types.ClaimRequest, nonce: str) -> None:
         """Gives a claim back; only when no byte reached a server."""
-        await self._end(request, nonce, records.State.RELEASED)
+        await self._settle(request, nonce, records.State.RELEASED)
 
-    async def unsettled(self, request: types.ClaimRequest, nonce: str) -> None:
+    async def mark_unknown(
+        self, request: types.ClaimRequest, nonce: str
+    ) -> None:
         """Records that nobody can tell whether the request was run."""
-        await self._end(request, nonce, records.State.UNKNOWN)
+        await self._settle(request, nonce, records.State.UNKNOWN)
 
-    def _judge_locally(
+    def _check_local_state(
         self, name: str, request: types.ClaimRequest
     ) -> types.ClaimOutcome | None:
         wall = self.wall()
         attempt = self.active.get(name)
         if attempt is not None:
-            return records.judge(
+            return records.evaluate(
                 attempt.record._replace(answer_by=wall + 1), request, wall
             )
-        entry = self.known.get(name, wall)
-        if entry is None:
+        cached = self.outcomes.get(name, wall)
+        if cached is None:
             return None
-        if not records.is_same(
-            request, entry.fingerprint, entry.service, entry.host
+        if not records.is_same_request(
+            request, cached.fingerprint, cached.service, cached.host
         ):
             return records.deny(
                 ErrorKind.KEY_REUSED, "The key was used for another request."
             )
-        return entry.outcome
+        return cached.outcome
 
-    def _start(
-        self, name: str, request: types.ClaimRequest, patience_s: float
-    ) -> attempts.Attempt:
+    def _start_attempt(
+        self, name: str, request: types.ClaimRequest, timeout_s: float
+    ) -> attempts.ClaimAttempt:
         wall = self.wall()
         record = records.Record(
             service=request.service,
@@ -167,16 +172,16 @@
             daemon=self.daemon,
             state=records.State.CLAIMED,
             claimed_at=wall,
-            answer_by=wall + patience_s + FINISH_S,
+            answer_by=wall + timeout_s + FINISH_MARGIN_S,
             expires_at=wall + request.retention_s,
             host=request.host,
         )
-        attempt = attempts.Attempt(name, request, record)
+        attempt = attempts.ClaimAttempt(name, request, record)
         self.active[name] = attempt
         return attempt
 
     async def _arbitrate_until(
-        self, attempt: attempts.Attempt, deadline: float
+        self, attempt: attempts.ClaimAttempt, deadline: float
     ) -> types.ClaimOutcome:
         try:
             async with asyncio.timeout_at(deadline):
@@ -188,29 +193,33 @@
             return attempts.unavailable("The claim was settled too late.")
         return outcome
 
-    async def _arbitrate(self, attempt: attempts.Attempt) -> types.ClaimOutcome:
+    async def _arbitrate(
+        self, attempt: attempts.ClaimAttempt
+    ) -> types.ClaimOutcome:
         """Claims the key, and reads meanwhile what earlier versions kept."""
         async with asyncio.TaskGroup() as group:
-            earlier = group.create_task(
-                self.arbitration.read_earlier_record(attempt)
+            legacy = group.create_task(
+                self.arbitration.read_legacy_record(attempt)
             )
             outcome = await self.arbitration.run(attempt)
-        return earlier.result() or outcome
+        return legacy.result() or outcome
 
-    def _abandon(self, attempt: attempts.Attempt) -> None:
+    def _abandon(self, attempt: attempts.ClaimAttempt) -> None:
         """Ends a claim that was not granted, also when cancelled."""
         del self.active[attempt.name]
         if attempt.item is None and not attempt.in_doubt:
             return
         record = attempt.record._replace(state=records.State.RELEASED)
-        self.settler.add(settling.End(attempt.name, record, attempt.item))
+        self.settler.enqueue(
+            settling.Settlement(attempt.name, record, attempt.item)
+        )
 
-    async def _end(
+    async def _settle(
         self,
         request: types.ClaimRequest,
         nonce: str,
         state: records.State,
-        answer: records.KeptAnswer | None = None,
+        answer: records.StoredResponse | None = None,
     ) -> None:
         name = records.object_name(self.deployment, request)
         attempt = self.active.get(name)
@@ -219,7 +228,7 @@
             return
         del self.active[name]
         record = attempt.record._replace(state=state, answer=answer)
-        self.known.remember(name, record, self.wall())
-        end = settling.End(name, record, attempt.item)
-        self.settler.add(end)
-        await self.settler.settle(end)
+        self.outcomes.put_record(name, record, self.wall())
+        settlement = settling.Settlement(name, record, attempt.item)
+        self.settler.enqueue(settlement)
+        await self.settler.settle(settlement)
--- a/banyantiller/claims/attempts.py
+++ b/banyantiller/claims/attempts.py
@@ -6,22 +6,22 @@
 
 import structlog
 
-from banyantiller.claims import breaker, known, records, settling, types
+from banyantiller.claims import breaker, outcome_cache, records, settling, types
 from banyantiller.errors import ErrorKind
 from banyantiller.store import interface
 
 log = structlog.get_logger("banyantiller.claims")
 
-MOST_CALLS = 8
-FIRST_PAUSE_S = 0.01
-REUSE_S = 600.0
+MAX_CALLS = 8
+INITIAL_BACKOFF_S = 0.01
+MAX_REUSE_AGE_S = 600.0
 RETRY_AFTER_S = 1.0
 
-Step = types.ClaimOutcome | interface.GetOutcome | settling.Written
+Step = types.ClaimOutcome | interface.GetOutcome | settling.WriteOutcome
 
 
 @dataclasses.dataclass(slots=True)
-class Attempt:
+class ClaimAttempt:
     """One claim of a key by this daemon.
 
     Attributes:
@@ -55,25 +55,25 @@
         store: interface.ObjectStore,
         deployment: str,
         wall: Callable[[], float],
-        unsent: Container[str],
-        known_keys: known.KnownKeys,
+        unsent_nonces: Container[str],
+        outcomes: outcome_cache.OutcomeCache,
     ) -> None:
         self.store = store
         self.deployment = deployment
         self.wall = wall
-        self.unsent = unsent
-        self.known = known_keys
-        self.breaker = breaker.Breaker()
+        self.unsent_nonces = unsent_nonces
+        self.outcomes = outcomes
+        self.breaker = breaker.CircuitBreaker()
 
-    async def run(self, attempt: Attempt) -> types.ClaimOutcome:
+    async def run(self, attempt: ClaimAttempt) -> types.ClaimOutcome:
         """Writes and reads until the key's owner is certain."""
-        return await self._call_until_certain(
+        return await self._call_until_decided(
             lambda last: self._next_call(attempt, last),
             "The claim could not be settled.",
         )
 
-    async def read_earlier_record(
-        self, attempt: Attempt
+    async def read_legacy_record(
+        self, attempt: ClaimAttempt
     ) -> types.ClaimOutcome | None:
         """Reads the record that an earlier version kept of the key.
 
@@ -83,82 +83,82 @@
         Returns:
             What the caller gets, or None if the key is free.
         """
-        return await self._call_until_certain(
-            lambda _: self._judge_earlier(attempt),
+        return await self._call_until_decided(
+            lambda _: self._check_legacy_record(attempt),
             "The key's earlier record could not be read.",
         )
 
-    async def _call_until_certain(
+    async def _call_until_decided(
         self,
         call: Callable[[Step], Awaitable[Step | None]],
-        failure: str,
+        failure_detail: str,
     ) -> types.ClaimOutcome | None:
         """Calls the store until what the caller gets is certain.
 
         Args:
             call: Makes the next call after the last answer; returns None if
                 the key is free.
-            failure: What is told if it does not get certain.
+            failure_detail: Detail of the denial if no call decides.
         """
-        pause = FIRST_PAUSE_S
-        answer: Step = interface.Missing()
-        for _ in range(MOST_CALLS):
-            answer = await call(answer)
-            may_go_on = self._note_answer(answer)
-            if answer is None or isinstance(answer, types.ClaimOutcome):
-                return answer
-            if not may_go_on:
+        pause = INITIAL_BACKOFF_S
+        result: Step = interface.Missing()
+        for _ in range(MAX_CALLS):
+            result = await call(result)
+            may_continue = self._record_availability(result)
+            if result is None or isinstance(result, types.ClaimOutcome):
+                return result
+            if not may_continue:
                 break
-            if isinstance(answer, interface.Unavailable):
+            if isinstance(result, interface.Unavailable):
                 await asyncio.sleep(pause)
                 pause *= 2
-        return unavailable(failure)
+        return unavailable(failure_detail)
 
-    async def _judge_earlier(self, attempt: Attempt) -> Step | None:
-        name = records.earlier_name(self.deployment, attempt.request)
-        got = await self.store.get(records.KIND, name)
-        if isinstance(got, interface.Missing):
+    async def _check_legacy_record(self, attempt: ClaimAttempt) -> Step | None:
+        name = records.legacy_object_name(self.deployment, attempt.request)
+        read = await self.store.get(records.OBJECT_KIND, name)
+        if isinstance(read, interface.Missing):
             return None
-        if isinstance(got, interface.Found):
-            record = records.from_object(got.item)
-            return await self._fence_or_judge(attempt, got.item, record)
-        return got
+        if isinstance(read, interface.Found):
+            record = records.from_object(read.item)
+            return await self._fence_or_evaluate(attempt, read.item, record)
+        return read
 
-    def _note_answer(self, answer: Step | None) -> bool:
+    def _record_availability(self, result: Step | None) -> bool:
         """Notes whether a call was answered; tells whether to call again."""
-        if not isinstance(answer, interface.Unavailable):
-            self.breaker.answered()
+        if not isinstance(result, interface.Unavailable):
+            self.breaker.record_success()
             return True
         now = asyncio.get_running_loop().time()
-        self.breaker.failed(now)
-        return self.breaker.may_try(now)
+        self.breaker.record_failure(now)
+        return self.breaker.allows_call(now)
 
-    async def _next_call(self, attempt: Attempt, last: Step) -> Step:
+    async def _next_call(self, attempt: ClaimAttempt, last: Step) -> Step:
         if isinstance(last, interface.Missing):
             return await self._create(attempt)
-        got = await self.store.get(records.KIND, attempt.name)
-        if isinstance(got, interface.Found):
-            return await self._judge_object(attempt, got.item)
-        return got
+        read = await self.store.get(records.OBJECT_KIND, attempt.name)
+        if isinstance(read, interface.Found):
+            return await self._evaluate_object(attempt, read.item)
+        return read
 
-    async def _judge_object(
-        self, attempt: Attempt, item: interface.StoredObject
+    async def _evaluate_object(
+        self, attempt: ClaimAttempt, item: interface.StoredObject
     ) -> Step:
         record = records.from_object(item)
         if record is None:
             log.error("claims: a record is not readable.", name=item.name)
-        elif _is_own(attempt, record):
+        elif _is_held_by(attempt, record):
             return _grant(attempt, item)
         elif self._is_unsent(record):
             return await self._take_over(attempt, item, record)
-        answer = await self._fence_or_judge(attempt, item, record)
-        if answer is None:
+        result = await self._fence_or_evaluate(attempt, item, record)
+        if result is None:
             return await self._take_over(attempt, item, record)
-        return answer
+        return result
 
-    async def _fence_or_judge(
+    async def _fence_or_evaluate(
         self,
-        attempt: Attempt,
+        attempt: ClaimAttempt,
         item: interface.StoredObject,
         record: records.Record | None,
     ) -> Step | None:
@@ -169,14 +169,14 @@
         was told for good that it does not.
         """
         wall = self.wall()
-        outcome = records.judge(record, attempt.request, wall)
+        outcome = records.evaluate(record, attempt.request, wall)
         if records.needs_fence(record, outcome):
-            fenced = records.to_value(records.fence(record))
+            fenced = records.to_value(records.to_fenced(record))
             return await self.store.update(item, fenced)
-        self.known.remember(attempt.name, record, wall)
+        self.outcomes.put_record(attempt.name, record, wall)
         return outcome
 
-    async def _create(self, attempt: Attempt) -> Step:
+    async def _create(self, attempt: ClaimAttempt) -> Step:
         labels = records.expiry_labels(
             self.deployment, attempt.record.expires_at
         )
@@ -184,13 +184,13 @@
         was_in_doubt = attempt.in_doubt
         attempt.in_doubt = True
         written = await self.store.create(
-            records.KIND, attempt.name, value, labels
+            records.OBJECT_KIND, attempt.name, value, labels
         )
-        return _note_write(attempt, written, was_in_doubt)
+        return _grant_if_written(attempt, written, was_in_doubt)
 
     async def _take_over(
         self,
-        attempt: Attempt,
+        attempt: ClaimAttempt,
         item: interface.StoredObject,
         record: records.Record,
     ) -> Step:
@@ -199,7 +199,7 @@
         The object keeps its labels when it is updated, so the time at which
         it expires stays too; an old object is deleted and made anew.
         """
-        if self.wall() - record.claimed_at > REUSE_S:
+        if self.wall() - record.claimed_at > MAX_REUSE_AGE_S:
             deleted = await self.store.delete(item)
             was_deleted = isinstance(deleted, interface.Found)
             return interface.Missing() if was_deleted else deleted
@@ -210,29 +210,31 @@
         attempt.in_doubt = True
         value = records.to_value(attempt.record)
         written = await self.store.update(item, value)
-        return _note_write(attempt, written, was_in_doubt)
+        return _grant_if_written(attempt, written, was_in_doubt)
 
     def _is_unsent(self, record: records.Record) -> bool:
         return (
             record.state == records.State.CLAIMED
-            and record.nonce in self.unsent
+            and record.nonce in self.unsent_nonces
         )
 
 
-def _is_own(attempt: Attempt, record: records.Record) -> bool:
+def _is_held_by(attempt: ClaimAttempt, record: records.Record) -> bool:
     return (
         record.nonce == attempt.record.nonce
         and record.state == records.State.CLAIMED
     )
 
 
-def _grant(attempt: Attempt, item: interface.StoredObject) -> types.Granted:
+def _grant(
+    attempt: ClaimAttempt, item: interface.StoredObject
+) -> types.Granted:
     attempt.item = item
     return types.Granted(attempt.record.nonce)
 
 
-def _note_write(
-    attempt: Attempt, written: settling.Written, was_in_doubt: bool
+def _grant_if_written(
+    attempt: ClaimAttempt, written: settling.WriteOutcome, was_in_doubt: bool
 ) -> Step:
     if isinstance(written, interface.Found):
         return _grant(attempt, written.item)
--- a/banyantiller/claims/breaker.py
+++ b/banyantiller/claims/breaker.py
@@ -1,10 +1,10 @@
 """Stops asking an object API that does not answer."""
 
-FAILURES_TO_STOP = 3
-TRIAL_S = 0.5
+MAX_FAILURES = 3
+TRIAL_INTERVAL_S = 0.5
 
 
-class Breaker:
+class CircuitBreaker:
     """Lets one trial in `TRIAL_S` through while calls fail.
 
     Attributes:
@@ -14,23 +14,23 @@
 
     def __init__(self) -> None:
         self.failures = 0
-        self.trial_at = 0.0
+        self.next_trial_at = 0.0
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """A call was answered."""
         self.failures = 0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """A call was not answered."""
         self.failures += 1
-        if self.failures == FAILURES_TO_STOP:
-            self.trial_at = now + TRIAL_S
+        if self.failures == MAX_FAILURES:
+            self.next_trial_at = now + TRIAL_INTERVAL_S
 
-    def may_try(self, now: float) -> bool:
+    def allows_call(self, now: float) -> bool:
         """Tells whether to call, and counts that as the trial."""
-        if self.failures < FAILURES_TO_STOP:
+        if self.failures < MAX_FAILURES:
             return True
-        if now < self.trial_at:
+        if now < self.next_trial_at:
             return False
-        self.trial_at = now + TRIAL_S
+        self.next_trial_at = now + TRIAL_INTERVAL_S
         return True
--- a/banyantiller/claims/known.py
+++ b/banyantiller/claims/outcome_cache.py
@@ -5,16 +5,16 @@
 
 from banyantiller.claims import records, types
 
-MOST_ENTRIES = 10_000
-MOST_BYTES = 2_000_000
-NEVER_CLAIMABLE = (
+MAX_ENTRIES = 10_000
+MAX_BYTES = 2_000_000
+FINAL_STATES = (
     records.State.DONE,
     records.State.UNKNOWN,
     records.State.FENCED,
 )
 
 
-class Entry(NamedTuple):
+class CachedOutcome(NamedTuple):
     """Outcome of one finished key.
 
     Attributes:
@@ -34,7 +34,7 @@
     host: str = ""
 
 
-class KnownKeys:
+class OutcomeCache:
     """A bounded cache of final outcomes, least recently used first.
 
     The key of an entry never becomes claimable within its retention, so no
@@ -47,11 +47,11 @@
     """
 
     def __init__(
-        self, most_entries: int = MOST_ENTRIES, most_bytes: int = MOST_BYTES
+        self, max_entries: int = MAX_ENTRIES, max_bytes: int = MAX_BYTES
     ) -> None:
-        self.most_entries = most_entries
-        self.most_bytes = most_bytes
-        self.entries: collections.OrderedDict[str, Entry] = (
+        self.max_entries = max_entries
+        self.max_bytes = max_bytes
+        self.entries: collections.OrderedDict[str, CachedOutcome] = (
             collections.OrderedDict()
         )
         self.size = 0
@@ -66,45 +66,45 @@
         host: str = "",
     ) -> None:
         """Remembers the final outcome of a key."""
-        self.forget(name)
+        self.remove(name)
         text = len(name) + len(fingerprint) + len(service) + len(host)
         size = text + _body_size(outcome)
-        self.entries[name] = Entry(
+        self.entries[name] = CachedOutcome(
             fingerprint, outcome, expires_at, size, service, host
         )
         self.size += size
-        while len(self.entries) > self.most_entries:
-            self.forget(next(iter(self.entries)))
-        while self.size > self.most_bytes:
-            self.forget(next(iter(self.entries)))
+        while len(self.entries) > self.max_entries:
+            self.remove(next(iter(self.entries)))
+        while self.size > self.max_bytes:
+            self.remove(next(iter(self.entries)))
 
-    def remember(
+    def put_record(
         self, name: str, record: records.Record | None, wall: float
     ) -> None:
         """Remembers a record if its outcome can't change any more."""
-        if record is None or record.state not in NEVER_CLAIMABLE:
+        if record is None or record.state not in FINAL_STATES:
             return
         self.put(
             name,
             record.fingerprint,
-            records.judge_same(record, wall),
+            records.evaluate_repeat(record, wall),
             record.expires_at,
             record.service,
             record.host,
         )
 
-    def get(self, name: str, wall: float) -> Entry | None:
+    def get(self, name: str, wall: float) -> CachedOutcome | None:
         """Returns the entry of a key if it still holds."""
         entry = self.entries.get(name)
         if entry is None:
             return None
         if wall >= entry.expires_at:
-            self.forget(name)
+            self.remove(name)
             return None
         self.entries.move_to_end(name)
         return entry
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Removes the entry of a key, if there is one."""
         entry = self.entries.pop(name, None)
         if entry is not None:
@@ -115,6 +115,6 @@
     if isinstance(outcome, types.Denied):
         return len(outcome.failure.detail)
     headers = sum(
-        len(name) + len(value) for name, value in outcome.answer.headers
+        len(name) + len(value) for name, value in outcome.response.headers
     )
-    return headers + len(outcome.answer.body or b"")
+    return headers + len(outcome.response.body or b"")
--- a/banyantiller/claims/records.py
+++ b/banyantiller/claims/records.py
@@ -17,11 +17,11 @@
 from banyantiller.errors import ErrorKind, Failure
 from banyantiller.store import interface
 
-KIND = "keyclaims"
+OBJECT_KIND = "keyclaims"
 EXPIRY_LABEL = "expires"
-BUCKET_S = 60
-MAX_ANSWER_BYTES = 16384
-REPEAT_AFTER_S = 1.0
+EXPIRY_BUCKET_S = 60
+MAX_RESPONSE_BYTES = 16384
+IN_PROGRESS_RETRY_S = 1.0
 
 
 class State(enum.StrEnum):
@@ -45,10 +45,10 @@
 
 
 # States in which a claim's daemon may still send the request.
-MAY_STILL_SEND = (State.CLAIMED, State.FENCED)
+SENDABLE_STATES = (State.CLAIMED, State.FENCED)
 
 
-class KeptAnswer(NamedTuple):
+class StoredResponse(NamedTuple):
     """JSON form of a recorded answer.
 
     Attributes:
@@ -86,7 +86,7 @@
     claimed_at: float
     answer_by: float
     expires_at: float
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
     host: str = ""
 
 
@@ -96,15 +96,15 @@
     The key alone names it: a name that holds the service lets a request run
     twice when a bundle gives its path to another service.
     """
-    return _name_of(deployment, "", request.key)
+    return _object_name(deployment, "", request.key)
 
 
-def earlier_name(deployment: str, request: types.ClaimRequest) -> str:
+def legacy_object_name(deployment: str, request: types.ClaimRequest) -> str:
     """Returns the name under which earlier versions kept a key."""
-    return _name_of(deployment, request.service, request.key)
+    return _object_name(deployment, request.service, request.key)
 
 
-def _name_of(deployment: str, service: str, key: str) -> str:
+def _object_name(deployment: str, service: str, key: str) -> str:
     text = f"{service}\0{key}"
     digest = hashlib.sha256(text.encode("utf-8", "surrogateescape"))
     return f"{deployment}-{digest.hexdigest()[:40]}"
@@ -112,7 +112,7 @@
 
 def expiry_labels(deployment: str, expires_at: float) -> dict[str, str]:
     """Returns the labels by which the sweeper finds expired claims."""
-    bucket = int(expires_at // BUCKET_S)
+    bucket = int(expires_at // EXPIRY_BUCKET_S)
     return {"deployment": deployment, EXPIRY_LABEL: str(bucket)}
 
 
@@ -136,8 +136,8 @@
     answer = fields.get("answer")
     try:
         if answer is not None:
-            ordered = [answer[name] for name in KeptAnswer._fields]
-            fields["answer"] = msgspec.convert(ordered, KeptAnswer)
+            ordered = [answer[name] for name in StoredResponse._fields]
+            fields["answer"] = msgspec.convert(ordered, StoredResponse)
         row = [
             fields.get(name, Record._field_defaults.get(name))
             for name in Record._fields
@@ -147,32 +147,34 @@
         return None
 
 
-def keep(answer: types.RecordedAnswer) -> KeptAnswer:
-    """Returns what is kept of an answer; a large body is dropped."""
-    size = len(answer.body or b"")
-    size += sum(len(name) + len(value) for name, value in answer.headers)
-    if answer.body is None or size > MAX_ANSWER_BYTES:
-        return KeptAnswer(answer.status, (), None)
-    body = base64.b64encode(answer.body).decode("ascii")
-    return KeptAnswer(answer.status, tuple(answer.headers), body)
+def to_stored_response(response: types.RecordedResponse) -> StoredResponse:
+    """Returns what is kept of an response; a large body is dropped."""
+    size = len(response.body or b"")
+    size += sum(len(name) + len(value) for name, value in response.headers)
+    if response.body is None or size > MAX_RESPONSE_BYTES:
+        return StoredResponse(response.status, (), None)
+    body = base64.b64encode(response.body).decode("ascii")
+    return StoredResponse(response.status, tuple(response.headers), body)
 
 
-def recall(kept: KeptAnswer) -> types.RecordedAnswer | None:
+def from_stored_response(
+    stored: StoredResponse,
+) -> types.RecordedResponse | None:
     """Returns the answer to repeat, or None if it was not kept whole."""
-    if kept.body is None:
+    if stored.body is None:
         return None
-    body = base64.b64decode(kept.body)
-    return types.RecordedAnswer(kept.status, kept.headers, body)
+    body = base64.b64decode(stored.body)
+    return types.RecordedResponse(stored.status, stored.headers, body)
 
 
 def deny(
-    kind: ErrorKind, detail: str, retry_after: float | None = None
+    error_kind: ErrorKind, detail: str, retry_after: float | None = None
 ) -> types.Denied:
     """Returns a denial."""
-    return types.Denied(Failure(kind, detail, retry_after))
+    return types.Denied(Failure(error_kind, detail, retry_after))
 
 
-def is_same(
+def is_same_request(
     request: types.ClaimRequest, fingerprint: str, service: str, host: str
 ) -> bool:
     """Tells whether a request is the one that a key stands for.
@@ -186,11 +188,11 @@
         service: Service of that request.
         host: Host of that request.
     """
-    is_same_place = request.service == service or request.host == host
-    return request.fingerprint == fingerprint and is_same_place
+    is_same_target = request.service == service or request.host == host
+    return request.fingerprint == fingerprint and is_same_target
 
 
-def judge(
+def evaluate(
     record: Record | None, request: types.ClaimRequest, wall: float
 ) -> types.ClaimOutcome | None:
     """Tells what a caller gets whose key has a record already.
@@ -213,14 +215,16 @@
         )
     if record.state == State.RELEASED:
         return None
-    if not is_same(request, record.fingerprint, record.service, record.host):
+    if not is_same_request(
+        request, record.fingerprint, record.service, record.host
+    ):
         return deny(
             ErrorKind.KEY_REUSED, "The key was used for another request."
         )
-    return judge_same(record, wall)
+    return evaluate_repeat(record, wall)
 
 
-def judge_same(record: Record, wall: float) -> types.ClaimOutcome:
+def evaluate_repeat(record: Record, wall: float) -> types.ClaimOutcome:
     """Tells what a caller gets who repeats the request of a key.
 
     Args:
@@ -228,12 +232,12 @@
         wall: Wall-clock seconds now.
     """
     if record.state == State.DONE:
-        return _judge_done(record)
+        return _evaluate_done(record)
     if record.state == State.CLAIMED and wall < record.answer_by:
         return deny(
             ErrorKind.KEY_IN_PROGRESS,
             "A request with this key is in progress.",
-            REPEAT_AFTER_S,
+            IN_PROGRESS_RETRY_S,
         )
     return deny(
         ErrorKind.KEY_OUTCOME_UNKNOWN,
@@ -250,13 +254,13 @@
     return is_unknown and record is not None and record.state == State.CLAIMED
 
 
-def fence(record: Record) -> Record:
+def to_fenced(record: Record) -> Record:
     """Returns a claimed record as one that no release can undo."""
     return record._replace(state=State.FENCED)
 
 
-def _judge_done(record: Record) -> types.ClaimOutcome:
-    answer = recall(record.answer) if record.answer else None
+def _evaluate_done(record: Record) -> types.ClaimOutcome:
+    answer = from_stored_response(record.answer) if record.answer else None
     if answer is not None:
         return types.Finished(answer)
     return deny(
--- a/banyantiller/claims/settling.py
+++ b/banyantiller/claims/settling.py
@@ -17,18 +17,18 @@
 
 log = structlog.get_logger("banyantiller.claims")
 
-RETRY_S = 0.5
-LONGEST_RETRY_S = 8.0
-MOST_CALLS = 5
-MOST_ENDS = 5_000
-MOST_UNSENT = 10_000
-PARALLEL = 4
+INITIAL_RETRY_S = 0.5
+MAX_RETRY_S = 8.0
+MAX_CALLS = 5
+MAX_PENDING = 5_000
+MAX_UNSENT = 10_000
+BATCH_SIZE = 4
 BATCH_PAUSE_S = 0.2
 
-Written = interface.CreateOutcome | interface.UpdateOutcome
+WriteOutcome = interface.CreateOutcome | interface.UpdateOutcome
 
 
-class End(NamedTuple):
+class Settlement(NamedTuple):
     """The last state that one claim is to get.
 
     Attributes:
@@ -54,47 +54,47 @@
     def __init__(self, store: interface.ObjectStore, deployment: str) -> None:
         self.store = store
         self.deployment = deployment
-        self.ends: dict[tuple[str, str], End] = {}
-        self.unsent: collections.OrderedDict[str, None] = (
+        self.pending: dict[tuple[str, str], Settlement] = {}
+        self.unsent_nonces: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self.given_up = 0
-        self.waiting = asyncio.Event()
+        self.dropped = 0
+        self.has_pending = asyncio.Event()
 
-    def add(self, end: End) -> None:
+    def enqueue(self, settlement: Settlement) -> None:
         """Takes an end that must become certain."""
-        if end.record.state == records.State.RELEASED:
-            self.unsent[end.record.nonce] = None
-            if len(self.unsent) > MOST_UNSENT:
-                self.unsent.popitem(last=False)
-        self.ends[end.name, end.record.nonce] = end
-        if len(self.ends) > MOST_ENDS:
-            self.ends.pop(next(iter(self.ends)))
-            self.given_up += 1
+        if settlement.record.state == records.State.RELEASED:
+            self.unsent_nonces[settlement.record.nonce] = None
+            if len(self.unsent_nonces) > MAX_UNSENT:
+                self.unsent_nonces.popitem(last=False)
+        self.pending[settlement.name, settlement.record.nonce] = settlement
+        if len(self.pending) > MAX_PENDING:
+            self.pending.pop(next(iter(self.pending)))
+            self.dropped += 1
             log.error("claims: too many ends wait; the oldest was dropped.")
-        self.waiting.set()
+        self.has_pending.set()
 
-    async def settle(self, end: End) -> bool:
+    async def settle(self, settlement: Settlement) -> bool:
         """Tries to make one end certain, with a bounded number of calls.
 
         Returns:
             Whether it is certain now.
         """
-        if not await self._write(end):
+        if not await self._write(settlement):
             return False
-        self.ends.pop((end.name, end.record.nonce), None)
+        self.pending.pop((settlement.name, settlement.record.nonce), None)
         return True
 
     async def run(self) -> None:
         """Retries ends with back-off while there are any."""
-        pause = RETRY_S
+        pause = INITIAL_RETRY_S
         while True:
-            await self.waiting.wait()
+            await self.has_pending.wait()
             await asyncio.sleep(pause)
             if await self.settle_all():
-                pause = RETRY_S
+                pause = INITIAL_RETRY_S
             else:
-                pause = min(pause * 2, LONGEST_RETRY_S)
+                pause = min(pause * 2, MAX_RETRY_S)
 
     async def settle_all(self) -> bool:
         """Tries each waiting end once; stops early when none succeeds.
@@ -105,30 +105,32 @@
         Returns:
             Whether all are certain.
         """
-        waiting = list(self.ends.values())
-        for start in range(0, len(waiting), PARALLEL):
-            batch = waiting[start : start + PARALLEL]
+        pending = list(self.pending.values())
+        for start in range(0, len(pending), BATCH_SIZE):
+            batch = pending[start : start + BATCH_SIZE]
             settled = await asyncio.gather(*map(self.settle, batch))
             if not any(settled):
                 return False
-            if start + PARALLEL < len(waiting):
+            if start + BATCH_SIZE < len(pending):
                 await asyncio.sleep(BATCH_PAUSE_S)
-        if not self.ends:
-            self.waiting.clear()
-        return not self.ends
+        if not self.pending:
+            self.has_pending.clear()
+        return not self.pending
 
-    async def _write(self, end: End) -> bool:
-        item = end.item
-        for _ in range(MOST_CALLS):
+    async def _write(self, settlement: Settlement) -> bool:
+        item = settlement.item
+        for _ in range(MAX_CALLS):
             if item is None:
-                got = await self.store.get(records.KIND, end.name)
-                if isinstance(got, interface.Unavailable):
+                read = await self.store.get(
+                    records.OBJECT_KIND, settlement.name
+                )
+                if isinstance(read, interface.Unavailable):
                     return False
-                if isinstance(got, interface.Found):
-                    item = got.item
-            if item is not None and _is_certain(end, item):
+                if isinstance(read, interface.Found):
+                    item = read.item
+            if item is not None and _is_settled(settlement, item):
                 return True
-            written = await self._write_once(end, item)
+            written = await self._write_once(settlement, item)
             if isinstance(written, interface.Found):
                 return True
             if isinstance(written, interface.Unavailable):
@@ -137,31 +139,35 @@
         return False
 
     async def _write_once(
-        self, end: End, item: interface.StoredObject | None
-    ) -> Written:
-        value = records.to_value(_last_record(end, item))
+        self, settlement: Settlement, item: interface.StoredObject | None
+    ) -> WriteOutcome:
+        value = records.to_value(_target_record(settlement, item))
         if item is not None:
             return await self.store.update(item, value)
-        labels = records.expiry_labels(self.deployment, end.record.expires_at)
-        return await self.store.create(records.KIND, end.name, value, labels)
+        labels = records.expiry_labels(
+            self.deployment, settlement.record.expires_at
+        )
+        return await self.store.create(
+            records.OBJECT_KIND, settlement.name, value, labels
+        )
 
 
-def _last_record(
-    end: End, item: interface.StoredObject | None
+def _target_record(
+    settlement: Settlement, item: interface.StoredObject | None
 ) -> records.Record:
     """Returns what the object is to hold.
 
     Callers were told of a fenced claim that the key never runs again, so it
     is not released; as `UNKNOWN` it can be deleted in its time.
     """
-    seen = records.from_object(item) if item is not None else None
-    is_fenced = seen is not None and seen.state == records.State.FENCED
-    if is_fenced and end.record.state == records.State.RELEASED:
-        return end.record._replace(state=records.State.UNKNOWN)
-    return end.record
+    current = records.from_object(item) if item is not None else None
+    is_fenced = current is not None and current.state == records.State.FENCED
+    if is_fenced and settlement.record.state == records.State.RELEASED:
+        return settlement.record._replace(state=records.State.UNKNOWN)
+    return settlement.record
 
 
-def _is_certain(end: End, item: interface.StoredObject) -> bool:
+def _is_settled(settlement: Settlement, item: interface.StoredObject) -> bool:
     """Tells whether the object needs no write any more.
 
     Another nonce means that the claim never took effect and, as each write
@@ -171,10 +177,10 @@
     record = records.from_object(item)
     if record is None:
         return True
-    if record.nonce == end.record.nonce:
-        return record.state not in records.MAY_STILL_SEND
+    if record.nonce == settlement.record.nonce:
+        return record.state not in records.SENDABLE_STATES
     both_released = (
         record.state == records.State.RELEASED
-        and end.record.state == records.State.RELEASED
+        and settlement.record.state == records.State.RELEASED
     )
     return not both_released
--- a/banyantiller/claims/sweeping.py
+++ b/banyantiller/claims/sweeping.py
@@ -21,11 +21,11 @@
 log = structlog.get_logger("banyantiller.claims")
 
 MARKER_KIND = "claimsweeps"
-MARGIN_S = 3600.0
-PERIOD_S = 60.0
-MOST_MINUTES = 10
-BUSY_S = 900.0
-BATCH = 4
+EXPIRY_MARGIN_S = 3600.0
+SWEEP_PERIOD_S = 60.0
+MAX_BUCKETS_PER_SWEEP = 10
+SWEEP_LEASE_S = 900.0
+BATCH_SIZE = 4
 BATCH_PAUSE_S = 0.05
 
 
@@ -47,14 +47,14 @@
         self.store = store
         self.deployment = deployment
         self.wall = wall
-        self.random = rng
+        self.rng = rng
         self.deleted = 0
-        self.kept = 0
+        self.retained = 0
 
     async def run(self) -> None:
         """Makes one pass a period, at a random time within it."""
         while True:
-            await asyncio.sleep(PERIOD_S * self.random.uniform(0.5, 1.5))
+            await asyncio.sleep(SWEEP_PERIOD_S * self.rng.uniform(0.5, 1.5))
             await self.sweep()
 
     async def sweep(self) -> None:
@@ -62,48 +62,50 @@
         marker = await self._read_marker()
         if marker is None or _busy_until(marker) > self.wall():
             return
-        for _ in range(MOST_MINUTES):
-            swept = _swept(marker)
+        for _ in range(MAX_BUCKETS_PER_SWEEP):
+            swept = _swept_bucket(marker)
             if not self._is_due(swept + 1):
                 return
-            marker = await self._mark(marker, swept, self.wall() + BUSY_S)
+            marker = await self._update_marker(
+                marker, swept, self.wall() + SWEEP_LEASE_S
+            )
             if marker is None or not await self._sweep_bucket(swept + 1):
                 return
-            marker = await self._mark(marker, swept + 1, 0.0)
+            marker = await self._update_marker(marker, swept + 1, 0.0)
             if marker is None:
                 return
 
     def _is_due(self, bucket: int) -> bool:
-        end = (bucket + 1) * records.BUCKET_S
-        return end + MARGIN_S <= self.wall()
+        end = (bucket + 1) * records.EXPIRY_BUCKET_S
+        return end + EXPIRY_MARGIN_S <= self.wall()
 
     async def _read_marker(self) -> interface.StoredObject | None:
-        got = await self.store.get(MARKER_KIND, self.deployment)
-        if isinstance(got, interface.Missing):
-            now = int(self.wall() // records.BUCKET_S)
-            value = _to_value(now - 1, 0.0)
-            got = await self.store.create(MARKER_KIND, self.deployment, value)
-        return got.item if isinstance(got, interface.Found) else None
-
-    async def _mark(
+        read = await self.store.get(MARKER_KIND, self.deployment)
+        if isinstance(read, interface.Missing):
+            now = int(self.wall() // records.EXPIRY_BUCKET_S)
+            value = _marker_value(now - 1, 0.0)
+            read = await self.store.create(MARKER_KIND, self.deployment, value)
+        return read.item if isinstance(read, interface.Found) else None
+
+    async def _update_marker(
         self, marker: interface.StoredObject, swept: int, busy_until: float
     ) -> interface.StoredObject | None:
-        value = _to_value(swept, busy_until)
+        value = _marker_value(swept, busy_until)
         written = await self.store.update(marker, value)
         return written.item if isinstance(written, interface.Found) else None
 
     async def _sweep_bucket(self, bucket: int) -> bool:
         """Deletes what may be deleted; tells whether all of it is gone."""
         labels = records.expiry_labels(
-            self.deployment, bucket * records.BUCKET_S
+            self.deployment, bucket * records.EXPIRY_BUCKET_S
         )
-        listed = await self.store.list(records.KIND, labels)
+        listed = await self.store.list(records.OBJECT_KIND, labels)
         if isinstance(listed, interface.Unavailable):
             return False
         expired = [item for item in listed.items if _may_delete(item)]
-        self.kept += len(listed.items) - len(expired)
-        for start in range(0, len(expired), BATCH):
-            batch = expired[start : start + BATCH]
+        self.retained += len(listed.items) - len(expired)
+        for start in range(0, len(expired), BATCH_SIZE):
+            batch = expired[start : start + BATCH_SIZE]
             if not all(await asyncio.gather(*map(self._delete, batch))):
                 return False
             await asyncio.sleep(BATCH_PAUSE_S)
@@ -119,10 +121,10 @@
 
 def _may_delete(item: interface.StoredObject) -> bool:
     record = records.from_object(item)
-    return record is not None and record.state not in records.MAY_STILL_SEND
+    return record is not None and record.state not in records.SENDABLE_STATES
 
 
-def _swept(marker: interface.StoredObject) -> int:
+def _swept_bucket(marker: interface.StoredObject) -> int:
     return int(marker.value["swept"])
 
 
@@ -130,5 +132,5 @@
     return float(marker.value.get("busy_until", 0.0))
 
 
-def _to_value(swept: int, busy_until: float) -> dict[str, float]:
+def _marker_value(swept: int, busy_until: float) -> dict[str, float]:
     return {"swept": swept, "busy_until": busy_until}
--- a/banyantiller/claims/types.py
+++ b/banyantiller/claims/types.py
@@ -27,7 +27,7 @@
     host: str = ""
 
 
-class RecordedAnswer(NamedTuple):
+class RecordedResponse(NamedTuple):
     """What is kept of a finished request for callers that repeat it.
 
     Attributes:
@@ -56,7 +56,7 @@
 class Finished:
     """The request was run before; the answer is repeated."""
 
-    answer: RecordedAnswer
+    response: RecordedResponse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,12 +86,12 @@
         """
 
     async def finish(
-        self, request: ClaimRequest, nonce: str, answer: RecordedAnswer
+        self, request: ClaimRequest, nonce: str, response: RecordedResponse
     ) -> None:
         """Records that the request was run, and its answer."""
 
     async def release(self, request: ClaimRequest, nonce: str) -> None:
         """Gives a claim back; only when no byte reached a server."""
 
-    async def unsettled(self, request: ClaimRequest, nonce: str) -> None:
+    async def mark_unknown(self, request: ClaimRequest, nonce: str) -> None:
         """Records that nobody can tell whether the request was run."""
--- a/banyantiller/proxy/answers.py
+++ b/banyantiller/proxy/answers.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from banyantiller.claims.types import RecordedAnswer
+from banyantiller.claims.types import RecordedResponse
 from banyantiller.errors import Failure, Ran
 from banyantiller.proxy import headers
 
@@ -63,7 +63,7 @@
     return OwnAnswer(row.status, fields, body)
 
 
-def from_record(record: RecordedAnswer, request_id: bytes) -> OwnAnswer:
+def from_record(record: RecordedResponse, request_id: bytes) -> OwnAnswer:
     """Builds the answer that repeats a recorded one."""
     body = record.body or b""
     fields = [
@@ -79,7 +79,7 @@
 
 def to_record(
     status: int, fields: list[headers.Field], body: bytes | None
-) -> RecordedAnswer:
+) -> RecordedResponse:
     """Returns what is kept of a relayed answer."""
     dropped = (
         b"content-length",
@@ -92,4 +92,4 @@
         for name, lower, value in fields
         if lower not in dropped
     )
-    return RecordedAnswer(status, kept, body)
+    return RecordedResponse(status, kept, body)
--- a/banyantiller/proxy/keys.py
+++ b/banyantiller/proxy/keys.py
@@ -124,7 +124,7 @@
             record = answers.to_record(self.status, self.fields, body)
             done = claims.finish(self.request, self.nonce, record)
         elif maybe_ran:
-            done = claims.unsettled(self.request, self.nonce)
+            done = claims.mark_unknown(self.request, self.nonce)
         else:
             done = claims.release(self.request, self.nonce)
         self.call.proxy.spawn(done)
@@ -173,9 +173,9 @@
             self._repeat(outcome)
 
     def _repeat(self, outcome: Finished) -> None:
-        if outcome.answer.body is None:
+        if outcome.response.body is None:
             detail = "The request was run before; its answer was not kept."
             self.call.refuse(Failure(ErrorKind.KEY_ALREADY_RUN, detail))
             return
-        answer = answers.from_record(outcome.answer, self.call.request_id)
+        answer = answers.from_record(outcome.response, self.call.request_id)
         self.call.answer(answer, None)
--- a/banyantiller/replay/claims_player.py
+++ b/banyantiller/replay/claims_player.py
@@ -17,7 +17,7 @@
 WALL = 1_000_000_000.0
 TAIL_S = 60.0
 STEP_S = 0.001
-ANSWER = types.RecordedAnswer(201, (), b"made")
+ANSWER = types.RecordedResponse(201, (), b"made")
 
 
 class Header(NamedTuple):
@@ -248,7 +248,7 @@
             self.log.ran.add(request.call)
             await asyncio.sleep(request.work_s)
             if request.ends == "unknown":
-                await claims.unsettled(wanted, nonce)
+                await claims.mark_unknown(wanted, nonce)
             else:
                 await claims.finish(wanted, nonce, ANSWER)
         self.log.told[request.call] = request.ends
--- a/banyantiller/tests/claims/faulty.py
+++ b/banyantiller/tests/claims/faulty.py
@@ -9,7 +9,9 @@
 from banyantiller.claims import arbiter, types
 from banyantiller.store import interface, memory, table
 
-ANSWER = types.RecordedAnswer(201, (("content-type", "text/plain"),), b"made")
+RESPONSE = types.RecordedResponse(
+    201, (("content-type", "text/plain"),), b"made"
+)
 
 Gate = Callable[[str], Awaitable[None]]
 
@@ -44,40 +46,40 @@
         super().__init__(objects)
         self.gate = gate
         self.steps = itertools.chain(steps, itertools.repeat(Step()))
-        self.old = objects.snapshot()
+        self.previous = objects.snapshot()
 
     async def _read(self, effect: Callable[[], Any]) -> Any:
         step = next(self.steps)
-        await self._come(step)
+        await self._before_effect(step)
         if step.fault == "unavailable":
             return interface.Unavailable("as told")
-        self.stale_view = self.old if step.fault == "stale" else None
+        self.stale_view = self.previous if step.fault == "stale" else None
         outcome = effect()
         self.stale_view = None
-        self.old = self.table.snapshot()
-        await self._go(step)
+        self.previous = self.table.snapshot()
+        await self._after_effect(step)
         return outcome
 
     async def _write(self, effect: Callable[[], Any]) -> Any:
         step = next(self.steps)
         if step.fault == "late":
             asyncio.get_running_loop().call_later(7.0, effect)
-            await self._come(step)
+            await self._before_effect(step)
             return interface.Unknown("as told")
-        await self._come(step)
+        await self._before_effect(step)
         if step.fault == "unavailable":
             return interface.Unavailable("as told")
         outcome = effect()
-        await self._go(step)
+        await self._after_effect(step)
         if step.fault == "lost":
             return interface.Unknown("as told")
         return outcome
 
-    async def _come(self, step: Step) -> None:
+    async def _before_effect(self, step: Step) -> None:
         await self.gate("before")
         await asyncio.sleep(step.before_s)
 
-    async def _go(self, step: Step) -> None:
+    async def _after_effect(self, step: Step) -> None:
         await asyncio.sleep(step.after_s)
         await self.gate("after")
 
@@ -125,5 +127,5 @@
         await gate("send")
         self.runs[request.key] += 1
         await gate("sent")
-        await daemon.finish(request, outcome.nonce, ANSWER)
+        await daemon.finish(request, outcome.nonce, RESPONSE)
         return outcome
--- a/banyantiller/tests/claims/test_arbiter.py
+++ b/banyantiller/tests/claims/test_arbiter.py
@@ -8,7 +8,9 @@
 from banyantiller.store import interface, memory
 from banyantiller.tests import base
 
-ANSWER = types.RecordedAnswer(201, (("content-type", "text/plain"),), b"made")
+RESPONSE = types.RecordedResponse(
+    201, (("content-type", "text/plain"),), b"made"
+)
 
 
 def make_request(
@@ -39,11 +41,11 @@
         )
 
 
-def soon(seconds: float = 5.0) -> float:
+def deadline_in(seconds: float = 5.0) -> float:
     return asyncio.get_running_loop().time() + seconds
 
 
-def kind_of(outcome: types.ClaimOutcome) -> ErrorKind | None:
+def error_kind_of(outcome: types.ClaimOutcome) -> ErrorKind | None:
     if isinstance(outcome, types.Denied):
         return outcome.failure.kind
     return None
@@ -57,17 +59,19 @@
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             request = make_request()
-            granted = await first.claim(request, soon())
+            granted = await first.claim(request, deadline_in())
             self.assertIsInstance(granted, types.Granted)
             for daemon in (first, second):
-                denied = await daemon.claim(request, soon())
-                self.assertEqual(ErrorKind.KEY_IN_PROGRESS, kind_of(denied))
-            await first.finish(request, granted.nonce, ANSWER)
+                denied = await daemon.claim(request, deadline_in())
+                self.assertEqual(
+                    ErrorKind.KEY_IN_PROGRESS, error_kind_of(denied)
+                )
+            await first.finish(request, granted.nonce, RESPONSE)
             for daemon in (first, second):
-                repeated = await daemon.claim(request, soon())
-                self.assertEqual(types.Finished(ANSWER), repeated)
+                repeated = await daemon.claim(request, deadline_in())
+                self.assertEqual(types.Finished(RESPONSE), repeated)
             reads = second.store.calls["get"]
-            await second.claim(request, soon())
+            await second.claim(request, deadline_in())
             self.assertEqual(reads, second.store.calls["get"])
 
         self.run_paused(scenario())
@@ -77,12 +81,18 @@
             fleet = Fleet()
             daemons = [fleet.daemon(f"d{n}") for n in range(14)]
             outcomes = await asyncio.gather(
-                *(daemon.claim(make_request(), soon()) for daemon in daemons),
-                *(daemon.claim(make_request(), soon()) for daemon in daemons),
+                *(
+                    daemon.claim(make_request(), deadline_in())
+                    for daemon in daemons
+                ),
+                *(
+                    daemon.claim(make_request(), deadline_in())
+                    for daemon in daemons
+                ),
             )
             granted = [o for o in outcomes if isinstance(o, types.Granted)]
             self.assertEqual(1, len(granted))
-            others = {kind_of(o) for o in outcomes} - {None}
+            others = {error_kind_of(o) for o in outcomes} - {None}
             self.assertEqual({ErrorKind.KEY_IN_PROGRESS}, others)
 
         self.run_paused(scenario())
@@ -91,14 +101,16 @@
         async def scenario() -> None:
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
-            granted = await first.claim(make_request(), soon())
+            granted = await first.claim(make_request(), deadline_in())
             other = make_request(fingerprint="f2")
             for _ in range(2):
                 for daemon in (first, second):
-                    denied = await daemon.claim(other, soon())
-                    self.assertEqual(ErrorKind.KEY_REUSED, kind_of(denied))
+                    denied = await daemon.claim(other, deadline_in())
+                    self.assertEqual(
+                        ErrorKind.KEY_REUSED, error_kind_of(denied)
+                    )
                 if first.active:
-                    await first.finish(make_request(), granted.nonce, ANSWER)
+                    await first.finish(make_request(), granted.nonce, RESPONSE)
 
         self.run_paused(scenario())
 
@@ -107,12 +119,14 @@
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             request = make_request()
-            granted = await first.claim(request, soon())
-            large = ANSWER._replace(body=b"x" * records.MAX_ANSWER_BYTES)
+            granted = await first.claim(request, deadline_in())
+            large = RESPONSE._replace(body=b"x" * records.MAX_RESPONSE_BYTES)
             await first.finish(request, granted.nonce, large)
             for daemon in (first, second):
-                denied = await daemon.claim(request, soon())
-                self.assertEqual(ErrorKind.KEY_ALREADY_RUN, kind_of(denied))
+                denied = await daemon.claim(request, deadline_in())
+                self.assertEqual(
+                    ErrorKind.KEY_ALREADY_RUN, error_kind_of(denied)
+                )
 
         self.run_paused(scenario())
 
@@ -121,15 +135,17 @@
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             request = make_request()
-            granted = await first.claim(request, soon())
+            granted = await first.claim(request, deadline_in())
             await first.release(request, granted.nonce)
             await first.release(request, granted.nonce)
-            again = await second.claim(request, soon())
+            again = await second.claim(request, deadline_in())
             self.assertIsInstance(again, types.Granted)
-            await second.unsettled(request, again.nonce)
+            await second.mark_unknown(request, again.nonce)
             for daemon in (first, second):
-                denied = await daemon.claim(request, soon())
-                self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, kind_of(denied))
+                denied = await daemon.claim(request, deadline_in())
+                self.assertEqual(
+                    ErrorKind.KEY_OUTCOME_UNKNOWN, error_kind_of(denied)
+                )
 
         self.run_paused(scenario())
 
@@ -137,7 +153,7 @@
         async def scenario() -> None:
             fleet = Fleet()
             request = make_request()
-            await fleet.daemon("d1").claim(request, soon(2))
+            await fleet.daemon("d1").claim(request, deadline_in(2))
             second = fleet.daemon("d2")
             for wait, kind in (
                 (0, ErrorKind.KEY_IN_PROGRESS),
@@ -146,8 +162,8 @@
                 (20 * 3600, ErrorKind.KEY_OUTCOME_UNKNOWN),
             ):
                 await asyncio.sleep(wait)
-                denied = await second.claim(request, soon())
-                self.assertEqual(kind, kind_of(denied))
+                denied = await second.claim(request, deadline_in())
+                self.assertEqual(kind, error_kind_of(denied))
 
         self.run_paused(scenario())
 
@@ -156,9 +172,11 @@
             fleet = Fleet()
             daemon = fleet.daemon("d1")
             name = records.object_name("fleet", make_request())
-            await daemon.store.create(records.KIND, name, {"state": 7})
-            denied = await daemon.claim(make_request(), soon())
-            self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, kind_of(denied))
+            await daemon.store.create(records.OBJECT_KIND, name, {"state": 7})
+            denied = await daemon.claim(make_request(), deadline_in())
+            self.assertEqual(
+                ErrorKind.KEY_OUTCOME_UNKNOWN, error_kind_of(denied)
+            )
 
         self.run_paused(scenario())
 
@@ -170,13 +188,17 @@
             daemon = fleet.daemon("d1")
             daemon.store.faults.down = True
             for number in range(20):
-                denied = await daemon.claim(make_request(f"k{number}"), soon())
-                self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, kind_of(denied))
+                denied = await daemon.claim(
+                    make_request(f"k{number}"), deadline_in()
+                )
+                self.assertEqual(
+                    ErrorKind.CLAIM_UNAVAILABLE, error_kind_of(denied)
+                )
                 self.assertEqual(Ran.NO, denied.failure.answer.ran)
             self.assertTrue(sum(daemon.store.calls.values()) < 10)
             daemon.store.faults.down = False
             await asyncio.sleep(1)
-            granted = await daemon.claim(make_request("k1"), soon())
+            granted = await daemon.claim(make_request("k1"), deadline_in())
             self.assertIsInstance(granted, types.Granted)
 
         self.run_paused(scenario())
@@ -186,10 +208,12 @@
             fleet = Fleet()
             daemon = fleet.daemon("d1")
             daemon.store.faults.lose_answers = 1
-            granted = await daemon.claim(make_request(), soon())
+            granted = await daemon.claim(make_request(), deadline_in())
             self.assertIsInstance(granted, types.Granted)
-            denied = await fleet.daemon("d2").claim(make_request(), soon())
-            self.assertEqual(ErrorKind.KEY_IN_PROGRESS, kind_of(denied))
+            denied = await fleet.daemon("d2").claim(
+                make_request(), deadline_in()
+            )
+            self.assertEqual(ErrorKind.KEY_IN_PROGRESS, error_kind_of(denied))
 
         self.run_paused(scenario())
 
@@ -198,17 +222,17 @@
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             request = make_request()
-            granted = await first.claim(request, soon())
+            granted = await first.claim(request, deadline_in())
             first.store.faults.lose_answers = 1
             await first.release(request, granted.nonce)
             second.store.faults.lose_answers = 1
-            granted = await second.claim(request, soon())
+            granted = await second.claim(request, deadline_in())
             self.assertIsInstance(granted, types.Granted)
             second.store.faults.lose_answers = 1
-            await second.finish(request, granted.nonce, ANSWER)
-            self.assertEqual({}, second.settler.ends)
-            repeated = await first.claim(request, soon())
-            self.assertEqual(types.Finished(ANSWER), repeated)
+            await second.finish(request, granted.nonce, RESPONSE)
+            self.assertEqual({}, second.settler.pending)
+            repeated = await first.claim(request, deadline_in())
+            self.assertEqual(types.Finished(RESPONSE), repeated)
 
         self.run_paused(scenario())
 
@@ -224,18 +248,18 @@
         settling = asyncio.create_task(first.settler.run())
         first.store.faults.slow_s = 3.0
         request = make_request()
-        denied = await first.claim(request, soon(1.0))
-        self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, kind_of(denied))
+        denied = await first.claim(request, deadline_in(1.0))
+        self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, error_kind_of(denied))
         first.store.faults.slow_s = 0
         await asyncio.sleep(0 if same_daemon else 20)
         retrying = first if same_daemon else second
-        granted = await retrying.claim(request, soon())
+        granted = await retrying.claim(request, deadline_in())
         self.assertIsInstance(granted, types.Granted)
         await asyncio.sleep(60)
-        self.assertEqual({}, first.settler.ends)
+        self.assertEqual({}, first.settler.pending)
         other = second if same_daemon else first
-        denied = await other.claim(request, soon())
-        self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, kind_of(denied))
+        denied = await other.claim(request, deadline_in())
+        self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, error_kind_of(denied))
         settling.cancel()
 
     def test_late_create_after_the_release_has_no_effect(self) -> None:
@@ -243,15 +267,17 @@
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             first.store.faults.slow_s = 30.0
-            await first.claim(make_request(), soon(1.0))
+            await first.claim(make_request(), deadline_in(1.0))
             first.store.faults.slow_s = 0
             self.assertTrue(await first.drain())
-            granted = await second.claim(make_request(), soon())
+            granted = await second.claim(make_request(), deadline_in())
             self.assertIsInstance(granted, types.Granted)
-            await second.finish(make_request(), granted.nonce, ANSWER)
+            await second.finish(make_request(), granted.nonce, RESPONSE)
             await asyncio.sleep(100)
-            repeated = await fleet.daemon("d3").claim(make_request(), soon())
-            self.assertEqual(types.Finished(ANSWER), repeated)
+            repeated = await fleet.daemon("d3").claim(
+                make_request(), deadline_in()
+            )
+            self.assertEqual(types.Finished(RESPONSE), repeated)
 
         self.run_paused(scenario())
 
@@ -261,18 +287,18 @@
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             request = make_request()
             second.store.serve_stale(True)
-            granted = await first.claim(request, soon())
-            denied = await second.claim(request, soon(1))
-            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, kind_of(denied))
+            granted = await first.claim(request, deadline_in())
+            denied = await second.claim(request, deadline_in(1))
+            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, error_kind_of(denied))
             await first.release(request, granted.nonce)
             second.store.serve_stale(True)
-            granted = await first.claim(request, soon())
+            granted = await first.claim(request, deadline_in())
             self.assertIsInstance(granted, types.Granted)
-            denied = await second.claim(request, soon(1))
-            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, kind_of(denied))
+            denied = await second.claim(request, deadline_in(1))
+            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, error_kind_of(denied))
             second.store.serve_stale(False)
-            denied = await second.claim(request, soon(1))
-            self.assertEqual(ErrorKind.KEY_IN_PROGRESS, kind_of(denied))
+            denied = await second.claim(request, deadline_in(1))
+            self.assertEqual(ErrorKind.KEY_IN_PROGRESS, error_kind_of(denied))
 
         self.run_paused(scenario())
 
@@ -282,18 +308,18 @@
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             settling = asyncio.create_task(first.settler.run())
             request = make_request()
-            granted = await first.claim(request, soon())
+            granted = await first.claim(request, deadline_in())
             first.store.faults.down = True
-            await first.finish(request, granted.nonce, ANSWER)
-            repeated = await first.claim(request, soon())
-            self.assertEqual(types.Finished(ANSWER), repeated)
+            await first.finish(request, granted.nonce, RESPONSE)
+            repeated = await first.claim(request, deadline_in())
+            self.assertEqual(types.Finished(RESPONSE), repeated)
             await asyncio.sleep(300)
             calls = sum(first.store.calls.values())
             self.assertTrue(calls < 50)
             first.store.faults.down = False
             await asyncio.sleep(20)
-            repeated = await second.claim(request, soon())
-            self.assertEqual(types.Finished(ANSWER), repeated)
+            repeated = await second.claim(request, deadline_in())
+            self.assertEqual(types.Finished(RESPONSE), repeated)
             settling.cancel()
 
         self.run_paused(scenario())
@@ -318,15 +344,19 @@
             request = make_request()
             store.faults.lose_answers = 1
             read, store.get = store.get, unavailable
-            denied = await first.claim(request, soon(1.0))
-            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, kind_of(denied))
+            denied = await first.claim(request, deadline_in(1.0))
+            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, error_kind_of(denied))
             await asyncio.sleep(10)
-            told = await second.claim(request, soon())
-            self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, kind_of(told))
+            outcome = await second.claim(request, deadline_in())
+            self.assertEqual(
+                ErrorKind.KEY_OUTCOME_UNKNOWN, error_kind_of(outcome)
+            )
             store.get = read
             self.assertTrue(await first.settler.settle_all())
-            again = await second.claim(request, soon())
-            self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, kind_of(again))
+            again = await second.claim(request, deadline_in())
+            self.assertEqual(
+                ErrorKind.KEY_OUTCOME_UNKNOWN, error_kind_of(again)
+            )
 
         self.run_paused(scenario())
 
@@ -334,8 +364,8 @@
         async def scenario() -> None:
             fleet = Fleet()
             daemon = fleet.daemon("d1")
-            denied = await daemon.claim(make_request(), soon(0))
-            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, kind_of(denied))
+            denied = await daemon.claim(make_request(), deadline_in(0))
+            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, error_kind_of(denied))
             self.assertEqual(0, sum(daemon.store.calls.values()))
 
         self.run_paused(scenario())
--- a/banyantiller/tests/claims/test_at_most_once.py
+++ b/banyantiller/tests/claims/test_at_most_once.py
@@ -42,20 +42,20 @@
         self.at = at
         self.passed = 0
         self.reached = False
-        self.woken = asyncio.Event()
+        self.resumed = asyncio.Event()
 
     async def gate(self, point: str) -> None:
         self.passed += 1
         if self.passed == self.at:
             self.reached = True
-            await self.woken.wait()
+            await self.resumed.wait()
 
 
 async def run_stopped(
     at: int,
     steps: tuple[faulty.Step, ...],
     refused: bool,
-    wake: bool,
+    resume: bool,
 ) -> tuple[bool, int]:
     """Runs one daemon up to a point, then others, then may wake the first.
 
@@ -77,8 +77,8 @@
     for name in ("d2", "d1"):
         await fleet.serve(fleet.daemon(name), REQUEST, loop.time() + 5)
         await asyncio.sleep(50)
-    if wake:
-        stop.woken.set()
+    if resume:
+        stop.resumed.set()
         await path
         settling = asyncio.create_task(first.settler.run())
         await asyncio.sleep(20)
@@ -92,14 +92,14 @@
 class StoppedDaemonTest(base.TestCase):
     def test_death_and_pause_at_each_await_point(self) -> None:
         seen = collections.Counter()
-        for steps, refused, wake in itertools.product(
+        for steps, refused, resume in itertools.product(
             SCHEDULES, (False, True), (False, True)
         ):
             for at in itertools.count(1):
                 reached, runs = self.run_paused(
-                    run_stopped(at, steps, refused, wake)
+                    run_stopped(at, steps, refused, resume)
                 )
-                note = f"{steps} refused={refused} wake={wake} at={at}"
+                note = f"{steps} refused={refused} wake={resume} at={at}"
                 self.assertTrue(runs <= 1, note)
                 seen[reached, runs] += 1
                 if not reached:
@@ -125,7 +125,7 @@
         claiming = asyncio.create_task(first.claim(REQUEST, FOREVER_S))
         await asyncio.sleep(1)
         claiming.cancel()
-        stop.woken.set()
+        stop.resumed.set()
         await asyncio.gather(claiming, return_exceptions=True)
         if not claiming.cancelled():
             await first.release(REQUEST, claiming.result().nonce)
@@ -150,7 +150,7 @@
             first = fleet.daemon("d1", steps=slow_release)
             settling = asyncio.create_task(first.settler.run())
             denied = await fleet.serve(first, REQUEST, 0.5)
-            self.assertTrue(says_ran(denied, Ran.NO))
+            self.assertTrue(reports_ran(denied, Ran.NO))
             await asyncio.sleep(1)
             self.assertEqual(1, first.store.calls["update"])
             granted = await first.claim(REQUEST, 5)
@@ -177,10 +177,10 @@
 
     daemon: int
     starts_s: float
-    patience_s: float
-    leaves_s: float
+    timeout_s: float
+    disconnects_s: float
     refused: bool
-    repeats: bool
+    retries: bool
 
 
 DELAYS = strategies.sampled_from((0.0, 0.001, 0.5, 3.0, 30.0))
@@ -201,7 +201,7 @@
 )
 
 
-def says_ran(outcome: types.ClaimOutcome, ran: Ran) -> bool:
+def reports_ran(outcome: types.ClaimOutcome, ran: Ran) -> bool:
     """Tells whether the caller is told this about its request."""
     if isinstance(outcome, types.Denied):
         return outcome.failure.answer.ran == ran
@@ -222,24 +222,24 @@
         for index, steps in enumerate(schedules)
     ]
     loop = asyncio.get_running_loop()
-    lies = 0
+    false_reports = 0
 
     async def call(caller: Caller, index: int) -> None:
-        nonlocal lies
+        nonlocal false_reports
         outcome = await fleet.serve(
             daemons[index],
             REQUEST,
-            loop.time() + caller.patience_s,
+            loop.time() + caller.timeout_s,
             caller.refused,
         )
-        lies += says_ran(outcome, Ran.YES) and not fleet.runs["k1"]
-        if caller.repeats and says_ran(outcome, Ran.NO):
-            await call(caller._replace(repeats=False), (index + 1) % 3)
+        false_reports += reports_ran(outcome, Ran.YES) and not fleet.runs["k1"]
+        if caller.retries and reports_ran(outcome, Ran.NO):
+            await call(caller._replace(retries=False), (index + 1) % 3)
 
     async def follow(caller: Caller) -> None:
         await asyncio.sleep(caller.starts_s)
         try:
-            async with asyncio.timeout(caller.leaves_s):
+            async with asyncio.timeout(caller.disconnects_s):
                 await call(caller, caller.daemon)
         except TimeoutError:
             pass
@@ -251,7 +251,7 @@
         await call(Caller(index, 0, 5, 1000, False, False), index)
     for task in settling:
         task.cancel()
-    return fleet.runs["k1"], lies
+    return fleet.runs["k1"], false_reports
 
 
 class InterleavingTest(base.TestCase):
@@ -267,6 +267,6 @@
     def test_random_faults_never_run_a_key_twice(
         self, callers: list[Caller], schedules: list[list[faulty.Step]]
     ) -> None:
-        runs, lies = self.run_paused(interleave(callers, schedules))
+        runs, false_reports = self.run_paused(interleave(callers, schedules))
         self.assertTrue(runs <= 1, f"{runs} runs")
-        self.assertEqual(0, lies)
+        self.assertEqual(0, false_reports)
--- a/banyantiller/tests/claims/test_fencing.py
+++ b/banyantiller/tests/claims/test_fencing.py
@@ -14,15 +14,17 @@
 OVERDUE_S = 10.0
 
 
-async def ask(daemon: arbiter.StoreClaims) -> ErrorKind | types.ClaimOutcome:
+async def claim_key(
+    daemon: arbiter.StoreClaims,
+) -> ErrorKind | types.ClaimOutcome:
     """Claims the key; returns the kind of a denial, or the outcome."""
-    outcome = await daemon.claim(REQUEST, arbiters.soon())
-    return arbiters.kind_of(outcome) or outcome
+    outcome = await daemon.claim(REQUEST, arbiters.deadline_in())
+    return arbiters.error_kind_of(outcome) or outcome
 
 
 async def hold_overdue(daemon: arbiter.StoreClaims) -> str:
     """Gets a key and lets its deadline pass; returns the nonce."""
-    granted = await daemon.claim(REQUEST, arbiters.soon(1.0))
+    granted = await daemon.claim(REQUEST, arbiters.deadline_in(1.0))
     assert isinstance(granted, types.Granted), granted
     await asyncio.sleep(OVERDUE_S)
     return granted.nonce
@@ -34,13 +36,13 @@
             fleet = arbiters.Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             nonce = await hold_overdue(first)
-            told = await ask(second)
-            self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, told)
-            await first.finish(REQUEST, nonce, arbiters.ANSWER)
-            self.assertEqual({}, first.settler.ends)
+            outcome = await claim_key(second)
+            self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, outcome)
+            await first.finish(REQUEST, nonce, arbiters.RESPONSE)
+            self.assertEqual({}, first.settler.pending)
             for daemon in (first, fleet.daemon("d3")):
-                repeated = await ask(daemon)
-                self.assertEqual(types.Finished(arbiters.ANSWER), repeated)
+                repeated = await claim_key(daemon)
+                self.assertEqual(types.Finished(arbiters.RESPONSE), repeated)
 
         self.run_paused(scenario())
 
@@ -49,12 +51,12 @@
             fleet = arbiters.Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             nonce = await hold_overdue(first)
-            await ask(second)
+            await claim_key(second)
             await first.release(REQUEST, nonce)
-            self.assertEqual({}, first.settler.ends)
+            self.assertEqual({}, first.settler.pending)
             for daemon in (first, second, fleet.daemon("d3")):
-                told = await ask(daemon)
-                self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, told)
+                outcome = await claim_key(daemon)
+                self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, outcome)
 
         self.run_paused(scenario())
 
@@ -64,8 +66,8 @@
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             await hold_overdue(first)
             second.store.faults.lose_answers = 2
-            told = await ask(second)
-            self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, told)
+            outcome = await claim_key(second)
+            self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, outcome)
             self.assertEqual(1, second.store.calls["update"])
 
         self.run_paused(scenario())
@@ -81,10 +83,10 @@
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             nonce = await hold_overdue(first)
             second.store.update = unavailable
-            told = await ask(second)
-            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, told)
+            outcome = await claim_key(second)
+            self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, outcome)
             await first.release(REQUEST, nonce)
-            granted = await ask(fleet.daemon("d3"))
+            granted = await claim_key(fleet.daemon("d3"))
             self.assertIsInstance(granted, types.Granted)
 
         self.run_paused(scenario())
@@ -92,15 +94,15 @@
     def test_overdue_record_of_an_earlier_version_is_fenced(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
-            await test_scope.keep_earlier(fleet, records.State.CLAIMED)
+            await test_scope.store_legacy_record(fleet, records.State.CLAIMED)
             await asyncio.sleep(100)
             daemon = fleet.daemon("d1")
-            denied = await daemon.claim(test_scope.DESK, arbiters.soon())
-            kind = arbiters.kind_of(denied)
+            denied = await daemon.claim(test_scope.DESK, arbiters.deadline_in())
+            kind = arbiters.error_kind_of(denied)
             self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, kind)
-            name = records.earlier_name("fleet", test_scope.DESK)
+            name = records.legacy_object_name("fleet", test_scope.DESK)
             store = memory.MemoryStore(fleet.table)
-            found = await store.get(records.KIND, name)
+            found = await store.get(records.OBJECT_KIND, name)
             self.assertEqual("fenced", found.item.value["state"])
 
         self.run_paused(scenario())
@@ -114,15 +116,17 @@
             await sweeper.sweep()
             first = fleet.daemon("d1")
             request = sweepers.make_request("k1")
-            granted = await first.claim(request, arbiters.soon(1.0))
+            granted = await first.claim(request, arbiters.deadline_in(1.0))
             await asyncio.sleep(OVERDUE_S)
-            await fleet.daemon("d2").claim(request, arbiters.soon())
-            fleet.skipped_s += sweepers.RETENTION_S + sweeping.MARGIN_S + 120
+            await fleet.daemon("d2").claim(request, arbiters.deadline_in())
+            fleet.skipped_s += (
+                sweepers.RETENTION_S + sweeping.EXPIRY_MARGIN_S + 120
+            )
             await sweepers.sweep_often(sweeper)
             self.assertEqual(0, sweeper.deleted)
             await first.release(request, granted.nonce)
             name = records.object_name("fleet", request)
-            kept = await sweeper.store.get(records.KIND, name)
-            self.assertEqual("unknown", kept.item.value["state"])
+            stored = await sweeper.store.get(records.OBJECT_KIND, name)
+            self.assertEqual("unknown", stored.item.value["state"])
 
         self.run_paused(scenario())
--- a/banyantiller/tests/claims/test_over_adapter.py
+++ b/banyantiller/tests/claims/test_over_adapter.py
@@ -9,7 +9,7 @@
 from banyantiller.store import interface, kubernetes
 from banyantiller.tests.store import test_kubernetes
 
-ANSWER = types.RecordedAnswer(201, (("x-note", "déjà vu"),), b"\x00\xff")
+RESPONSE = types.RecordedResponse(201, (("x-note", "déjà vu"),), b"\x00\xff")
 RETENTION_S = 600.0
 
 
@@ -33,13 +33,13 @@
             second = await claims[1].claim(request, deadline)
             self.assertIsInstance(first, types.Granted)
             self.assertIsInstance(second, types.Denied)
-            await claims[0].finish(request, first.nonce, ANSWER)
+            await claims[0].finish(request, first.nonce, RESPONSE)
             again = await claims[1].claim(request, deadline)
-            self.assertEqual(types.Finished(ANSWER), again)
-            wall[0] += RETENTION_S + sweeping.MARGIN_S + 120
+            self.assertEqual(types.Finished(RESPONSE), again)
+            wall[0] += RETENTION_S + sweeping.EXPIRY_MARGIN_S + 120
             for _ in range(20):
                 await sweeper.sweep()
-            left = await store.list(records.KIND)
+            left = await store.list(records.OBJECT_KIND)
             self.assertIsInstance(left, interface.Listed)
             self.assertEqual((), left.items)
 
--- a/banyantiller/tests/claims/test_scope.py
+++ b/banyantiller/tests/claims/test_scope.py
@@ -15,26 +15,28 @@
 NOW = 1e9
 
 
-async def run(daemon: arbiter.StoreClaims, request: types.ClaimRequest) -> None:
+async def run_to_end(
+    daemon: arbiter.StoreClaims, request: types.ClaimRequest
+) -> None:
     """Claims a key and finishes its request."""
-    granted = await daemon.claim(request, arbiters.soon())
+    granted = await daemon.claim(request, arbiters.deadline_in())
     assert isinstance(granted, types.Granted), granted
-    await daemon.finish(request, granted.nonce, arbiters.ANSWER)
+    await daemon.finish(request, granted.nonce, arbiters.RESPONSE)
 
 
-async def keep_earlier(
-    fleet: arbiters.Fleet, kept: records.State, **changes: Any
+async def store_legacy_record(
+    fleet: arbiters.Fleet, legacy_state: records.State, **changes: Any
 ) -> None:
     """Keeps a record as versions did that named keys by service."""
     answer = None
-    if kept is records.State.DONE:
-        answer = records.keep(arbiters.ANSWER)
+    if legacy_state is records.State.DONE:
+        answer = records.to_stored_response(arbiters.RESPONSE)
     record = records.Record(
         DESK.service,
         DESK.fingerprint,
         "nonce-of-before",
         "d0",
-        kept,
+        legacy_state,
         NOW,
         NOW + 60,
         NOW + 86400,
@@ -42,8 +44,10 @@
     )
     value = {**records.to_value(record), **changes}
     del value["host"]
-    name = records.earlier_name("fleet", DESK)
-    await memory.MemoryStore(fleet.table).create(records.KIND, name, value)
+    name = records.legacy_object_name("fleet", DESK)
+    await memory.MemoryStore(fleet.table).create(
+        records.OBJECT_KIND, name, value
+    )
 
 
 class ScopeTest(base.TestCase):
@@ -52,8 +56,11 @@
             fleet = arbiters.Fleet()
             daemons = [fleet.daemon(f"d{n}") for n in range(10)]
             outcomes = await asyncio.gather(
-                *(d.claim(DESK, arbiters.soon()) for d in daemons[:5]),
-                *(d.claim(DEPOSITS, arbiters.soon()) for d in daemons[5:]),
+                *(d.claim(DESK, arbiters.deadline_in()) for d in daemons[:5]),
+                *(
+                    d.claim(DEPOSITS, arbiters.deadline_in())
+                    for d in daemons[5:]
+                ),
             )
             granted = [o for o in outcomes if isinstance(o, types.Granted)]
             self.assertEqual(1, len(granted))
@@ -64,20 +71,22 @@
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
-            await run(first, DESK)
+            await run_to_end(first, DESK)
             for daemon in (first, second, second):
-                outcome = await daemon.claim(DEPOSITS, arbiters.soon())
-                self.assertEqual(types.Finished(arbiters.ANSWER), outcome)
+                outcome = await daemon.claim(DEPOSITS, arbiters.deadline_in())
+                self.assertEqual(types.Finished(arbiters.RESPONSE), outcome)
 
         self.run_paused(scenario())
 
     def test_other_host_of_the_service_is_the_same_request(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
-            await run(fleet.daemon("d1"), DESK)
+            await run_to_end(fleet.daemon("d1"), DESK)
             other = DESK._replace(host="alias.example")
-            outcome = await fleet.daemon("d2").claim(other, arbiters.soon())
-            self.assertEqual(types.Finished(arbiters.ANSWER), outcome)
+            outcome = await fleet.daemon("d2").claim(
+                other, arbiters.deadline_in()
+            )
+            self.assertEqual(types.Finished(arbiters.RESPONSE), outcome)
 
         self.run_paused(scenario())
 
@@ -86,34 +95,34 @@
             fleet = arbiters.Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             other = DEPOSITS._replace(host="other.example")
-            granted = await first.claim(DESK, arbiters.soon())
+            granted = await first.claim(DESK, arbiters.deadline_in())
             for _ in range(2):
                 for daemon in (first, second):
-                    denied = await daemon.claim(other, arbiters.soon())
-                    kind = arbiters.kind_of(denied)
+                    denied = await daemon.claim(other, arbiters.deadline_in())
+                    kind = arbiters.error_kind_of(denied)
                     self.assertEqual(ErrorKind.KEY_REUSED, kind)
                 if first.active:
-                    await first.finish(DESK, granted.nonce, arbiters.ANSWER)
+                    await first.finish(DESK, granted.nonce, arbiters.RESPONSE)
 
         self.run_paused(scenario())
 
 
-class EarlierRecordsTest(base.TestCase):
+class LegacyRecordsTest(base.TestCase):
     def test_record_of_an_earlier_version_decides(self) -> None:
         expected = {
-            records.State.DONE: types.Finished(arbiters.ANSWER),
+            records.State.DONE: types.Finished(arbiters.RESPONSE),
             records.State.UNKNOWN: ErrorKind.KEY_OUTCOME_UNKNOWN,
             records.State.CLAIMED: ErrorKind.KEY_IN_PROGRESS,
         }
 
         async def scenario(state: records.State) -> None:
             fleet = arbiters.Fleet()
-            await keep_earlier(fleet, state)
+            await store_legacy_record(fleet, state)
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
             for daemon in (first, second, first):
-                outcome = await daemon.claim(DESK, arbiters.soon())
-                told = arbiters.kind_of(outcome) or outcome
-                self.assertEqual(expected[state], told)
+                outcome = await daemon.claim(DESK, arbiters.deadline_in())
+                found = arbiters.error_kind_of(outcome) or outcome
+                self.assertEqual(expected[state], found)
 
         for state in expected:
             self.run_paused(scenario(state))
@@ -121,17 +130,19 @@
     def test_released_record_of_an_earlier_version_leaves_it_free(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
-            await keep_earlier(fleet, records.State.RELEASED)
-            await run(fleet.daemon("d1"), DESK)
+            await store_legacy_record(fleet, records.State.RELEASED)
+            await run_to_end(fleet.daemon("d1"), DESK)
 
         self.run_paused(scenario())
 
     def test_unreadable_record_of_an_earlier_version_is_not_run(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
-            await keep_earlier(fleet, records.State.DONE, state=7)
-            denied = await fleet.daemon("d1").claim(DESK, arbiters.soon())
-            kind = arbiters.kind_of(denied)
+            await store_legacy_record(fleet, records.State.DONE, state=7)
+            denied = await fleet.daemon("d1").claim(
+                DESK, arbiters.deadline_in()
+            )
+            kind = arbiters.error_kind_of(denied)
             self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, kind)
 
         self.run_paused(scenario())
@@ -145,11 +156,11 @@
             store = memory.MemoryStore(fleet.table)
             daemon = fleet.daemon("d1", store)
             read, store.get = store.get, unavailable
-            denied = await daemon.claim(DESK, arbiters.soon())
-            kind = arbiters.kind_of(denied)
+            denied = await daemon.claim(DESK, arbiters.deadline_in())
+            kind = arbiters.error_kind_of(denied)
             self.assertEqual(ErrorKind.CLAIM_UNAVAILABLE, kind)
             store.get = read
             self.assertTrue(await daemon.drain())
-            await run(fleet.daemon("d2"), DESK)
+            await run_to_end(fleet.daemon("d2"), DESK)
 
         self.run_paused(scenario())
--- a/banyantiller/tests/claims/test_sweeping.py
+++ b/banyantiller/tests/claims/test_sweeping.py
@@ -3,13 +3,13 @@
 import asyncio
 import random
 
-from banyantiller.claims import known, records, sweeping, types
+from banyantiller.claims import outcome_cache, records, sweeping, types
 from banyantiller.errors import ErrorKind
 from banyantiller.tests import base
 from banyantiller.tests.claims import faulty
 
 RETENTION_S = 600.0
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 
 
 def make_request(key: str) -> types.ClaimRequest:
@@ -35,8 +35,8 @@
             daemon = fleet.daemon("d1")
             for number in range(5):
                 request = make_request(f"k{number}")
-                await fleet.serve(daemon, request, PATIENCE_S)
-            fleet.skipped_s += RETENTION_S + sweeping.MARGIN_S - 60
+                await fleet.serve(daemon, request, TIMEOUT_S)
+            fleet.skipped_s += RETENTION_S + sweeping.EXPIRY_MARGIN_S - 60
             await sweep_often(sweeper)
             self.assertEqual(0, sweeper.deleted)
             fleet.skipped_s += 200
@@ -54,11 +54,11 @@
             sweeper = make_sweeper(fleet)
             await sweeper.sweep()
             request = make_request("k1")
-            await fleet.daemon("d1").claim(request, PATIENCE_S)
-            fleet.skipped_s += 2 * (RETENTION_S + sweeping.MARGIN_S)
+            await fleet.daemon("d1").claim(request, TIMEOUT_S)
+            fleet.skipped_s += 2 * (RETENTION_S + sweeping.EXPIRY_MARGIN_S)
             await sweep_often(sweeper)
-            self.assertTrue(sweeper.kept > 0)
-            denied = await fleet.daemon("d2").claim(request, PATIENCE_S)
+            self.assertTrue(sweeper.retained > 0)
+            denied = await fleet.daemon("d2").claim(request, TIMEOUT_S)
             self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, denied.failure.kind)
 
         self.run_paused(scenario())
@@ -68,15 +68,13 @@
             fleet = faulty.Fleet()
             sweeper = make_sweeper(fleet)
             await sweeper.sweep()
-            await fleet.serve(
-                fleet.daemon("d1"), make_request("k1"), PATIENCE_S
-            )
-            fleet.skipped_s += RETENTION_S + sweeping.MARGIN_S + 200
+            await fleet.serve(fleet.daemon("d1"), make_request("k1"), TIMEOUT_S)
+            fleet.skipped_s += RETENTION_S + sweeping.EXPIRY_MARGIN_S + 200
             unavailable = faulty.Step(fault="unavailable")
             sweeper.store.steps = iter([unavailable, faulty.Step()] * 100)
             await sweep_often(sweeper, 5)
             sweeper.store.steps = iter([faulty.Step()] * 1000)
-            fleet.skipped_s += sweeping.BUSY_S
+            fleet.skipped_s += sweeping.SWEEP_LEASE_S
             await sweep_often(sweeper)
             self.assertEqual(1, sweeper.deleted)
 
@@ -90,8 +88,8 @@
             daemon = fleet.daemon("d1")
             for number in range(50):
                 request = make_request(f"k{number}")
-                await fleet.serve(daemon, request, PATIENCE_S)
-            fleet.skipped_s += RETENTION_S + sweeping.MARGIN_S
+                await fleet.serve(daemon, request, TIMEOUT_S)
+            fleet.skipped_s += RETENTION_S + sweeping.EXPIRY_MARGIN_S
             await sweep_often(sweepers[0])
             fleet.skipped_s += 120
             sweeping_first = asyncio.create_task(sweepers[0].sweep())
@@ -100,7 +98,7 @@
             self.assertEqual(0, sum(s.deleted for s in sweepers[1:]))
             sweeping_first.cancel()
             self.assertTrue(0 < sweepers[0].deleted < 50)
-            fleet.skipped_s += sweeping.BUSY_S
+            fleet.skipped_s += sweeping.SWEEP_LEASE_S
             await sweep_often(sweepers[1])
             deleted = [sweeper.deleted for sweeper in sweepers[:2]]
             self.assertEqual(50, sum(deleted))
@@ -114,29 +112,29 @@
             await sweeper.sweep()
             request = make_request("k1")._replace(retention_s=86400.0)
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
-            await fleet.serve(first, request, PATIENCE_S, refused=True)
+            await fleet.serve(first, request, TIMEOUT_S, refused=True)
             fleet.skipped_s += 80000
-            await fleet.serve(second, request, PATIENCE_S)
+            await fleet.serve(second, request, TIMEOUT_S)
             self.assertEqual(1, second.store.calls["delete"])
             fleet.skipped_s += 80000
             await sweep_often(sweeper, 400)
             name = records.object_name("fleet", request)
-            self.assertIn((records.KIND, name), fleet.table.records)
+            self.assertIn((records.OBJECT_KIND, name), fleet.table.records)
 
         self.run_paused(scenario())
 
 
 class KnownKeysTest(base.TestCase):
     def test_cache_is_bounded_and_forgets_what_expired(self) -> None:
-        cache = known.KnownKeys(most_entries=3, most_bytes=1000)
-        answer = types.Finished(types.RecordedAnswer(200, (), b"x" * 100))
+        cache = outcome_cache.OutcomeCache(max_entries=3, max_bytes=1000)
+        answer = types.Finished(types.RecordedResponse(200, (), b"x" * 100))
         for number in range(5):
             cache.put(f"k{number}", "f", answer, expires_at=100.0)
         self.assertEqual(["k2", "k3", "k4"], list(cache.entries))
         self.assertIsNotNone(cache.get("k2", 99.0))
         self.assertIsNone(cache.get("k2", 100.0))
-        large = types.Finished(types.RecordedAnswer(200, (), b"x" * 900))
+        large = types.Finished(types.RecordedResponse(200, (), b"x" * 900))
         cache.put("k9", "f", large, expires_at=100.0)
         self.assertEqual(["k9"], list(cache.entries))
-        cache.forget("k9")
+        cache.remove("k9")
         self.assertEqual(0, cache.size)
--- a/banyantiller/tests/fuzz/test_documents.py
+++ b/banyantiller/tests/fuzz/test_documents.py
@@ -81,7 +81,7 @@
             st.sampled_from(
                 (
                     *records.Record._fields,
-                    *records.KeptAnswer._fields,
+                    *records.StoredResponse._fields,
                     "permits",
                     "waiting",
                     "accepted",
@@ -162,7 +162,7 @@
             record = records.from_object(item)
             self.assertIsInstance(record, records.Record | None)
             if record is not None:
-                records.judge(record, REQUEST, 1e9)
+                records.evaluate(record, REQUEST, 1e9)
             permits = objects.read_permits(value)
             self.assertIsInstance(permits, list | None)
             self.assertIsInstance(
--- a/banyantiller/tests/proxy/fakes.py
+++ b/banyantiller/tests/proxy/fakes.py
@@ -220,8 +220,8 @@
     async def release(self, request, nonce):
         self.settled.append(("release", request.key))
 
-    async def unsettled(self, request, nonce):
-        self.settled.append(("unsettled", request.key))
+    async def mark_unknown(self, request, nonce):
+        self.settled.append(("mark_unknown", request.key))
 
 
 def make_settings(**changes) -> defaults.Settings:
--- a/banyantiller/tests/proxy/test_at_most_once.py
+++ b/banyantiller/tests/proxy/test_at_most_once.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from banyantiller.bundle import options
-from banyantiller.claims.types import RecordedAnswer
+from banyantiller.claims.types import RecordedResponse
 from banyantiller.proxy import attempt, call, driver
 from banyantiller.tests import base
 from banyantiller.tests.proxy import fakes
@@ -190,7 +190,7 @@
             (fakes.answering(OK), "finish", b"ok"),
             (fakes.answering(big), "finish", None),
             (dying("amid the answer body", []), "finish", None),
-            (dying("after the request", []), "unsettled", None),
+            (dying("after the request", []), "mark_unknown", None),
             (fakes.answering(NOT_RUN), "release", None),
             (None, "release", None),
         )
@@ -218,7 +218,7 @@
             (call.Call, "relay_head"),
         ):
             found = self.run_paused(settled(owner, name))
-            self.assertEqual(["unsettled"], found, name)
+            self.assertEqual(["mark_unknown"], found, name)
 
     def test_claim_of_a_caller_that_left_is_given_back(self) -> None:
         async def body() -> None:
@@ -244,7 +244,7 @@
             self.assertNotIn(b"idempotency-replayed", first)
             self.assertIn(b"idempotency-replayed: true", again)
             self.assertTrue(again.endswith(b"\r\n\r\nok"))
-            bench.claims.held["k1"] = RecordedAnswer(200, (), None)
+            bench.claims.held["k1"] = RecordedResponse(200, (), None)
             gone = await bench.ask(KEYED)
             self.assertIn(b" 409 ", gone)
             self.assertIn(b"request-ran: yes", gone)
--- a/banyantiller/tests/proxy/test_changes.py
+++ b/banyantiller/tests/proxy/test_changes.py
@@ -300,7 +300,7 @@
                 await asyncio.sleep(0.1)
             await bench.proxy.close()
             self.assertEqual(
-                {("unsettled", "sent"), ("release", "waiting")},
+                {("mark_unknown", "sent"), ("release", "waiting")},
                 set(bench.claims.settled),
             )
 
--- a/banyantiller/tests/spec/test_claims_conformance.py
+++ b/banyantiller/tests/spec/test_claims_conformance.py
@@ -66,7 +66,7 @@
 
     def _write(self, kind, name, value, labels, created):
         written = super()._write(kind, name, value, labels, created)
-        if kind == records.KIND:
+        if kind == records.OBJECT_KIND:
             self.note(LABELS[value["state"]], value["nonce"])
         return written
 
@@ -115,7 +115,7 @@
             await daemon.release(REQUEST, nonce)
             return
         self.note("run", nonce)
-        await daemon.finish(REQUEST, nonce, faulty.ANSWER)
+        await daemon.finish(REQUEST, nonce, faulty.RESPONSE)
 
 
 def told(outcome):
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -29,7 +29,7 @@
 REPEAT_SHARE = 0.05
 WRITES = ("create", "update", "delete")
 READS = ("get", "list")
-ANSWER = types.RecordedAnswer(
+ANSWER = types.RecordedResponse(
     201, (("content-type", "application/json"),), b"x" * 200
 )
 
@@ -154,7 +154,7 @@
     await world.arrive(rate, duration_s, call)
     size = world.size()
     created = world.count(("create",)) - 1
-    world.skipped_s = RETENTION_S + sweeping.MARGIN_S + duration_s + 120
+    world.skipped_s = RETENTION_S + sweeping.EXPIRY_MARGIN_S + duration_s + 120
     while sweeper.deleted < len(world.runs):
         await sweeper.sweep()
     conflicts = created - len(world.runs)
--- a/bench/slopes_claims.py
+++ b/bench/slopes_claims.py
@@ -9,7 +9,7 @@
 
 COUNTS = (200, 400, 800, 1600)
 WRITES = ("create", "update", "delete")
-ANSWER = types.RecordedAnswer(
+ANSWER = types.RecordedResponse(
     200, (("content-type", "application/json"),), bytes(400)
 )
 
--- a/bench/slopes_data.py
+++ b/bench/slopes_data.py
@@ -99,7 +99,7 @@
             "remembered claims, at their bound",
             sizes.MOST_KNOWN_CLAIMS,
             "remembered claims",
-            "claims/known.py",
+            "claims/outcome_cache.py",
             MEASURED,
         ),
     ]
--- a/bench/slopes_memory.py
+++ b/bench/slopes_memory.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from banyantiller.bundle import options
-from banyantiller.claims import known, types
+from banyantiller.claims import outcome_cache, types
 from banyantiller.config import defaults
 from banyantiller.kernel import core
 from banyantiller.membership import messages
@@ -74,10 +74,10 @@
 
 def build_claims(count: int) -> object:
     """Remembers that many finished keys."""
-    keys = known.KnownKeys(most_bytes=1 << 30)
+    keys = outcome_cache.OutcomeCache(max_bytes=1 << 30)
     for n in range(count):
         body = bytes(400)
-        answer = types.RecordedAnswer(
+        answer = types.RecordedResponse(
             200, (("content-type", "application/json"),), body
         )
         keys.put(f"fleet.{n:064d}", f"{n:064x}", types.Finished(answer), 1e12)
--- a/examples/claims.py
+++ b/examples/claims.py
@@ -5,7 +5,7 @@
 
 from banyantiller.claims.arbiter import StoreClaims
 from banyantiller.claims.types import ClaimRequest, Finished, Granted
-from banyantiller.claims.types import RecordedAnswer as Answer
+from banyantiller.claims.types import RecordedResponse as Answer
 from banyantiller.store.memory import MemoryStore
 
 
