--- a/banyantiller/tests/proxy/test_faults.py
+++ b/banyantiller/tests/proxy/test_faults.py
@@ -45,7 +45,7 @@
                 )
                 continue
             self.run[name] += 1
-            answer = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (
+            response = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (
                 len(name),
                 name,
             )
@@ -57,38 +57,38 @@
                 await connection.send(b"\x00\x01\r\n\r\n")
                 return
             if fault:
-                cut = 9 if fault == "half head" else len(answer) - 1
-                await connection.send(answer[:cut])
+                cut = 9 if fault == "half head" else len(response) - 1
+                await connection.send(response[:cut])
                 return
-            await connection.send(answer)
+            await connection.send(response)
 
 
 class FaultsTest(base.TestCase):
     def check(self, seed: int) -> collections.Counter[str]:
         servers = FaultyServers(seed)
-        told: collections.Counter[str] = collections.Counter()
+        outcomes: collections.Counter[str] = collections.Counter()
 
         async def call(bench: fakes.Bench, name: bytes) -> None:
             lookup = name.endswith(b"0")
             method = b"GET /" + name if lookup else b"POST /"
             sent = b"" if lookup else name
-            got = await bench.ask(
+            got = await bench.exchange(
                 method + b" HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
                 b"X-Request-Deadline-Ms: 1500\r\nContent-Length: %d\r\n\r\n%b"
                 % (len(sent), sent)
             )
             key = b"/" + name if lookup else name
-            head, _, answer = got.partition(b"\r\n\r\n")
+            head, _, response = got.partition(b"\r\n\r\n")
             if head.startswith(b"HTTP/1.1 200"):
-                told["answered"] += 1
+                outcomes["answered"] += 1
                 # Whole, or visibly not: the connection was cut.
-                self.assertIn(answer, (key, key[:-1], b""))
+                self.assertIn(response, (key, key[:-1], b""))
                 self.assertGreaterEqual(servers.run[key], 1)
             elif b"request-ran: no" in head:
-                told["not run"] += 1
+                outcomes["not run"] += 1
                 self.assertEqual(0, servers.run[key], head)
             else:
-                told["unknown"] += 1
+                outcomes["unknown"] += 1
             if not lookup:
                 self.assertLessEqual(servers.run[key], 1, head)
 
@@ -110,16 +110,16 @@
             load = driver.dispatcher.own_load(0.0)
             self.assertEqual(0, sum(load.values()))
             for pool in driver.pools.values():
-                self.assertEqual(len(pool.idle), len(pool.open))
+                self.assertEqual(len(pool.idle), len(pool.open_connections))
             await bench.proxy.close()
 
         self.run_paused(body())
         self.assertGreater(max(servers.run.values()), 1)
-        return told
+        return outcomes
 
     def test_promises_hold_under_random_faults(self) -> None:
-        told: collections.Counter[str] = collections.Counter()
+        outcomes: collections.Counter[str] = collections.Counter()
         for seed in range(5):
-            told += self.check(seed)
+            outcomes += self.check(seed)
         for kind in ("answered", "not run", "unknown"):
-            self.assertGreater(told[kind], 0, told)
+            self.assertGreater(outcomes[kind], 0, outcomes)
--- a/banyantiller/tests/proxy/test_forward.py
+++ b/banyantiller/tests/proxy/test_forward.py
@@ -15,15 +15,15 @@
 
 
 def exchange(
-    request: bytes, answer: bytes, **changes
+    request: bytes, response: bytes, **changes
 ) -> tuple[bytes, list[bytes], fakes.Bench]:
     """Returns what caller and backend server saw of one exchange."""
     seen: list[bytes] = []
 
     async def body() -> tuple[bytes, list[bytes], fakes.Bench]:
-        script = fakes.answering(answer, seen)
+        script = fakes.responding(response, seen)
         bench = await fakes.Bench.start(script, **changes)
-        got = await bench.ask(request, wait_s=15.0)
+        got = await bench.exchange(request, wait_s=15.0)
         await bench.proxy.close()
         return got, seen, bench
 
@@ -34,16 +34,16 @@
     def test_get_and_post_reuse_both_connections(self) -> None:
         async def body() -> None:
             seen: list[bytes] = []
-            bench = await fakes.Bench.start(fakes.answering(seen=seen))
+            bench = await fakes.Bench.start(fakes.responding(seen=seen))
             caller = await bench.connect()
             post = (
                 b"POST /p HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
             )
             for request in (GET, post, GET):
                 await caller.send(request)
-                head, answer = await caller.message()
+                head, response = await caller.message()
                 self.assertTrue(head.startswith(b"HTTP/1.1 200"))
-                self.assertEqual(b"ok", answer)
+                self.assertEqual(b"ok", response)
             self.assertTrue(seen[0].startswith(b"GET /a?b=c HTTP/1.1\r\n"))
             self.assertTrue(seen[1].endswith(b"\r\n\r\nabc"))
             self.assertEqual(1, len(bench.servers[0].connections))
@@ -54,18 +54,18 @@
         self.run_paused(body())
 
     def test_chunked_bodies_and_trailers_pass_both_ways(self) -> None:
-        answer = (
+        response = (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\nSum: 9\r\n\r\n"
         )
-        got, seen, _ = exchange(CHUNKED_POST, answer)
+        got, seen, _ = exchange(CHUNKED_POST, response)
         self.assertTrue(got.endswith(b"2\r\nhi\r\n0\r\nSum: 9\r\n\r\n"), got)
         self.assertTrue(
             seen[0].endswith(b"3\r\nabc\r\n2\r\nde\r\n0\r\nSum: 7\r\n\r\n")
         )
 
     def test_messages_may_come_in_any_pieces(self) -> None:
-        answer = (
+        response = (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"3\r\nabc\r\n0\r\n\r\n"
         )
@@ -74,8 +74,8 @@
             _, sent = await connection.message()
             self.assertTrue(sent.endswith(b"Sum: 7\r\n\r\n"), sent)
             self.assertEqual(b"abcde", bytes(c for c in sent if c in b"abcde"))
-            for number in range(len(answer)):
-                await connection.send(answer[number : number + 1])
+            for number in range(len(response)):
+                await connection.send(response[number : number + 1])
                 await asyncio.sleep(0.001)
             await connection.reader.read()
 
@@ -95,11 +95,11 @@
             self.run_paused(body(step))
 
     def test_http_1_0_caller_gets_no_chunks_and_no_trailers(self) -> None:
-        answer = (
+        response = (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\nSum: 9\r\n\r\n"
         )
-        got, _, _ = exchange(b"GET / HTTP/1.0\r\n\r\n", answer)
+        got, _, _ = exchange(b"GET / HTTP/1.0\r\n\r\n", response)
         head, _, rest = got.partition(b"\r\n\r\n")
         self.assertEqual(b"hi", rest)
         self.assertNotIn(b"chunked", head)
@@ -111,7 +111,7 @@
 
         async def body() -> None:
             bench = await fakes.Bench.start(script)
-            got = await bench.ask(GET_CLOSE)
+            got = await bench.exchange(GET_CLOSE)
             self.assertIn(b"\r\na\r\nto the end\r\n0\r\n\r\n", got)
             self.assertIsNone(bench.finished[0].error)
             await bench.proxy.close()
@@ -120,11 +120,11 @@
 
     def test_answers_without_body(self) -> None:
         for method, status in ((b"HEAD", 200), (b"GET", 204), (b"GET", 304)):
-            answer = b"HTTP/1.1 %d X\r\nContent-Length: 5\r\n\r\n" % status
+            response = b"HTTP/1.1 %d X\r\nContent-Length: 5\r\n\r\n" % status
             if status == 204:
-                answer = b"HTTP/1.1 204 X\r\n\r\n"
+                response = b"HTTP/1.1 204 X\r\n\r\n"
             request = GET_CLOSE.replace(b"GET", method)
-            got, _, bench = exchange(request, answer)
+            got, _, bench = exchange(request, response)
             self.assertTrue(got.startswith(b"HTTP/1.1 %d X" % status))
             self.assertTrue(got.endswith(b"\r\n\r\n"))
             self.assertNotIn(b"chunked", got)
@@ -171,7 +171,7 @@
 
         async def body() -> None:
             bench = await fakes.Bench.start(script)
-            got = await bench.ask(
+            got = await bench.exchange(
                 b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nab"
             )
             self.assertIn(b" 403 ", got)
@@ -185,24 +185,24 @@
         self.run_paused(body())
 
     def test_early_hints_are_relayed_but_not_to_http_1_0(self) -> None:
-        answer = (
+        response = (
             b"HTTP/1.1 103 Hints\r\nLink: </s>\r\n\r\n"
             b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
         )
-        got, _, _ = exchange(GET_CLOSE, answer)
+        got, _, _ = exchange(GET_CLOSE, response)
         self.assertTrue(got.startswith(b"HTTP/1.1 103 \r\nLink: </s>\r\n\r\n"))
-        got, _, _ = exchange(b"GET / HTTP/1.0\r\n\r\n", answer)
+        got, _, _ = exchange(b"GET / HTTP/1.0\r\n\r\n", response)
         self.assertTrue(got.startswith(b"HTTP/1.1 200"))
 
     def test_header_fields_of_one_hop_stay_there(self) -> None:
-        answer = (
+        response = (
             b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: x-a\r\n"
             b"X-A: 1\r\nKeep-Alive: 5\r\nX-B: 2\r\n\r\n"
         )
         got, seen, _ = exchange(
             b"GET http://h/p?q HTTP/1.1\r\nHost: x\r\nConnection: close,Foo\r\n"
             b"Foo: 1\r\nBar: 2\r\nTE: trailers\r\nUpgrade: h2c\r\n\r\n",
-            answer,
+            response,
         )
         sent = seen[0].lower()
         self.assertTrue(sent.startswith(b"get /p?q http/1.1\r\nhost: h\r\n"))
@@ -255,8 +255,8 @@
             caller = await bench.connect()
             await caller.send(b"".join(requests))
             for n in range(5):
-                _, answer = await caller.message()
-                self.assertEqual(b"/%d" % n, answer)
+                _, response = await caller.message()
+                self.assertEqual(b"/%d" % n, response)
             await bench.proxy.close()
 
         self.run_paused(body())
@@ -273,7 +273,7 @@
                     % (len(path + sent), path + sent)
                 )
 
-        async def ask(bench: fakes.Bench, number: int) -> None:
+        async def run_caller(bench: fakes.Bench, number: int) -> None:
             caller = await bench.connect()
             for _ in range(3):
                 await caller.send(
@@ -285,12 +285,12 @@
                 if number % 5 == 4:
                     caller.reset()
                     return
-                _, answer = await caller.message()
-                self.assertEqual(b"/%d%04d" % (number, number), answer)
+                _, response = await caller.message()
+                self.assertEqual(b"/%d%04d" % (number, number), response)
 
         async def body() -> None:
             bench = await fakes.Bench.start(script, connections=7)
-            await asyncio.gather(*(ask(bench, n) for n in range(60)))
+            await asyncio.gather(*(run_caller(bench, n) for n in range(60)))
             self.assertEqual(0, bench.proxy.in_flight)
             await bench.proxy.close()
 
@@ -332,7 +332,7 @@
 
             async def body(script: fakes.Script = script) -> None:
                 bench = await fakes.Bench.start(script)
-                got = await bench.ask(GET_CLOSE)
+                got = await bench.exchange(GET_CLOSE)
                 self.assertIn(b" 200 ", got)
                 self.assertNotIn(b"0\r\n\r\n", got)
                 event = bench.finished[0]
@@ -346,7 +346,7 @@
         async def body() -> None:
             settings = fakes.make_settings(idle_timeout_s=3.0)
             bench = await fakes.Bench.start(
-                fakes.answering(), settings=settings
+                fakes.responding(), settings=settings
             )
             caller = await bench.connect()
             await caller.send(GET)
--- a/banyantiller/tests/proxy/test_shut.py
+++ b/banyantiller/tests/proxy/test_graceful_close.py
@@ -8,7 +8,7 @@
 from banyantiller.tests.proxy import fakes
 
 
-class ShutTest(base.TestCase):
+class GracefulCloseTest(base.TestCase):
     def test_caller_that_has_reset_its_connection(self) -> None:
         # After a pause of the daemon, many callers have given up and reset;
         # the answers to what they sent are then written to nobody.
@@ -18,7 +18,7 @@
             transport.write_eof.side_effect = OSError(errno.ENOTCONN, "reset")
             connection = caller.CallerConnection(bench.proxy)
             connection.connection_made(transport)
-            connection.shut()
+            connection.close_gracefully()
             connection.connection_lost(None)
             await bench.proxy.close()
             return transport
--- a/banyantiller/tests/proxy/test_own_faults.py
+++ b/banyantiller/tests/proxy/test_internal_errors.py
@@ -31,31 +31,31 @@
 STEPS = (
     (attempt.Attempt, "relay"),
     (attempt.Attempt, "cancel"),
-    (attempt.Attempt, "_suspect_kin"),
+    (attempt.Attempt, "_close_stale_idle"),
     (attempt.Attempt, "_send"),
-    (backend.BackendConnection, "begin"),
+    (backend.BackendConnection, "start_exchange"),
     (backend.BackendConnection, "_can_reuse"),
     (backend.BackendConnection, "abort"),
     (call.Call, "relay_head"),
     (call.Call, "relay_data"),
     (call.Call, "relay_end"),
-    (call.Call, "broke"),
+    (call.Call, "relay_failed"),
     (call.Call, "refuse"),
     (call.Call, "fail"),
-    (call.Call, "backend_request"),
+    (call.Call, "build_backend_request"),
     (caller.CallerConnection, "send_head"),
-    (caller.CallerConnection, "send_own"),
-    (caller.CallerConnection, "answer_done"),
-    (caller.CallerConnection, "cut"),
+    (caller.CallerConnection, "send_local_response"),
+    (caller.CallerConnection, "response_done"),
+    (caller.CallerConnection, "reset"),
     (pool.Pool, "acquire"),
-    (pool.Pool, "give_back"),
-    (pool.Pool, "create"),
-    (pool.Pool, "suspect"),
+    (pool.Pool, "release"),
+    (pool.Pool, "open_connection"),
+    (pool.Pool, "close_stale_idle"),
     (driver.ServiceDriver, "_relay"),
     (driver.ServiceDriver, "_cancel"),
     (driver.ServiceDriver, "_refuse"),
 )
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 def failing(*args, **kwargs):
@@ -67,28 +67,30 @@
 
     def __init__(self) -> None:
         self.healthy = False
-        self.turns = itertools.cycle((WHOLE, WHOLE[:-1], b"", None))
+        self.script_responses = itertools.cycle(
+            (COMPLETE, COMPLETE[:-1], b"", None)
+        )
 
     async def __call__(self, connection: fakes.FakeConnection) -> None:
         while True:
             await connection.message()
-            answer = WHOLE if self.healthy else next(self.turns)
-            if answer is None:
+            response = COMPLETE if self.healthy else next(self.script_responses)
+            if response is None:
                 await asyncio.sleep(5.0)
                 return
-            await connection.send(answer)
-            if answer != WHOLE:
+            await connection.send(response)
+            if response != COMPLETE:
                 return
 
 
-async def stay_until_answered(bench: fakes.Bench) -> None:
+async def exchange_until_closed(bench: fakes.Bench) -> None:
     try:
-        await bench.ask(GET, wait_s=10.0)
+        await bench.exchange(GET, wait_s=10.0)
     except (TimeoutError, ConnectionError):
         pass
 
 
-class OwnFaultsTest(base.TestCase):
+class InternalErrorsTest(base.TestCase):
     def setUp(self) -> None:
         super().setUp()
         logging.disable(logging.CRITICAL)
@@ -101,7 +103,7 @@
         with fault:
             for _ in range(CALLS // SLOTS):
                 await asyncio.gather(
-                    *(stay_until_answered(bench) for _ in range(SLOTS))
+                    *(exchange_until_closed(bench) for _ in range(SLOTS))
                 )
         await asyncio.sleep(30.0)
         self.assertEqual(CALLS, len(bench.finished))
@@ -113,9 +115,11 @@
         load = running.dispatcher.own_load(0.0)
         self.assertEqual(0, sum(load.values()))
         script.healthy = True
-        answers = await asyncio.gather(*(bench.ask(GET) for _ in range(SLOTS)))
-        for answer in answers:
-            self.assertIn(b" 200 ", answer)
+        responses = await asyncio.gather(
+            *(bench.exchange(GET) for _ in range(SLOTS))
+        )
+        for response in responses:
+            self.assertIn(b" 200 ", response)
         await bench.proxy.close()
 
     def test_no_failing_step_keeps_a_slot(self) -> None:
@@ -126,11 +130,11 @@
 
     def test_call_with_a_granted_key_ends_and_releases_it(self) -> None:
         async def body() -> None:
-            bench = await fakes.Bench.start(fakes.answering())
+            bench = await fakes.Bench.start(fakes.responding())
             fault = mock.patch.object(driver.ServiceDriver, "submit", failing)
             with fault:
-                answer = await bench.ask(KEYED)
-            self.assertIn(b"HTTP/1.1 500 ", answer)
+                response = await bench.exchange(KEYED)
+            self.assertIn(b"HTTP/1.1 500 ", response)
             (event,) = bench.finished
             self.assertEqual(ErrorKind.INTERNAL, event.error)
             await asyncio.sleep(1.0)
--- a/banyantiller/tests/proxy/test_parts.py
+++ b/banyantiller/tests/proxy/test_parts.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from banyantiller.bundle import options
-from banyantiller.proxy import load, matching, stages, watchdog
+from banyantiller.proxy import load, matching, stages, timers
 from banyantiller.routing.types import LoadReport
 from banyantiller.tests import base
 
@@ -97,34 +97,34 @@
             (89.0, 1, 1.0),
             (100.0, 2, None),
         ):
-            staged = stages.at(service, elapsed)
+            staged = stages.service_at(service, elapsed)
             self.assertEqual(shares[number], staged.service.shares)
             self.assertEqual(left, staged.next_s)
 
 
-class WatchdogTest(base.TestCase):
+class LazyTimerTest(base.TestCase):
     def test_fires_once_at_the_time_set_last(self) -> None:
         async def body() -> None:
             loop = asyncio.get_running_loop()
             fired: list[float] = []
-            watch = watchdog.Watchdog(loop, lambda: fired.append(loop.time()))
+            timer = timers.LazyTimer(loop, lambda: fired.append(loop.time()))
             begin = loop.time()
-            watch.set(begin + 5)
-            watch.set(begin + 9)
+            timer.set_lazily(begin + 5)
+            timer.set_lazily(begin + 9)
             await asyncio.sleep(6)
             self.assertEqual([], fired)
-            watch.set(begin + 7)
+            timer.set_lazily(begin + 7)
             await asyncio.sleep(10)
             self.assertEqual([7], [round(at - begin) for at in fired])
-            watch.set(loop.time() + 1)
-            watch.due = watchdog.NEVER
+            timer.set_lazily(loop.time() + 1)
+            timer.due = timers.NEVER
             await asyncio.sleep(5)
             self.assertEqual(1, len(fired))
-            watch.move(loop.time() + 3)
-            watch.move(loop.time() + 4)
-            armed = watch.handle.when()
-            self.assertEqual(watch.due, armed)
-            watch.move(watchdog.NEVER)
-            self.assertIsNone(watch.handle)
+            timer.set_exactly(loop.time() + 3)
+            timer.set_exactly(loop.time() + 4)
+            armed = timer.loop_handle.when()
+            self.assertEqual(timer.due, armed)
+            timer.set_exactly(timers.NEVER)
+            self.assertIsNone(timer.loop_handle)
 
         self.run_paused(body())
--- a/banyantiller/tests/proxy/test_stages.py
+++ b/banyantiller/tests/proxy/test_stages.py
@@ -14,9 +14,9 @@
             shares=first,
             stages=(options.Stage(60.0, last),),
         )
-        before = stages.at(service, 59.5)
+        before = stages.service_at(service, 59.5)
         self.assertEqual(first, before.service.shares)
         self.assertEqual(0.5, before.next_s)
-        after = stages.at(service, 60.0)
+        after = stages.service_at(service, 60.0)
         self.assertEqual(last, after.service.shares)
         self.assertIsNone(after.next_s)
--- a/banyantiller/tests/proxy/test_tls.py
+++ b/banyantiller/tests/proxy/test_tls.py
@@ -17,7 +17,7 @@
     async def exchange(
         self, files: defaults.TlsFiles, trust: str
     ) -> tuple[bytes, fakes.Bench]:
-        backend = fakes.FakeServer(fakes.answering())
+        backend = fakes.FakeServer(fakes.responding())
         listening = await asyncio.start_server(
             backend.serve, LOOPBACK, 0, ssl=tls.server_context(files)
         )
@@ -39,23 +39,23 @@
             LOOPBACK, bound.port, ssl=tls.client_context(files)
         )
         writer.write(GET)
-        answer = await reader.read()
+        response = await reader.read()
         writer.close()
         await bench.proxy.close()
         listening.close()
-        return answer, bench
+        return response, bench
 
     def test_both_sides(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             files = Authority(folder).issue("server")
-            answer, _ = asyncio.run(self.exchange(files, files.trust))
-        self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer)
-        self.assertTrue(answer.endswith(b"\r\n\r\nok"), answer)
+            response, _ = asyncio.run(self.exchange(files, files.trust))
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
+        self.assertTrue(response.endswith(b"\r\n\r\nok"), response)
 
     def test_server_that_is_not_trusted(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             files = Authority(folder).issue("server")
-            answer, bench = asyncio.run(self.exchange(files, ""))
-        self.assertIn(b"error=tls_protocol_error", answer)
-        self.assertIn(b"request-ran: no", answer)
+            response, bench = asyncio.run(self.exchange(files, ""))
+        self.assertIn(b"error=tls_protocol_error", response)
+        self.assertIn(b"request-ran: no", response)
         self.assertEqual("tls_failed", bench.finished[0].error)
--- a/bench/overhead_roles.py
+++ b/bench/overhead_roles.py
@@ -13,7 +13,7 @@
 from banyantiller.bundle import options
 from banyantiller.config import defaults
 from banyantiller.kernel import core
-from banyantiller.proxy import collector
+from banyantiller.proxy import gc_tuning
 from banyantiller.proxy.proxy import Proxy
 from banyantiller.routing import adaptive
 
@@ -98,7 +98,7 @@
     )
     proxy.apply(options.Bundle((service,)), 1, 0.0)
     bound = await proxy.start()
-    collector.settle()
+    gc_tuning.tune()
     return [bound.port]
 
 
