--- a/banyantiller/claims/__init__.py
+++ b/banyantiller/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Claims of idempotency keys in the object API."""
+"""Claims on idempotency keys, stored in the object API."""
--- a/banyantiller/claims/arbiter.py
+++ b/banyantiller/claims/arbiter.py
@@ -1,8 +1,8 @@
-"""Arbitrates idempotency keys by conditional writes to the object API.
+"""Grants idempotency keys by conditional writes to the object API.
 
-The write itself decides: a key is granted to the daemon whose conditional
-create or update took effect, and no clock or lease takes it away again. See
-docs/design/at-most-once.md for the ways that were weighed.
+A key is granted to the daemon whose conditional create or update took effect,
+and no clock or lease revokes the grant. See docs/design/at-most-once.md for
+the alternatives.
 """
 
 import asyncio
@@ -30,16 +30,16 @@
 class StoreClaims:
     """Claims over the object API; implements `claims.types.Claims`.
 
-    Whoever gets `Granted` must call exactly one of `finish`, `release` and
-    `unsettled` for it. `run` is a task that completes what could not be
-    written at once and deletes expired claims.
+    A caller that gets `Granted` must call exactly one of `finish`, `release`
+    and `mark_unknown` for it. `run` is a background task that retries pending
+    settlements and deletes expired claims.
 
     Attributes:
         active: Claims in progress in this daemon, by object name.
-        known: Outcomes of keys seen to the end.
-        settler: Ends of claims that are not yet certain.
+        outcomes: Cache of final outcomes.
+        settler: Retries settlements that are not confirmed yet.
         sweeper: Deletes expired claims.
-        arbitration: Attempts at claims.
+        arbitration: Runs attempts to claim a key.
     """
 
     def __init__(
@@ -74,25 +74,29 @@
         wall: Callable[[], float],
         nonce: nonces.NonceSource = nonces.of_128_bits,
     ) -> "StoreClaims":
-        """Constructs the claims of one daemon.
+        """Creates the claims of one daemon.
 
         Args:
             store: The object API.
             deployment: Name of the fleet.
             daemon: Name of this daemon.
             wall: Returns wall-clock seconds.
-            nonce: Returns a text that no other call of it anywhere returns.
+            nonce: Returns a globally unique string on each call.
         """
         return cls(store, deployment, daemon, wall, nonce)
 
     async def run(self) -> None:
-        """Completes ends that could not be written, deletes expired claims."""
+        """Retries pending settlements and deletes expired claims."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.settler.run())
             group.create_task(self.sweeper.run())
 
     async def drain(self) -> bool:
-        """Tries once to complete all waiting ends, before a shutdown."""
+        """Tries each pending settlement once, before a shutdown.
+
+        Returns:
+            Whether none is left.
+        """
         return await self.settler.settle_all()
 
     async def claim(
@@ -123,7 +127,7 @@
         nonce: str,
         response: types.RecordedResponse,
     ) -> None:
-        """Records the answer; remembered here even while the API is down."""
+        """Records the response; cached locally even if the API is down."""
         await self._settle(
             request,
             nonce,
@@ -132,13 +136,13 @@
         )
 
     async def release(self, request: types.ClaimRequest, nonce: str) -> None:
-        """Gives a claim back; only when no byte reached a server."""
+        """Releases a claim; allowed only if no byte reached a server."""
         await self._settle(request, nonce, records.State.RELEASED)
 
     async def mark_unknown(
         self, request: types.ClaimRequest, nonce: str
     ) -> None:
-        """Records that nobody can tell whether the request was run."""
+        """Records that it is unknown whether the request was run."""
         await self._settle(request, nonce, records.State.UNKNOWN)
 
     def _check_local_state(
@@ -196,7 +200,7 @@
     async def _arbitrate(
         self, attempt: attempts.ClaimAttempt
     ) -> types.ClaimOutcome:
-        """Claims the key, and reads meanwhile what earlier versions kept."""
+        """Claims the key and concurrently reads its legacy record."""
         async with asyncio.TaskGroup() as group:
             legacy = group.create_task(
                 self.arbitration.read_legacy_record(attempt)
@@ -205,7 +209,7 @@
         return legacy.result() or outcome
 
     def _abandon(self, attempt: attempts.ClaimAttempt) -> None:
-        """Ends a claim that was not granted, also when cancelled."""
+        """Releases a claim that was not granted or was cancelled."""
         del self.active[attempt.name]
         if attempt.item is None and not attempt.in_doubt:
             return
@@ -219,15 +223,15 @@
         request: types.ClaimRequest,
         nonce: str,
         state: records.State,
-        answer: records.StoredResponse | None = None,
+        response: records.StoredResponse | None = None,
     ) -> None:
         name = records.object_name(self.deployment, request)
         attempt = self.active.get(name)
         if attempt is None or attempt.record.nonce != nonce:
-            log.error("claims: an end names no claim of this daemon.")
+            log.error("claims: settlement matches no claim of this daemon.")
             return
         del self.active[name]
-        record = attempt.record._replace(state=state, answer=answer)
+        record = attempt.record._replace(state=state, answer=response)
         self.outcomes.put_record(name, record, self.wall())
         settlement = settling.Settlement(name, record, attempt.item)
         self.settler.enqueue(settlement)
--- a/banyantiller/claims/attempts.py
+++ b/banyantiller/claims/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt to claim a key: writes and reads until its owner is certain."""
+"""An attempt to claim a key: writes and reads until its owner is known."""
 
 import asyncio
 import dataclasses
@@ -22,15 +22,15 @@
 
 @dataclasses.dataclass(slots=True)
 class ClaimAttempt:
-    """One claim of a key by this daemon.
+    """An attempt by this daemon to claim a key.
 
     Attributes:
         name: Name of the object.
-        request: What is claimed.
-        record: What the claim writes; its nonce is used for this claim only.
-        item: The object that holds the claim, once that is certain.
-        in_doubt: Whether a write may have taken effect, or may still.
-        granted: Whether the caller was told to send the request.
+        request: The request whose key is claimed.
+        record: The record to write; its nonce is unique to this attempt.
+        item: The object that holds the claim, once confirmed.
+        in_doubt: Whether a write may have taken effect or still may.
+        granted: Whether the claim was granted.
     """
 
     name: str
@@ -42,12 +42,13 @@
 
 
 class Arbitration:
-    """Runs attempts of one daemon against the object API.
+    """Runs the claim attempts of one daemon against the object API.
 
     Attributes:
-        unsent: Nonces of this daemon of which no request was or will be sent.
-        known: Where final outcomes are kept.
-        breaker: Counts calls that were not answered.
+        unsent_nonces: Nonces of this daemon whose request was not sent and
+            will not be.
+        outcomes: Cache of final outcomes.
+        breaker: Stops calls while the object API does not respond.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
         self.breaker = breaker.CircuitBreaker()
 
     async def run(self, attempt: ClaimAttempt) -> types.ClaimOutcome:
-        """Writes and reads until the key's owner is certain."""
+        """Writes and reads until the key's owner is known."""
         return await self._call_until_decided(
             lambda last: self._next_call(attempt, last),
             "The claim could not be settled.",
@@ -75,13 +76,14 @@
     async def read_legacy_record(
         self, attempt: ClaimAttempt
     ) -> types.ClaimOutcome | None:
-        """Reads the record that an earlier version kept of the key.
+        """Reads the record of the key under its legacy name.
 
-        Without it, a request that ran before an update of the daemons runs
-        once more when it is repeated after it.
+        Earlier versions named the object by service and key. Without this
+        read, a request that ran before an update of the daemons runs again
+        when it is repeated afterwards.
 
         Returns:
-            What the caller gets, or None if the key is free.
+            The outcome for the caller, or None if the key is free.
         """
         return await self._call_until_decided(
             lambda _: self._check_legacy_record(attempt),
@@ -93,11 +95,11 @@
         call: Callable[[Step], Awaitable[Step | None]],
         failure_detail: str,
     ) -> types.ClaimOutcome | None:
-        """Calls the store until what the caller gets is certain.
+        """Calls the store until the outcome for the caller is decided.
 
         Args:
-            call: Makes the next call after the last answer; returns None if
-                the key is free.
+            call: Makes the next call, given the previous result; returns
+                None if the key is free.
             failure_detail: Detail of the denial if no call decides.
         """
         pause = INITIAL_BACKOFF_S
@@ -125,7 +127,11 @@
         return read
 
     def _record_availability(self, result: Step | None) -> bool:
-        """Notes whether a call was answered; tells whether to call again."""
+        """Records the result in the breaker.
+
+        Returns:
+            Whether another call is allowed.
+        """
         if not isinstance(result, interface.Unavailable):
             self.breaker.record_success()
             return True
@@ -146,7 +152,7 @@
     ) -> Step:
         record = records.from_object(item)
         if record is None:
-            log.error("claims: a record is not readable.", name=item.name)
+            log.error("claims: record cannot be decoded.", name=item.name)
         elif _is_held_by(attempt, record):
             return _grant(attempt, item)
         elif self._is_unsent(record):
@@ -162,11 +168,11 @@
         item: interface.StoredObject,
         record: records.Record | None,
     ) -> Step | None:
-        """Judges a record; returns None if the key was released.
+        """Evaluates a record; returns None if the key was released.
 
-        A claim that its daemon did not end is fenced and read back before its
-        outcome is told: else a late release lets the key run after a caller
-        was told for good that it does not.
+        A claim that its daemon did not settle in time is fenced and read back
+        before its outcome is reported. Without the fence, a late release would
+        let the key run after a caller got the final answer that it does not.
         """
         wall = self.wall()
         outcome = records.evaluate(record, attempt.request, wall)
@@ -194,10 +200,10 @@
         item: interface.StoredObject,
         record: records.Record,
     ) -> Step:
-        """Claims a key whose earlier claim was certainly not sent.
+        """Claims a key whose previous claim was certainly not sent.
 
-        The object keeps its labels when it is updated, so the time at which
-        it expires stays too; an old object is deleted and made anew.
+        An update keeps the labels of the object and so its expiry time; an
+        old object is therefore deleted and created again.
         """
         if self.wall() - record.claimed_at > MAX_REUSE_AGE_S:
             deleted = await self.store.delete(item)
@@ -244,5 +250,5 @@
 
 
 def unavailable(detail: str) -> types.Denied:
-    """Returns a denial: the claim is not settled, nothing was run."""
+    """Returns a denial: the claim is undecided and nothing was run."""
     return records.deny(ErrorKind.CLAIM_UNAVAILABLE, detail, RETRY_AFTER_S)
--- a/banyantiller/claims/breaker.py
+++ b/banyantiller/claims/breaker.py
@@ -1,15 +1,17 @@
-"""Stops asking an object API that does not answer."""
+"""A circuit breaker for calls to an object API that does not respond."""
 
 MAX_FAILURES = 3
 TRIAL_INTERVAL_S = 0.5
 
 
 class CircuitBreaker:
-    """Lets one trial in `TRIAL_S` through while calls fail.
+    """Allows one trial call per `TRIAL_INTERVAL_S` while it is open.
+
+    It opens after `MAX_FAILURES` consecutive failures.
 
     Attributes:
-        failures: Calls in a row that were not answered.
-        trial_at: Loop time of the next trial.
+        failures: Number of consecutive calls without a response.
+        next_trial_at: Loop time of the next trial, in seconds.
     """
 
     def __init__(self) -> None:
@@ -17,17 +19,17 @@
         self.next_trial_at = 0.0
 
     def record_success(self) -> None:
-        """A call was answered."""
+        """Records a call that got a response; closes the breaker."""
         self.failures = 0
 
     def record_failure(self, now: float) -> None:
-        """A call was not answered."""
+        """Records a call that got no response."""
         self.failures += 1
         if self.failures == MAX_FAILURES:
             self.next_trial_at = now + TRIAL_INTERVAL_S
 
     def allows_call(self, now: float) -> bool:
-        """Tells whether to call, and counts that as the trial."""
+        """Returns whether a call is allowed; counts it as the trial."""
         if self.failures < MAX_FAILURES:
             return True
         if now < self.next_trial_at:
--- a/banyantiller/claims/outcome_cache.py
+++ b/banyantiller/claims/outcome_cache.py
@@ -1,4 +1,4 @@
-"""Outcomes of keys that this daemon has seen to the end."""
+"""A cache of the final outcomes of keys."""
 
 import collections
 from typing import NamedTuple
@@ -15,13 +15,13 @@
 
 
 class CachedOutcome(NamedTuple):
-    """Outcome of one finished key.
+    """The final outcome of a key.
 
     Attributes:
-        fingerprint: Digest of the request that the key stands for.
-        outcome: What a repeated caller gets.
-        expires_at: Wall-clock seconds until which it holds.
-        size: Bytes that the entry is counted with.
+        fingerprint: Digest of the request that the key was claimed for.
+        outcome: Outcome for a caller that repeats the request.
+        expires_at: Wall-clock seconds until which the entry is valid.
+        size: Size of the entry in bytes, for the bound of the cache.
         service: Service of the request.
         host: Host of the request.
     """
@@ -35,15 +35,15 @@
 
 
 class OutcomeCache:
-    """A bounded cache of final outcomes, least recently used first.
+    """A bounded LRU cache of final outcomes.
 
-    The key of an entry never becomes claimable within its retention, so no
-    entry has to be checked again. "Outcome unknown" may still become an answer
-    elsewhere, if one comes late; this cache then keeps what it has.
+    The key of an entry never becomes claimable within its retention, so
+    entries are not revalidated. An unknown outcome may still be replaced by
+    a late response in the object API; the cache then keeps its entry.
 
     Attributes:
-        entries: Outcomes by object name.
-        size: Bytes counted for all entries.
+        entries: Outcomes by object name, least recently used first.
+        size: Total size of the entries in bytes.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         service: str = "",
         host: str = "",
     ) -> None:
-        """Remembers the final outcome of a key."""
+        """Adds the final outcome of a key."""
         self.remove(name)
         text = len(name) + len(fingerprint) + len(service) + len(host)
         size = text + _body_size(outcome)
@@ -81,7 +81,7 @@
     def put_record(
         self, name: str, record: records.Record | None, wall: float
     ) -> None:
-        """Remembers a record if its outcome can't change any more."""
+        """Adds the outcome of a record if it is final."""
         if record is None or record.state not in FINAL_STATES:
             return
         self.put(
@@ -94,7 +94,7 @@
         )
 
     def get(self, name: str, wall: float) -> CachedOutcome | None:
-        """Returns the entry of a key if it still holds."""
+        """Returns the entry of a key, or None if absent or expired."""
         entry = self.entries.get(name)
         if entry is None:
             return None
@@ -105,7 +105,7 @@
         return entry
 
     def remove(self, name: str) -> None:
-        """Removes the entry of a key, if there is one."""
+        """Removes the entry of a key, if present."""
         entry = self.entries.pop(name, None)
         if entry is not None:
             self.size -= entry.size
--- a/banyantiller/claims/records.py
+++ b/banyantiller/claims/records.py
@@ -1,9 +1,9 @@
-"""How a claim is kept in the object API, and what it tells a repeated caller.
+"""The stored form of a claim, and the outcome that it gives a repeated request.
 
-One object holds one key. Its state is one of `State`; only the daemon that
-holds the nonce moves it out of `CLAIMED`, but for the fence of one that tells
-a caller that the outcome is unknown. So a claim whose outcome nobody knows can
-never be granted again.
+Each key has one object, whose state is one of `State`. Only the daemon that
+holds the nonce moves it out of `CLAIMED`, except that any daemon fences a
+claim before it reports the outcome as unknown. A claim with an unknown outcome
+can therefore never be granted again.
 """
 
 import base64
@@ -28,12 +28,12 @@
     """State of a key.
 
     Attributes:
-        CLAIMED: One daemon may send the request, or sent it.
-        DONE: The request was run and its answer was seen.
-        UNKNOWN: It was sent, and nobody can tell whether it was run; or it
-            was not sent, but callers were told that its outcome is unknown.
-        FENCED: Its daemon did not end it in time, and another one tells
-            callers that the outcome is unknown.
+        CLAIMED: One daemon may send the request or has sent it.
+        DONE: The request was run and its response was received.
+        UNKNOWN: The request was sent and may or may not have been run; or it
+            was not sent, but its outcome was reported as unknown.
+        FENCED: Its daemon did not settle it in time, and a peer reports its
+            outcome as unknown.
         RELEASED: It was certainly not sent; the key may be claimed again.
     """
 
@@ -44,17 +44,17 @@
     RELEASED = "released"
 
 
-# States in which a claim's daemon may still send the request.
+# States in which the daemon that holds the claim may still send the request.
 SENDABLE_STATES = (State.CLAIMED, State.FENCED)
 
 
 class StoredResponse(NamedTuple):
-    """JSON form of a recorded answer.
+    """JSON form of a recorded response.
 
     Attributes:
         status: Status code.
         headers: Pairs of name and value.
-        body: Body in base64, or None if it was too large to keep.
+        body: Body in base64, or None if it was too large to store.
     """
 
     status: int
@@ -63,19 +63,19 @@
 
 
 class Record(NamedTuple):
-    """Content of one claim object; times are wall-clock seconds.
+    """Content of a claim object; times are wall-clock seconds.
 
     Attributes:
         service: Service under whose options the key was claimed.
-        fingerprint: Digest of the request that the key stands for.
-        nonce: Names the claim that wrote the record last.
-        daemon: Daemon that wrote it last.
+        fingerprint: Digest of the request that the key was claimed for.
+        nonce: Identifies the claim that last wrote the record.
+        daemon: Daemon that last wrote the record.
         state: State of the key.
-        claimed_at: When the key was claimed first.
+        claimed_at: When the key was first claimed.
         answer_by: When the caller of the claim stops waiting.
-        expires_at: When the key may be forgotten.
-        answer: The recorded answer of a finished request.
-        host: Host of the request that the key stands for.
+        expires_at: When the claim may be deleted.
+        answer: The stored response of a finished request.
+        host: Host of the request that the key was claimed for.
     """
 
     service: str
@@ -93,14 +93,14 @@
 def object_name(deployment: str, request: types.ClaimRequest) -> str:
     """Returns the name of the object that holds a request's key.
 
-    The key alone names it: a name that holds the service lets a request run
-    twice when a bundle gives its path to another service.
+    The name depends on the key only. If it included the service, a request
+    could run twice when a bundle moves its path to another service.
     """
     return _object_name(deployment, "", request.key)
 
 
 def legacy_object_name(deployment: str, request: types.ClaimRequest) -> str:
-    """Returns the name under which earlier versions kept a key."""
+    """Returns the object name that earlier versions used for a key."""
     return _object_name(deployment, request.service, request.key)
 
 
@@ -111,7 +111,7 @@
 
 
 def expiry_labels(deployment: str, expires_at: float) -> dict[str, str]:
-    """Returns the labels by which the sweeper finds expired claims."""
+    """Returns the labels that the sweeper selects expired claims by."""
     bucket = int(expires_at // EXPIRY_BUCKET_S)
     return {"deployment": deployment, EXPIRY_LABEL: str(bucket)}
 
@@ -127,7 +127,7 @@
 
 
 def from_object(item: interface.StoredObject) -> Record | None:
-    """Reads a record, or None when the object holds something else."""
+    """Decodes a record; returns None if the object holds something else."""
     fields = {
         name: value
         for name, value in item.value.items()
@@ -148,7 +148,7 @@
 
 
 def to_stored_response(response: types.RecordedResponse) -> StoredResponse:
-    """Returns what is kept of an response; a large body is dropped."""
+    """Returns the stored form of a response, without a body that is large."""
     size = len(response.body or b"")
     size += sum(len(name) + len(value) for name, value in response.headers)
     if response.body is None or size > MAX_RESPONSE_BYTES:
@@ -160,7 +160,7 @@
 def from_stored_response(
     stored: StoredResponse,
 ) -> types.RecordedResponse | None:
-    """Returns the answer to repeat, or None if it was not kept whole."""
+    """Returns the response to replay, or None if its body was not stored."""
     if stored.body is None:
         return None
     body = base64.b64decode(stored.body)
@@ -177,14 +177,14 @@
 def is_same_request(
     request: types.ClaimRequest, fingerprint: str, service: str, host: str
 ) -> bool:
-    """Tells whether a request is the one that a key stands for.
+    """Returns whether a request is the one that a key was claimed for.
 
-    It has the same digest, and the same service or the same host: a service may
-    have several hosts, and a bundle may give a path to another service.
+    Its digest is equal, and its service or its host: a service may have
+    several hosts, and a bundle may move a path to another service.
 
     Args:
-        request: The present request.
-        fingerprint: Digest of the request that the key stands for.
+        request: The current request.
+        fingerprint: Digest of the request that the key was claimed for.
         service: Service of that request.
         host: Host of that request.
     """
@@ -195,19 +195,19 @@
 def evaluate(
     record: Record | None, request: types.ClaimRequest, wall: float
 ) -> types.ClaimOutcome | None:
-    """Tells what a caller gets whose key has a record already.
+    """Returns the outcome of a claim on a key that has a record.
 
-    The clock decides only between two answers that are both safe: "in
-    progress" and "outcome unknown". It never makes a key claimable. Whoever
-    says "outcome unknown" of a claim that `needs_fence` must fence it first.
+    The clock decides only between two safe outcomes, "in progress" and
+    "outcome unknown"; it never makes a key claimable. A claim for which
+    `needs_fence` is true must be fenced before its outcome is reported.
 
     Args:
-        record: The record, or None when it could not be understood.
-        request: The present request.
-        wall: Wall-clock seconds now.
+        record: The record, or None if it cannot be decoded.
+        request: The current request.
+        wall: Current wall-clock seconds.
 
     Returns:
-        The outcome, or None when the key was released and may be claimed.
+        The outcome, or None if the key was released and may be claimed.
     """
     if record is None:
         return deny(
@@ -225,11 +225,11 @@
 
 
 def evaluate_repeat(record: Record, wall: float) -> types.ClaimOutcome:
-    """Tells what a caller gets who repeats the request of a key.
+    """Returns the outcome for a request that repeats the one of a record.
 
     Args:
         record: The record; it is not released.
-        wall: Wall-clock seconds now.
+        wall: Current wall-clock seconds.
     """
     if record.state == State.DONE:
         return _evaluate_done(record)
@@ -246,7 +246,7 @@
 
 
 def needs_fence(record: Record | None, outcome: types.ClaimOutcome) -> bool:
-    """Tells whether an outcome could still be undone by a late release."""
+    """Returns whether a late release could still reverse an outcome."""
     is_unknown = (
         isinstance(outcome, types.Denied)
         and outcome.failure.kind is ErrorKind.KEY_OUTCOME_UNKNOWN
@@ -255,14 +255,14 @@
 
 
 def to_fenced(record: Record) -> Record:
-    """Returns a claimed record as one that no release can undo."""
+    """Returns the fenced form of a claimed record; no release frees its key."""
     return record._replace(state=State.FENCED)
 
 
 def _evaluate_done(record: Record) -> types.ClaimOutcome:
-    answer = from_stored_response(record.answer) if record.answer else None
-    if answer is not None:
-        return types.Finished(answer)
+    response = from_stored_response(record.answer) if record.answer else None
+    if response is not None:
+        return types.Finished(response)
     return deny(
         ErrorKind.KEY_ALREADY_RUN,
         "A request with this key was run; its answer was not kept.",
--- a/banyantiller/claims/settling.py
+++ b/banyantiller/claims/settling.py
@@ -1,9 +1,9 @@
-"""Writes the end of a claim, again and again until it is certain.
+"""Writes the final state of a claim and retries until it is confirmed.
 
-An end is the answer of a finished request, the fact that its outcome is
-unknown, or the release of a claim that was certainly not sent. Releases also
-clean up after a claim whose write got no answer: the object then holds this
-daemon's nonce, or may still come to hold it.
+A settlement records the response of a finished request, records that its
+outcome is unknown, or releases a claim that was certainly not sent. Releases
+also clean up after a claim whose write got no response: the object then holds
+this daemon's nonce, or may do so later.
 """
 
 import asyncio
@@ -29,12 +29,12 @@
 
 
 class Settlement(NamedTuple):
-    """The last state that one claim is to get.
+    """The final state to write for a claim.
 
     Attributes:
         name: Name of the object.
-        record: What the object is to hold; its nonce names the claim.
-        item: The object as last seen, or None if it has to be read.
+        record: The record to write; its nonce identifies the claim.
+        item: The object as last read, or None if it must be read.
     """
 
     name: str
@@ -43,12 +43,13 @@
 
 
 class Settler:
-    """Keeps the ends that are not yet certain and writes them.
+    """Writes pending settlements until each is confirmed.
 
     Attributes:
-        ends: Ends not yet certain, by object name and nonce.
-        unsent: Nonces of which no request was or will be sent.
-        given_up: Ends dropped because there were too many.
+        pending: Unconfirmed settlements by object name and nonce.
+        unsent_nonces: Nonces whose request was not sent and will not be.
+        dropped: Number of settlements dropped because the queue was full.
+        has_pending: Set while settlements are pending.
     """
 
     def __init__(self, store: interface.ObjectStore, deployment: str) -> None:
@@ -62,7 +63,7 @@
         self.has_pending = asyncio.Event()
 
     def enqueue(self, settlement: Settlement) -> None:
-        """Takes an end that must become certain."""
+        """Adds a settlement that `run` retries until it is confirmed."""
         if settlement.record.state == records.State.RELEASED:
             self.unsent_nonces[settlement.record.nonce] = None
             if len(self.unsent_nonces) > MAX_UNSENT:
@@ -71,14 +72,14 @@
         if len(self.pending) > MAX_PENDING:
             self.pending.pop(next(iter(self.pending)))
             self.dropped += 1
-            log.error("claims: too many ends wait; the oldest was dropped.")
+            log.error("claims: settlement queue is full; dropped the oldest.")
         self.has_pending.set()
 
     async def settle(self, settlement: Settlement) -> bool:
-        """Tries to make one end certain, with a bounded number of calls.
+        """Tries to write a settlement with a bounded number of calls.
 
         Returns:
-            Whether it is certain now.
+            Whether it is confirmed.
         """
         if not await self._write(settlement):
             return False
@@ -86,7 +87,7 @@
         return True
 
     async def run(self) -> None:
-        """Retries ends with back-off while there are any."""
+        """Retries pending settlements with exponential backoff."""
         pause = INITIAL_RETRY_S
         while True:
             await self.has_pending.wait()
@@ -97,13 +98,13 @@
                 pause = min(pause * 2, MAX_RETRY_S)
 
     async def settle_all(self) -> bool:
-        """Tries each waiting end once; stops early when none succeeds.
+        """Tries each pending settlement once; stops if a whole batch fails.
 
-        After an outage many ends wait in every daemon, so the writes are
-        paced to stay far below what the object API takes.
+        After an outage every daemon has many pending settlements, so writes
+        are paced to stay far below the capacity of the object API.
 
         Returns:
-            Whether all are certain.
+            Whether none is left.
         """
         pending = list(self.pending.values())
         for start in range(0, len(pending), BATCH_SIZE):
@@ -155,10 +156,10 @@
 def _target_record(
     settlement: Settlement, item: interface.StoredObject | None
 ) -> records.Record:
-    """Returns what the object is to hold.
+    """Returns the record to write.
 
-    Callers were told of a fenced claim that the key never runs again, so it
-    is not released; as `UNKNOWN` it can be deleted in its time.
+    The key of a fenced claim was reported as never running again, so it is
+    not released; as `UNKNOWN` it is deleted once it expires.
     """
     current = records.from_object(item) if item is not None else None
     is_fenced = current is not None and current.state == records.State.FENCED
@@ -168,11 +169,11 @@
 
 
 def _is_settled(settlement: Settlement, item: interface.StoredObject) -> bool:
-    """Tells whether the object needs no write any more.
+    """Returns whether the object needs no further write.
 
-    Another nonce means that the claim never took effect and, as each write
-    is conditional, no longer can; only a released object is written once
-    more, because a late write of the claim may be based on just that state.
+    A different nonce means that the claim never took effect and, as writes
+    are conditional, no longer can. Only a released object is written once
+    more, because a late write of the claim may be based on that state.
     """
     record = records.from_object(item)
     if record is None:
--- a/banyantiller/claims/sweeping.py
+++ b/banyantiller/claims/sweeping.py
@@ -1,9 +1,9 @@
 """Deletes claims whose retention has passed.
 
 Claims carry a label with the minute in which they expire. A marker object
-holds the last minute that was swept, so a pass reads the marker and lists
-only the minutes that became due. The marker also says that a daemon is busy
-with a minute; that only saves calls, as each deletion is conditional.
+holds the last minute that was swept, so a sweep reads the marker and lists
+only the minutes that became due. The marker also holds a lease of the daemon
+that sweeps; the lease only saves calls, as each deletion is conditional.
 
 A claim that is still `CLAIMED` or `FENCED` is never deleted: its daemon may be
 paused and may still send the request.
@@ -30,11 +30,11 @@
 
 
 class Sweeper:
-    """One daemon's part in deleting expired claims.
+    """Deletes expired claims, coordinated with peers by a marker object.
 
     Attributes:
-        deleted: Claims deleted so far.
-        kept: Claims seen that expired while their outcome is not known.
+        deleted: Number of claims deleted.
+        retained: Number of expired claims found that were not settled.
     """
 
     def __init__(
@@ -52,13 +52,13 @@
         self.retained = 0
 
     async def run(self) -> None:
-        """Makes one pass a period, at a random time within it."""
+        """Sweeps about once a period, with random jitter."""
         while True:
             await asyncio.sleep(SWEEP_PERIOD_S * self.rng.uniform(0.5, 1.5))
             await self.sweep()
 
     async def sweep(self) -> None:
-        """Sweeps the minutes that became due, up to a bound."""
+        """Sweeps the minutes that became due, up to a maximum number."""
         marker = await self._read_marker()
         if marker is None or _busy_until(marker) > self.wall():
             return
@@ -95,7 +95,11 @@
         return written.item if isinstance(written, interface.Found) else None
 
     async def _sweep_bucket(self, bucket: int) -> bool:
-        """Deletes what may be deleted; tells whether all of it is gone."""
+        """Deletes the settled claims of a minute; returns whether all are gone.
+
+        Args:
+            bucket: Minute since the epoch.
+        """
         labels = records.expiry_labels(
             self.deployment, bucket * records.EXPIRY_BUCKET_S
         )
--- a/banyantiller/claims/types.py
+++ b/banyantiller/claims/types.py
@@ -7,16 +7,16 @@
 
 
 class ClaimRequest(NamedTuple):
-    """Asks for the right to run a keyed request.
+    """A request for the right to run a keyed request.
 
     Attributes:
-        service: Name of the service under the bundle in force. It is no part
-            of what names the claim, as another bundle may give the request
-            to another service.
+        service: Name of the service under the bundle in force. It does not
+            identify the claim, as another bundle may route the request to
+            another service.
         key: Idempotency key as the caller sent it.
-        fingerprint: Hex digest of method, target and body, so that a key
-            used for another request is told apart.
-        retention_s: How long the key is remembered, in seconds.
+        fingerprint: Hex digest of method, target and body, which detects a
+            key that is reused for another request.
+        retention_s: How long the outcome is retained, in seconds.
         host: Host that the request is for, in lower case, without a port.
     """
 
@@ -28,12 +28,12 @@
 
 
 class RecordedResponse(NamedTuple):
-    """What is kept of a finished request for callers that repeat it.
+    """The response of a finished request, to replay to repeated requests.
 
     Attributes:
         status: Status code.
         headers: End-to-end headers as sent.
-        body: Body if it was small enough to keep, else None.
+        body: Body, or None if it was too large to record.
     """
 
     status: int
@@ -43,10 +43,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """This daemon, and no other, may send the request once.
+    """Only this daemon may send the request, and only once.
 
     Attributes:
-        nonce: Token that names this claim to `finish` and `release`.
+        nonce: Token that identifies the claim to `finish`, `release` and
+            `mark_unknown`.
     """
 
     nonce: str
@@ -54,14 +55,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """The request was run before; the answer is repeated."""
+    """The request was run before; its response is replayed."""
 
     response: RecordedResponse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Denied:
-    """The request may not be sent; `failure` tells the caller why."""
+    """The request must not be sent; `failure` is reported to the caller."""
 
     failure: Failure
 
@@ -70,28 +71,28 @@
 
 
 class Claims(Protocol):
-    """Arbitrates idempotency keys over all daemons."""
+    """Grants each idempotency key to one daemon of the fleet."""
 
     async def claim(
         self, request: ClaimRequest, deadline: float
     ) -> ClaimOutcome:
-        """Claims a key; settles a lost answer by reading back.
+        """Claims a key; reads the object back if a response is lost.
 
         Args:
-            request: What is claimed.
+            request: The request whose key is claimed.
             deadline: Loop time after which the claim must not be granted.
 
         Returns:
-            `Granted` to at most one caller for each key.
+            The outcome; at most one caller per key gets `Granted`.
         """
 
     async def finish(
         self, request: ClaimRequest, nonce: str, response: RecordedResponse
     ) -> None:
-        """Records that the request was run, and its answer."""
+        """Records that the request was run, with its response."""
 
     async def release(self, request: ClaimRequest, nonce: str) -> None:
-        """Gives a claim back; only when no byte reached a server."""
+        """Releases a claim; allowed only if no byte reached a server."""
 
     async def mark_unknown(self, request: ClaimRequest, nonce: str) -> None:
-        """Records that nobody can tell whether the request was run."""
+        """Records that it is unknown whether the request was run."""
--- a/banyantiller/tests/claims/__init__.py
+++ b/banyantiller/tests/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the claims."""
+"""Tests of claims on idempotency keys."""
--- a/banyantiller/tests/claims/faulty.py
+++ b/banyantiller/tests/claims/faulty.py
@@ -1,4 +1,4 @@
-"""A store that misbehaves as told, and a backend that counts runs."""
+"""A store with scripted faults, and a backend that counts runs."""
 
 import asyncio
 import collections
@@ -17,11 +17,11 @@
 
 
 class Step(NamedTuple):
-    """What happens to one call of the store.
+    """The behaviour of the store on one call.
 
     Attributes:
-        before_s: Time until it takes effect.
-        after_s: Time until it is answered.
+        before_s: Delay before the call takes effect, in seconds.
+        after_s: Delay before it returns, in seconds.
         fault: "", "lost", "late", "unavailable" or "stale".
     """
 
@@ -31,11 +31,11 @@
 
 
 async def no_gate(point: str) -> None:
-    """Lets everything pass."""
+    """Never blocks."""
 
 
 class FaultyStore(memory.MemoryStore):
-    """Passes a gate before and after the effect of each call."""
+    """Awaits a gate before and after the effect of each call."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         step = next(self.steps)
         await self._before_effect(step)
         if step.fault == "unavailable":
-            return interface.Unavailable("as told")
+            return interface.Unavailable("scripted fault")
         self.stale_view = self.previous if step.fault == "stale" else None
         outcome = effect()
         self.stale_view = None
@@ -65,14 +65,14 @@
         if step.fault == "late":
             asyncio.get_running_loop().call_later(7.0, effect)
             await self._before_effect(step)
-            return interface.Unknown("as told")
+            return interface.Unknown("scripted fault")
         await self._before_effect(step)
         if step.fault == "unavailable":
-            return interface.Unavailable("as told")
+            return interface.Unavailable("scripted fault")
         outcome = effect()
         await self._after_effect(step)
         if step.fault == "lost":
-            return interface.Unknown("as told")
+            return interface.Unknown("scripted fault")
         return outcome
 
     async def _before_effect(self, step: Step) -> None:
@@ -85,7 +85,7 @@
 
 
 class Fleet:
-    """Daemons over one table, and a backend that counts runs by key."""
+    """Daemons that share a table, and a backend that counts runs by key."""
 
     def __init__(self) -> None:
         self.table = table.ObjectTable()
@@ -94,7 +94,7 @@
         self.skipped_s = 0.0
 
     def wall(self) -> float:
-        """Returns wall-clock seconds; `skipped_s` passed without timers."""
+        """Returns wall-clock seconds, with `skipped_s` added to loop time."""
         return 1e9 + self.skipped_s + asyncio.get_running_loop().time()
 
     def daemon(
@@ -116,7 +116,7 @@
         deadline: float,
         refused: bool = False,
     ) -> types.ClaimOutcome:
-        """Does what a proxy does with one keyed request."""
+        """Handles a keyed request as a proxy does."""
         gate = daemon.store.gate
         outcome = await daemon.claim(request, deadline)
         if not isinstance(outcome, types.Granted):
--- a/banyantiller/tests/claims/test_arbiter.py
+++ b/banyantiller/tests/claims/test_arbiter.py
@@ -1,4 +1,4 @@
-"""Tests of claims over a store that fails, is slow or loses answers."""
+"""Tests of claims over a store that fails, is slow or loses responses."""
 
 import asyncio
 import itertools
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """Daemons that share one table, each with a store of its own."""
+    """Daemons that share a table, each with its own store."""
 
     def __init__(self) -> None:
         self.table = memory.MemoryStore().table
@@ -52,7 +52,7 @@
 
 
 class ArbiterTest(base.TestCase):
-    def test_second_daemon_is_told_in_progress_then_gets_the_answer(
+    def test_second_daemon_gets_in_progress_then_the_recorded_response(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -92,12 +92,12 @@
             )
             granted = [o for o in outcomes if isinstance(o, types.Granted)]
             self.assertEqual(1, len(granted))
-            others = {error_kind_of(o) for o in outcomes} - {None}
-            self.assertEqual({ErrorKind.KEY_IN_PROGRESS}, others)
+            error_kinds = {error_kind_of(o) for o in outcomes} - {None}
+            self.assertEqual({ErrorKind.KEY_IN_PROGRESS}, error_kinds)
 
         self.run_paused(scenario())
 
-    def test_key_of_another_request_is_refused(self) -> None:
+    def test_key_of_another_request_is_denied(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -114,7 +114,7 @@
 
         self.run_paused(scenario())
 
-    def test_large_answer_is_not_kept(self) -> None:
+    def test_large_response_is_not_stored(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -130,7 +130,7 @@
 
         self.run_paused(scenario())
 
-    def test_released_key_can_be_claimed_elsewhere(self) -> None:
+    def test_released_key_can_be_claimed_by_a_peer(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -182,7 +182,7 @@
 
 
 class FailingStoreTest(base.TestCase):
-    def test_store_down_is_not_run_and_soon_refused_without_calls(self) -> None:
+    def test_store_outage_is_reported_as_not_run_and_stops_calls(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             daemon = fleet.daemon("d1")
@@ -203,7 +203,7 @@
 
         self.run_paused(scenario())
 
-    def test_lost_answer_of_a_create_is_read_back(self) -> None:
+    def test_lost_response_to_a_create_is_read_back(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             daemon = fleet.daemon("d1")
@@ -217,7 +217,7 @@
 
         self.run_paused(scenario())
 
-    def test_lost_answers_of_updates_are_read_back(self) -> None:
+    def test_lost_responses_to_updates_are_read_back(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -236,7 +236,7 @@
 
         self.run_paused(scenario())
 
-    def test_orphan_is_taken_over_by_its_daemon_and_released_for_others(
+    def test_orphan_is_taken_over_by_its_daemon_and_released_for_peers(
         self,
     ) -> None:
         for same_daemon in (True, False):
@@ -281,7 +281,7 @@
 
         self.run_paused(scenario())
 
-    def test_stale_reads_never_grant_a_taken_key(self) -> None:
+    def test_stale_reads_never_grant_a_claimed_key(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -302,7 +302,7 @@
 
         self.run_paused(scenario())
 
-    def test_end_is_written_after_an_outage(self) -> None:
+    def test_settlement_is_written_after_an_outage(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -324,14 +324,13 @@
 
         self.run_paused(scenario())
 
-    def test_key_told_as_unknown_does_not_run_later(self) -> None:
-        """The answer of a create is lost, and then the object API.
+    def test_key_reported_as_unknown_does_not_run_later(self) -> None:
+        """The response to a create is lost, then the object API is down.
 
-        The daemon denies the claim and can't release the key yet. Another
-        daemon finds the key claimed by a call that is over, and says
-        `key_outcome_unknown`, for good: the caller is to look whether the
-        request was run, and the same key will not run again. Without a fence
-        it ran once the release was written: the outcome was `Granted`.
+        The daemon denies the claim and cannot release the key yet. A peer
+        finds an overdue claim and reports `key_outcome_unknown`, which is
+        final: the caller has to check whether the request was run. Without a
+        fence, the key was granted again once the release was written.
         """
 
         async def unavailable(*_: str) -> interface.GetOutcome:
@@ -360,7 +359,7 @@
 
         self.run_paused(scenario())
 
-    def test_late_grant_is_refused(self) -> None:
+    def test_claim_past_its_deadline_is_denied(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             daemon = fleet.daemon("d1")
--- a/banyantiller/tests/claims/test_at_most_once.py
+++ b/banyantiller/tests/claims/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Counts runs while daemons die, pause and lose answers at every point."""
+"""Counts runs while daemons crash, pause or lose responses at any await."""
 
 import asyncio
 import collections
@@ -19,7 +19,7 @@
 LOST = faulty.Step(fault="lost")
 LATE = faulty.Step(fault="late")
 STALE = faulty.Step(fault="stale")
-# Schedules of the store that make the path longer than create and update.
+# Store schedules that lead to more calls than a create and an update.
 SCHEDULES = (
     (),
     (LOST,),
@@ -30,12 +30,12 @@
 )
 
 
-class Stop:
-    """Stops a daemon at one await point of its path.
+class PausePoint:
+    """Stops a daemon at one await point.
 
     Attributes:
-        reached: Whether the daemon came to the point.
-        woken: Set to let a paused daemon go on.
+        reached: Whether the daemon reached the point.
+        resumed: Set to let a paused daemon continue.
     """
 
     def __init__(self, at: int) -> None:
@@ -57,19 +57,21 @@
     refused: bool,
     resume: bool,
 ) -> tuple[bool, int]:
-    """Runs one daemon up to a point, then others, then may wake the first.
+    """Runs a daemon up to a point, then its peers, then may resume it.
 
-    The first daemon's timers stand still while the others' wall clock goes
-    on by days. A new daemon of the same name takes its place meanwhile.
+    The first daemon's timers are frozen while the wall clock advances by
+    days. Meanwhile a new daemon of the same name replaces it.
 
     Returns:
         Whether the point was reached, and the number of runs.
     """
     fleet = faulty.Fleet()
-    stop = Stop(at)
+    stop = PausePoint(at)
     first = fleet.daemon("d1", stop.gate, steps)
     loop = asyncio.get_running_loop()
-    path = asyncio.create_task(fleet.serve(first, REQUEST, FOREVER_S, refused))
+    serving = asyncio.create_task(
+        fleet.serve(first, REQUEST, FOREVER_S, refused)
+    )
     await asyncio.sleep(1)
     if stop.reached:
         await asyncio.sleep(20)
@@ -79,18 +81,18 @@
         await asyncio.sleep(50)
     if resume:
         stop.resumed.set()
-        await path
+        await serving
         settling = asyncio.create_task(first.settler.run())
         await asyncio.sleep(20)
         settling.cancel()
         await fleet.serve(first, REQUEST, loop.time() + 5)
-    path.cancel()
+    serving.cancel()
     await fleet.serve(fleet.daemon("d4"), REQUEST, loop.time() + 5)
     return stop.reached, fleet.runs["k1"]
 
 
 class StoppedDaemonTest(base.TestCase):
-    def test_death_and_pause_at_each_await_point(self) -> None:
+    def test_crash_and_pause_at_each_await_point(self) -> None:
         seen = collections.Counter()
         for steps, refused, resume in itertools.product(
             SCHEDULES, (False, True), (False, True)
@@ -99,13 +101,13 @@
                 reached, runs = self.run_paused(
                     run_stopped(at, steps, refused, resume)
                 )
-                note = f"{steps} refused={refused} wake={resume} at={at}"
+                note = f"{steps} refused={refused} resume={resume} at={at}"
                 self.assertTrue(runs <= 1, note)
                 seen[reached, runs] += 1
                 if not reached:
                     self.assertEqual(1, runs, note)
                     break
-        # Stopped paths, some of which ran and some of which could not.
+        # Both kinds of stopped scenarios occur: the key ran or never ran.
         self.assertTrue(seen[True, 1] > 50, seen)
         self.assertTrue(seen[True, 0] > 10, seen)
 
@@ -118,9 +120,9 @@
     async def cancel_and_retry(
         self, at: int, steps: tuple[faulty.Step, ...]
     ) -> int:
-        """Cancels a claim; its daemon settles, so that another may run."""
+        """Cancels a claim; its daemon settles it, so that a peer may run."""
         fleet = faulty.Fleet()
-        stop = Stop(at)
+        stop = PausePoint(at)
         first = fleet.daemon("d1", stop.gate, steps)
         claiming = asyncio.create_task(first.claim(REQUEST, FOREVER_S))
         await asyncio.sleep(1)
@@ -139,7 +141,7 @@
     def test_claim_races_with_the_release_of_its_orphan(self) -> None:
         async def scenario() -> None:
             fleet = faulty.Fleet()
-            # Create, read of the earlier record, and read and update of the
+            # Create, read of the legacy record, then read and update of the
             # release.
             slow_release = (
                 faulty.Step(after_s=1.0),
@@ -167,12 +169,12 @@
     """One caller of a random interleaving.
 
     Attributes:
-        daemon: Index of the daemon that it reaches.
-        starts_s: When it starts.
-        patience_s: Time to its deadline.
-        leaves_s: When it hangs up, counted from its start.
+        daemon: Index of the daemon that it connects to.
+        starts_s: Start time in seconds.
+        timeout_s: Seconds from its start to its deadline.
+        disconnects_s: Seconds from its start until it disconnects.
         refused: Whether the backend server refuses its connection.
-        repeats: Whether it asks another daemon when told "not run".
+        retries: Whether it retries at another daemon after "not run".
     """
 
     daemon: int
@@ -202,7 +204,7 @@
 
 
 def reports_ran(outcome: types.ClaimOutcome, ran: Ran) -> bool:
-    """Tells whether the caller is told this about its request."""
+    """Returns whether an outcome reports this `ran` to the caller."""
     if isinstance(outcome, types.Denied):
         return outcome.failure.answer.ran == ran
     return isinstance(outcome, types.Finished) and ran == Ran.YES
@@ -214,7 +216,7 @@
     """Runs callers over three daemons.
 
     Returns:
-        Runs, and answers that claim a run which there was not.
+        Number of runs, and of responses that report a run that never was.
     """
     fleet = faulty.Fleet()
     daemons = [
--- a/banyantiller/tests/claims/test_fencing.py
+++ b/banyantiller/tests/claims/test_fencing.py
@@ -1,4 +1,4 @@
-"""Tests of claims whose outcome callers were told is unknown."""
+"""Tests of claims whose outcome was reported as unknown."""
 
 import asyncio
 
@@ -17,13 +17,13 @@
 async def claim_key(
     daemon: arbiter.StoreClaims,
 ) -> ErrorKind | types.ClaimOutcome:
-    """Claims the key; returns the kind of a denial, or the outcome."""
+    """Claims the key; returns the error kind of a denial, or the outcome."""
     outcome = await daemon.claim(REQUEST, arbiters.deadline_in())
     return arbiters.error_kind_of(outcome) or outcome
 
 
 async def hold_overdue(daemon: arbiter.StoreClaims) -> str:
-    """Gets a key and lets its deadline pass; returns the nonce."""
+    """Claims the key and lets the deadline pass; returns the nonce."""
     granted = await daemon.claim(REQUEST, arbiters.deadline_in(1.0))
     assert isinstance(granted, types.Granted), granted
     await asyncio.sleep(OVERDUE_S)
@@ -31,7 +31,7 @@
 
 
 class FencingTest(base.TestCase):
-    def test_answer_that_comes_late_is_repeated(self) -> None:
+    def test_late_response_is_replayed(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -46,7 +46,7 @@
 
         self.run_paused(scenario())
 
-    def test_late_release_frees_no_fenced_key(self) -> None:
+    def test_late_release_does_not_free_a_fenced_key(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -60,7 +60,7 @@
 
         self.run_paused(scenario())
 
-    def test_lost_answer_of_a_fence_is_read_back(self) -> None:
+    def test_lost_response_to_a_fence_is_read_back(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -72,7 +72,7 @@
 
         self.run_paused(scenario())
 
-    def test_nothing_final_is_told_while_the_fence_cannot_be_written(
+    def test_no_final_outcome_while_the_fence_cannot_be_written(
         self,
     ) -> None:
         async def unavailable(*_: object) -> interface.UpdateOutcome:
@@ -91,7 +91,7 @@
 
         self.run_paused(scenario())
 
-    def test_overdue_record_of_an_earlier_version_is_fenced(self) -> None:
+    def test_overdue_legacy_record_is_fenced(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             await test_scope.store_legacy_record(fleet, records.State.CLAIMED)
@@ -109,7 +109,7 @@
 
 
 class SweepingTest(base.TestCase):
-    def test_fenced_key_is_kept_while_its_daemon_may_send(self) -> None:
+    def test_fenced_key_is_retained_while_its_daemon_may_send(self) -> None:
         async def scenario() -> None:
             fleet = faulty.Fleet()
             sweeper = sweepers.make_sweeper(fleet)
--- a/banyantiller/tests/claims/test_over_adapter.py
+++ b/banyantiller/tests/claims/test_over_adapter.py
@@ -1,4 +1,4 @@
-"""Claims and the measuring budget over the real adapter and the stand-in."""
+"""Claims and the measuring budget over the real adapter and its stand-in."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class OverAdapterTest(test_kubernetes.AdapterTestCase):
-    def test_key_is_claimed_repeated_and_swept(self) -> None:
+    def test_key_is_claimed_replayed_and_swept(self) -> None:
         async def check(store: kubernetes.KubernetesStore, _) -> None:
             wall = [1e9]
             claims = [
--- a/banyantiller/tests/claims/test_scope.py
+++ b/banyantiller/tests/claims/test_scope.py
@@ -1,4 +1,4 @@
-"""Tests of what a key stands for: which requests meet at one record."""
+"""Tests of which requests share the record of a key."""
 
 import asyncio
 from typing import Any
@@ -27,7 +27,7 @@
 async def store_legacy_record(
     fleet: arbiters.Fleet, legacy_state: records.State, **changes: Any
 ) -> None:
-    """Keeps a record as versions did that named keys by service."""
+    """Stores a record as earlier versions did, named by service and key."""
     answer = None
     if legacy_state is records.State.DONE:
         answer = records.to_stored_response(arbiters.RESPONSE)
@@ -51,7 +51,7 @@
 
 
 class ScopeTest(base.TestCase):
-    def test_request_is_one_under_whatever_service_it_is(self) -> None:
+    def test_request_is_granted_once_across_services(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             daemons = [fleet.daemon(f"d{n}") for n in range(10)]
@@ -67,7 +67,7 @@
 
         self.run_paused(scenario())
 
-    def test_answer_is_repeated_under_another_service(self) -> None:
+    def test_response_is_replayed_under_another_service(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             first, second = fleet.daemon("d1"), fleet.daemon("d2")
@@ -108,7 +108,7 @@
 
 
 class LegacyRecordsTest(base.TestCase):
-    def test_record_of_an_earlier_version_decides(self) -> None:
+    def test_legacy_record_decides(self) -> None:
         expected = {
             records.State.DONE: types.Finished(arbiters.RESPONSE),
             records.State.UNKNOWN: ErrorKind.KEY_OUTCOME_UNKNOWN,
@@ -127,7 +127,7 @@
         for state in expected:
             self.run_paused(scenario(state))
 
-    def test_released_record_of_an_earlier_version_leaves_it_free(self) -> None:
+    def test_released_legacy_record_leaves_the_key_free(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             await store_legacy_record(fleet, records.State.RELEASED)
@@ -135,7 +135,7 @@
 
         self.run_paused(scenario())
 
-    def test_unreadable_record_of_an_earlier_version_is_not_run(self) -> None:
+    def test_unreadable_legacy_record_is_not_run(self) -> None:
         async def scenario() -> None:
             fleet = arbiters.Fleet()
             await store_legacy_record(fleet, records.State.DONE, state=7)
@@ -147,7 +147,7 @@
 
         self.run_paused(scenario())
 
-    def test_nothing_runs_while_the_earlier_record_cannot_be_read(self) -> None:
+    def test_nothing_runs_while_the_legacy_record_cannot_be_read(self) -> None:
         async def unavailable(*_: str) -> interface.GetOutcome:
             return interface.Unavailable("down")
 
--- a/banyantiller/tests/claims/test_sweeping.py
+++ b/banyantiller/tests/claims/test_sweeping.py
@@ -1,4 +1,4 @@
-"""Tests of deleting expired claims, and of the cache of known keys."""
+"""Tests of the sweeper and of the outcome cache."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 
 class SweeperTest(base.TestCase):
-    def test_finished_keys_go_after_retention_and_margin(self) -> None:
+    def test_finished_keys_are_deleted_after_retention_and_margin(self) -> None:
         async def scenario() -> None:
             fleet = faulty.Fleet()
             sweeper = make_sweeper(fleet)
@@ -63,7 +63,7 @@
 
         self.run_paused(scenario())
 
-    def test_nothing_is_passed_over_in_an_outage(self) -> None:
+    def test_no_bucket_is_skipped_in_an_outage(self) -> None:
         async def scenario() -> None:
             fleet = faulty.Fleet()
             sweeper = make_sweeper(fleet)
@@ -80,7 +80,7 @@
 
         self.run_paused(scenario())
 
-    def test_one_daemon_sweeps_at_a_time_and_another_takes_over(self) -> None:
+    def test_one_daemon_sweeps_at_a_time_and_a_peer_takes_over(self) -> None:
         async def scenario() -> None:
             fleet = faulty.Fleet()
             sweepers = [make_sweeper(fleet) for _ in range(14)]
@@ -124,12 +124,12 @@
         self.run_paused(scenario())
 
 
-class KnownKeysTest(base.TestCase):
-    def test_cache_is_bounded_and_forgets_what_expired(self) -> None:
+class OutcomeCacheTest(base.TestCase):
+    def test_cache_is_bounded_and_drops_expired_entries(self) -> None:
         cache = outcome_cache.OutcomeCache(max_entries=3, max_bytes=1000)
-        answer = types.Finished(types.RecordedResponse(200, (), b"x" * 100))
+        outcome = types.Finished(types.RecordedResponse(200, (), b"x" * 100))
         for number in range(5):
-            cache.put(f"k{number}", "f", answer, expires_at=100.0)
+            cache.put(f"k{number}", "f", outcome, expires_at=100.0)
         self.assertEqual(["k2", "k3", "k4"], list(cache.entries))
         self.assertIsNotNone(cache.get("k2", 99.0))
         self.assertIsNone(cache.get("k2", 100.0))
