--- a/banyantiller/proxy/attempt.py
+++ b/banyantiller/proxy/attempt.py
@@ -142,7 +142,7 @@
             error_kind is ErrorKind.CONNECTION_LOST
             and self.connection.has_written
         ):
-            guard.run(self.driver.record_no_response, self, True)
+            guard.run(self.driver.record_loss, self, True)
         if self.stage in ACCEPTED_STAGES:
             self.stage = Stage.ENDED
             guard.run(self.driver.attempt_done, self)
@@ -198,7 +198,7 @@
         if self.connection.has_written:
             self.call.may_have_run = True
             self.call.sent_attempts += 1
-            self.driver.record_no_response(self, False)
+            self.driver.record_loss(self, False)
         now = self.driver.loop.time()
         if now - self.started_at >= pools.UNRESPONSIVE_S:
             self._close_stale_idle()
--- a/banyantiller/proxy/caller_timer.py
+++ b/banyantiller/proxy/caller_timer.py
@@ -1,4 +1,4 @@
-"""Timeouts of a caller's connection."""
+"""The timer of a caller's connection and its limits."""
 
 import enum
 from typing import TYPE_CHECKING
--- a/banyantiller/proxy/crashes.py
+++ b/banyantiller/proxy/crashes.py
@@ -104,7 +104,7 @@
         if text is not None:
             self.watch.answered(text, self._now())
 
-    def record_no_response(
+    def record_loss(
         self, server: str, call: "calls.Call", sent_at: float
     ) -> None:
         """Records that a request got no complete response from a server."""
@@ -117,7 +117,7 @@
             server, watch.Broken(text, request_id, sent_at, now)
         )
 
-    def record_connection_refused(self, server: str) -> None:
+    def record_refusal(self, server: str) -> None:
         """Records that a server's machine refuses connections to it."""
         broken = self.watch.broken.pop(server, None)
         if broken:
--- a/banyantiller/proxy/driver.py
+++ b/banyantiller/proxy/driver.py
@@ -28,8 +28,8 @@
 log = structlog.get_logger("banyantiller.proxy")
 
 # Interval at which a server that reported it is leaving is probed again.
-RETURN_PROBE_INTERVAL_S = 5.0
-DENIED_PROBE_INTERVAL_S = 0.5
+RETURN_PROBE_S = 5.0
+DENIED_PROBE_S = 0.5
 # A status from here on is no evidence that a server can run a request.
 FIRST_SERVER_ERROR = 500
 TICK_RETRY_S = 0.1
@@ -77,9 +77,7 @@
         self.pools: dict[str, pools.Pool] = {}
         self.leaving: dict[str, str] = {}
         self.ids = itertools.count(1)
-        self.queued_actions: collections.deque[types.Action] = (
-            collections.deque()
-        )
+        self.action_queue: collections.deque[types.Action] = collections.deque()
         self.performing = False
         self.timer = timers.LazyTimer(self.loop, self._tick)
         self.return_timer = timers.LazyTimer(self.loop, self._probe_leaving)
@@ -107,9 +105,7 @@
         is_new = server not in self.leaving
         self.leaving[server] = reason
         if reason == "drain_answer":
-            self.return_timer.set_lazily(
-                self.loop.time() + RETURN_PROBE_INTERVAL_S
-            )
+            self.return_timer.set_lazily(self.loop.time() + RETURN_PROBE_S)
         if is_new:
             self._reconfigure()
             self.pools[server].reject_waiting()
@@ -129,9 +125,7 @@
             pool.set_limit(self._connection_limit())
         self._set_timer()
 
-    def receive_load_report(
-        self, server: str, report: types.LoadReport
-    ) -> None:
+    def receive_report(self, server: str, report: types.LoadReport) -> None:
         """Handles a load report from a probe or a peer."""
         if server not in self.pools:
             return
@@ -205,9 +199,7 @@
         if attempt.response.status_code < FIRST_SERVER_ERROR:
             self.crash_tracker.record_response(attempt.call)
 
-    def record_no_response(
-        self, attempt: attempts.Attempt, by_server: bool
-    ) -> None:
+    def record_loss(self, attempt: attempts.Attempt, by_server: bool) -> None:
         """Records that an attempt ended without a complete response.
 
         Args:
@@ -218,9 +210,7 @@
         if attempt.server in self.leaving:
             return
         server = f"{self.service.name}/{attempt.server}"
-        self.crash_tracker.record_no_response(
-            server, attempt.call, attempt.started_at
-        )
+        self.crash_tracker.record_loss(server, attempt.call, attempt.started_at)
         if by_server or self.crash_tracker.is_suspect(attempt.call):
             attempt.pool.check_reachable()
 
@@ -256,7 +246,7 @@
         """Handles the load reported to a probe."""
         if not report.draining and self.leaving.get(server) == "drain_answer":
             self.server_returned(server)
-        self.receive_load_report(server, report)
+        self.receive_report(server, report)
 
     def probe_failed(self, server: str) -> None:
         """Handles a probe without a usable response."""
@@ -268,13 +258,13 @@
 
     def perform(self, actions: list[types.Action]) -> None:
         """Performs actions in order, including those that they lead to."""
-        self.queued_actions.extend(actions)
+        self.action_queue.extend(actions)
         if self.performing:
             return
         self.performing = True
         try:
-            while self.queued_actions:
-                action = self.queued_actions.popleft()
+            while self.action_queue:
+                action = self.action_queue.popleft()
                 if not guard.run(self._perform_action, action):
                     self._fail_attempt(action)
         finally:
@@ -310,7 +300,7 @@
                 ok=False, ran=Ran.NO, error=ErrorKind.NO_SERVER
             )
             now = self.loop.time()
-            self.queued_actions.extend(
+            self.action_queue.extend(
                 self.dispatcher.attempt_head(action.attempt_id, result, now)
             )
             return
@@ -352,13 +342,13 @@
     def _probe_leaving(self) -> None:
         now = self.loop.time()
         draining = [s for s, r in self.leaving.items() if r == "drain_answer"]
-        pause_s = RETURN_PROBE_INTERVAL_S
+        pause_s = RETURN_PROBE_S
         for server in draining:
             if self.charge(now):
                 self._probe(server)
             else:
                 # A denied probe may be allowed soon, but only for a short time.
-                pause_s = DENIED_PROBE_INTERVAL_S
+                pause_s = DENIED_PROBE_S
         if draining:
             self.return_timer.set_lazily(now + pause_s)
 
@@ -389,9 +379,7 @@
 
     def _on_refused(self, server: str) -> None:
         if server not in self.leaving:
-            self.crash_tracker.record_connection_refused(
-                f"{self.service.name}/{server}"
-            )
+            self.crash_tracker.record_refusal(f"{self.service.name}/{server}")
 
     def _connection_limit(self) -> int:
         return max(1, self.service.connections // self.alive)
--- a/banyantiller/proxy/proxy.py
+++ b/banyantiller/proxy/proxy.py
@@ -166,12 +166,12 @@
         if service in self.drivers:
             self.drivers[service].server_returned(server)
 
-    def receive_load_report(
+    def receive_report(
         self, service: str, server: str, load: LoadReport
     ) -> None:
         """Handles a load report that a peer sent."""
         if service in self.drivers:
-            self.drivers[service].receive_load_report(server, load)
+            self.drivers[service].receive_report(server, load)
 
     def set_alive_daemons(self, alive: int) -> None:
         """Sets the number of daemons that are alive, including this one."""
--- a/banyantiller/tests/proxy/test_codec.py
+++ b/banyantiller/tests/proxy/test_codec.py
@@ -50,16 +50,16 @@
 def sent_event(draw: random.Random, role: object) -> h11.Event:
     """Returns an event that may be valid to send next."""
     fields = draw.choice(SENT_FIELDS)
-    choice = draw.randrange(5)
-    if choice == 0 and role is h11.CLIENT:
+    event_choice = draw.randrange(5)
+    if event_choice == 0 and role is h11.CLIENT:
         method = draw.choice(("GET", "HEAD", "POST", "CONNECT"))
         return h11.Request(method=method, target="/", headers=[HOST, *fields])
-    if choice == 0 or (choice == 1 and role is h11.SERVER):
+    if event_choice == 0 or (event_choice == 1 and role is h11.SERVER):
         status = draw.choice((200, 204, 304))
         return h11.Response(status_code=status, headers=list(fields))
-    if choice == 1 or choice == 2:
+    if event_choice == 1 or event_choice == 2:
         return h11.Data(data=draw.choice((b"", b"abc", b"ab")))
-    if choice == 3:
+    if event_choice == 3:
         return draw.choice(
             (
                 h11.InformationalResponse(status_code=100, headers=[]),
--- a/banyantiller/tests/proxy/test_crashes.py
+++ b/banyantiller/tests/proxy/test_crashes.py
@@ -39,8 +39,8 @@
         self.run_paused(run_body())
 
     def record_crash(self, tracker, server, request):
-        tracker.record_no_response(server, request, 0.0)
-        tracker.record_connection_refused(server)
+        tracker.record_loss(server, request, 0.0)
+        tracker.record_refusal(server)
 
     def test_known_crash_of_the_same_server_counts_once(self):
         def body(tracker, wall):
