--- a/banyantiller/proxy/guard.py
+++ b/banyantiller/proxy/guard.py
@@ -1,4 +1,4 @@
-"""Runs cleanup steps so that a failing one does not skip the others."""
+"""Runs steps of a call so that a failing one does not skip the others."""
 
 import contextlib
 from collections.abc import Callable
@@ -20,6 +20,8 @@
     except Exception:
         # Logging itself may be what fails.
         with contextlib.suppress(Exception):
-            log.exception("proxy: cleanup step failed.", step=step.__qualname__)
+            log.exception(
+                "proxy: step of a call failed.", step=step.__qualname__
+            )
         return False
     return True
--- a/banyantiller/proxy/keyed_calls.py
+++ b/banyantiller/proxy/keyed_calls.py
@@ -131,7 +131,7 @@
     def _request(self) -> ClaimRequest:
         call = self.call
         # The network decides how a body is split into chunks, so the
-        # fingerprint of a long one must not depend on them.
+        # fingerprint of a long one must not depend on the chunks.
         body = b"".join(call.body.chunks)[: call.body.limit + 1]
         head = b"%b\n%b\n" % (call.request.method, call.target)
         return ClaimRequest(
