--- a/banyantiller/proxy/headers.py
+++ b/banyantiller/proxy/headers.py
@@ -1,7 +1,7 @@
-"""Header fields on their way through: what is dropped, added and read.
+"""Header fields: which are removed, added and read when forwarding.
 
-A field that is forwarded was checked by h11 when it came in. It is kept in
-the form that h11 keeps it in, so that sending it costs no second check.
+h11 checked each forwarded field when it was received. Fields stay in the
+internal form of h11, so that sending them needs no second check.
 """
 
 import dataclasses
@@ -13,15 +13,15 @@
 
 from banyantiller.proxy import codec
 
-Checked = codec.Checked
+ValidatedHeaders = codec.ValidatedHeaders
 END = h11.EndOfMessage()
 
-# Name as written, name in lower case, value.
+# Raw name, lower-case name, value.
 Field = tuple[bytes, bytes, bytes]
 
 
 def field(name: bytes, value: bytes) -> Field:
-    """Returns a field of our own; name and value must be valid."""
+    """Returns a locally generated field; name and value must be valid."""
     return (name, name.lower(), value)
 
 
@@ -42,7 +42,7 @@
         b"upgrade",
     )
 )
-READ_FROM_REQUESTS = HOP_BY_HOP | {
+PARSED_REQUEST_FIELDS = HOP_BY_HOP | {
     b"content-length",
     b"expect",
     b"host",
@@ -50,8 +50,8 @@
     DEADLINE_HEADER,
     REQUEST_ID_HEADER,
 }
-NOT_IN_TRAILERS = HOP_BY_HOP | {b"content-length", b"host"}
-KEPT_FROM_CONNECTION = frozenset((b"content-length", b"host"))
+FORBIDDEN_TRAILERS = HOP_BY_HOP | {b"content-length", b"host"}
+END_TO_END_FIELDS = frozenset((b"content-length", b"host"))
 CHUNKED = field(b"Transfer-Encoding", b"chunked")
 CLOSE = field(b"Connection", b"close")
 EXPECT_CONTINUE = field(b"Expect", b"100-continue")
@@ -59,10 +59,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestHead:
-    """What the proxy reads from a request head.
+    """Contents of a request head that the proxy uses.
 
     Attributes:
-        fields: Fields to forward, without those that each hop sets.
+        fields: Fields to forward, without hop-by-hop fields.
         host: Value of Host.
         content_length: Declared length, or None.
         chunked: Whether the body is chunked.
@@ -70,7 +70,7 @@
         upgrade: Value of Upgrade in lower case, or empty.
         request_id: Value of X-Request-Id, or empty.
         traceparent: Value of traceparent, or empty.
-        remaining_s: Remaining time that the caller states, or None.
+        remaining_s: Remaining time stated by the caller in seconds, or None.
     """
 
     fields: list[Field]
@@ -88,19 +88,22 @@
     """Reads a request head in one pass over its fields."""
     fields: list[Field] = []
     head = RequestHead(fields)
-    named: list[bytes] = []
+    connection_options: list[bytes] = []
     for item in codec.full_fields(request.headers):
-        if item[1] in READ_FROM_REQUESTS:
-            _read_field(head, named, item[1], item[2])
+        if item[1] in PARSED_REQUEST_FIELDS:
+            _read_field(head, connection_options, item[1], item[2])
         else:
             fields.append(item)
-    if named:
-        head.fields = _without(fields, named)
+    if connection_options:
+        head.fields = _without(fields, connection_options)
     return head
 
 
 def _read_field(
-    head: RequestHead, named: list[bytes], name: bytes, value: bytes
+    head: RequestHead,
+    connection_options: list[bytes],
+    name: bytes,
+    value: bytes,
 ) -> None:
     match name:
         case b"host":
@@ -110,7 +113,7 @@
         case b"transfer-encoding":
             head.chunked = True
         case b"connection":
-            named.extend(_tokens(value))
+            connection_options.extend(_tokens(value))
         case b"expect":
             head.expect = value.lower()
         case b"upgrade":
@@ -130,14 +133,16 @@
     return [t for t in tokens if t and t not in (b"close", b"keep-alive")]
 
 
-def _without(fields: list[Field], named: list[bytes]) -> list[Field]:
-    dropped = set(named) - KEPT_FROM_CONNECTION
+def _without(
+    fields: list[Field], connection_options: list[bytes]
+) -> list[Field]:
+    dropped = set(connection_options) - END_TO_END_FIELDS
     return [item for item in fields if item[1] not in dropped]
 
 
 @functools.lru_cache
 def wire_name(name: str) -> bytes:
-    """Returns a field name of the settings as it is compared."""
+    """Returns a field name from the settings in the form used to compare."""
     return name.lower().encode("ascii")
 
 
@@ -150,41 +155,41 @@
 
 
 def get_all(fields: Iterable[Field], name: bytes) -> list[bytes]:
-    """Returns every value of a field."""
+    """Returns all values of a field."""
     return [value for _, found, value in fields if found == name]
 
 
-def check(pairs: list[tuple[bytes, bytes]]) -> Any:
-    """Has h11 check fields that it did not receive itself."""
+def validate(pairs: list[tuple[bytes, bytes]]) -> Any:
+    """Validates locally generated fields with h11."""
     return h11.EndOfMessage(headers=pairs).headers
 
 
-def received(head: Any) -> list[Field]:
-    """Returns the fields of a received head or of received trailers."""
+def raw_fields(head: Any) -> list[Field]:
+    """Returns the fields of a received head or trailer section."""
     return codec.full_fields(head)
 
 
-def forward_answer(
+def response_fields(
     received_fields: list[Field], via: Field, request_id: bytes
 ) -> list[Field]:
-    """Returns the fields of an answer to relay to the caller.
+    """Returns the fields of a response to relay to the caller.
 
-    The length is kept as it is unless the body is chunked.
+    Content-Length is kept unless the body is chunked.
     """
     fields: list[Field] = []
-    named: list[bytes] = []
+    connection_options: list[bytes] = []
     chunked = False
     for item in received_fields:
         name = item[1]
         if name in HOP_BY_HOP:
             if name == b"connection":
-                named.extend(_tokens(item[2]))
+                connection_options.extend(_tokens(item[2]))
             elif name == b"transfer-encoding":
                 chunked = True
         elif name != REQUEST_ID_HEADER:
             fields.append(item)
-    if named:
-        fields = _without(fields, named)
+    if connection_options:
+        fields = _without(fields, connection_options)
     if chunked:
         fields = [item for item in fields if item[1] != b"content-length"]
         fields.append(CHUNKED)
@@ -194,8 +199,10 @@
 
 
 def forward_end(end: h11.EndOfMessage) -> h11.EndOfMessage:
-    """Returns the end of a body to pass on, with the trailers allowed."""
+    """Returns the end event to forward, with permitted trailers only."""
     if not end.headers:
         return END
-    kept = [f for f in received(end.headers) if f[1] not in NOT_IN_TRAILERS]
-    return h11.EndOfMessage(headers=Checked(kept))
+    allowed = [
+        f for f in raw_fields(end.headers) if f[1] not in FORBIDDEN_TRAILERS
+    ]
+    return h11.EndOfMessage(headers=ValidatedHeaders(allowed))
