--- a/banyantiller/claims/records.py
+++ b/banyantiller/claims/records.py
@@ -1,9 +1,9 @@
-"""How a claim is kept in the object API, and what it tells a repeated caller.
+"""The stored form of a claim, and the outcome that it gives a repeated request.
 
-One object holds one key. Its state is one of `State`; only the daemon that
-holds the nonce moves it out of `CLAIMED`, but for the fence of one that tells
-a caller that the outcome is unknown. So a claim whose outcome nobody knows can
-never be granted again.
+Each key has one object, whose state is one of `State`. Only the daemon that
+holds the nonce moves it out of `CLAIMED`, except that any daemon fences a
+claim before it reports the outcome as unknown. A claim with an unknown outcome
+can therefore never be granted again.
 """
 
 import base64
@@ -17,23 +17,23 @@
 from banyantiller.errors import ErrorKind, Failure
 from banyantiller.store import interface
 
-KIND = "keyclaims"
+OBJECT_KIND = "keyclaims"
 EXPIRY_LABEL = "expires"
-BUCKET_S = 60
-MAX_ANSWER_BYTES = 16384
-REPEAT_AFTER_S = 1.0
+EXPIRY_BUCKET_S = 60
+MAX_RESPONSE_BYTES = 16384
+IN_PROGRESS_RETRY_S = 1.0
 
 
 class State(enum.StrEnum):
     """State of a key.
 
     Attributes:
-        CLAIMED: One daemon may send the request, or sent it.
-        DONE: The request was run and its answer was seen.
-        UNKNOWN: It was sent, and nobody can tell whether it was run; or it
-            was not sent, but callers were told that its outcome is unknown.
-        FENCED: Its daemon did not end it in time, and another one tells
-            callers that the outcome is unknown.
+        CLAIMED: One daemon may send the request or has sent it.
+        DONE: The request was run and its response was received.
+        UNKNOWN: The request was sent and may or may not have been run; or it
+            was not sent, but its outcome was reported as unknown.
+        FENCED: Its daemon did not settle it in time, and a peer reports its
+            outcome as unknown.
         RELEASED: It was certainly not sent; the key may be claimed again.
     """
 
@@ -44,17 +44,17 @@
     RELEASED = "released"
 
 
-# States in which a claim's daemon may still send the request.
-MAY_STILL_SEND = (State.CLAIMED, State.FENCED)
+# States in which the daemon that holds the claim may still send the request.
+SENDABLE_STATES = (State.CLAIMED, State.FENCED)
 
 
-class KeptAnswer(NamedTuple):
-    """JSON form of a recorded answer.
+class StoredResponse(NamedTuple):
+    """JSON form of a recorded response.
 
     Attributes:
         status: Status code.
         headers: Pairs of name and value.
-        body: Body in base64, or None if it was too large to keep.
+        body: Body in base64, or None if it was too large to store.
     """
 
     status: int
@@ -63,19 +63,19 @@
 
 
 class Record(NamedTuple):
-    """Content of one claim object; times are wall-clock seconds.
+    """Content of a claim object; times are wall-clock seconds.
 
     Attributes:
         service: Service under whose options the key was claimed.
-        fingerprint: Digest of the request that the key stands for.
-        nonce: Names the claim that wrote the record last.
-        daemon: Daemon that wrote it last.
+        fingerprint: Digest of the request that the key was claimed for.
+        nonce: Identifies the claim that last wrote the record.
+        daemon: Daemon that last wrote the record.
         state: State of the key.
-        claimed_at: When the key was claimed first.
+        claimed_at: When the key was first claimed.
         answer_by: When the caller of the claim stops waiting.
-        expires_at: When the key may be forgotten.
-        answer: The recorded answer of a finished request.
-        host: Host of the request that the key stands for.
+        expires_at: When the claim may be deleted.
+        answer: The stored response of a finished request.
+        host: Host of the request that the key was claimed for.
     """
 
     service: str
@@ -86,33 +86,33 @@
     claimed_at: float
     answer_by: float
     expires_at: float
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
     host: str = ""
 
 
 def object_name(deployment: str, request: types.ClaimRequest) -> str:
     """Returns the name of the object that holds a request's key.
 
-    The key alone names it: a name that holds the service lets a request run
-    twice when a bundle gives its path to another service.
+    The name depends on the key only. If it included the service, a request
+    could run twice when a bundle moves its path to another service.
     """
-    return _name_of(deployment, "", request.key)
+    return _object_name(deployment, "", request.key)
 
 
-def earlier_name(deployment: str, request: types.ClaimRequest) -> str:
-    """Returns the name under which earlier versions kept a key."""
-    return _name_of(deployment, request.service, request.key)
+def legacy_object_name(deployment: str, request: types.ClaimRequest) -> str:
+    """Returns the object name that earlier versions used for a key."""
+    return _object_name(deployment, request.service, request.key)
 
 
-def _name_of(deployment: str, service: str, key: str) -> str:
+def _object_name(deployment: str, service: str, key: str) -> str:
     text = f"{service}\0{key}"
     digest = hashlib.sha256(text.encode("utf-8", "surrogateescape"))
     return f"{deployment}-{digest.hexdigest()[:40]}"
 
 
 def expiry_labels(deployment: str, expires_at: float) -> dict[str, str]:
-    """Returns the labels by which the sweeper finds expired claims."""
-    bucket = int(expires_at // BUCKET_S)
+    """Returns the labels that the sweeper selects expired claims by."""
+    bucket = int(expires_at // EXPIRY_BUCKET_S)
     return {"deployment": deployment, EXPIRY_LABEL: str(bucket)}
 
 
@@ -127,7 +127,7 @@
 
 
 def from_object(item: interface.StoredObject) -> Record | None:
-    """Reads a record, or None when the object holds something else."""
+    """Decodes a record; returns None if the object holds something else."""
     fields = {
         name: value
         for name, value in item.value.items()
@@ -136,8 +136,8 @@
     answer = fields.get("answer")
     try:
         if answer is not None:
-            ordered = [answer[name] for name in KeptAnswer._fields]
-            fields["answer"] = msgspec.convert(ordered, KeptAnswer)
+            ordered = [answer[name] for name in StoredResponse._fields]
+            fields["answer"] = msgspec.convert(ordered, StoredResponse)
         row = [
             fields.get(name, Record._field_defaults.get(name))
             for name in Record._fields
@@ -147,65 +147,67 @@
         return None
 
 
-def keep(answer: types.RecordedAnswer) -> KeptAnswer:
-    """Returns what is kept of an answer; a large body is dropped."""
-    size = len(answer.body or b"")
-    size += sum(len(name) + len(value) for name, value in answer.headers)
-    if answer.body is None or size > MAX_ANSWER_BYTES:
-        return KeptAnswer(answer.status, (), None)
-    body = base64.b64encode(answer.body).decode("ascii")
-    return KeptAnswer(answer.status, tuple(answer.headers), body)
+def to_stored_response(response: types.RecordedResponse) -> StoredResponse:
+    """Returns the stored form of a response, without a body that is large."""
+    size = len(response.body or b"")
+    size += sum(len(name) + len(value) for name, value in response.headers)
+    if response.body is None or size > MAX_RESPONSE_BYTES:
+        return StoredResponse(response.status, (), None)
+    body = base64.b64encode(response.body).decode("ascii")
+    return StoredResponse(response.status, tuple(response.headers), body)
 
 
-def recall(kept: KeptAnswer) -> types.RecordedAnswer | None:
-    """Returns the answer to repeat, or None if it was not kept whole."""
-    if kept.body is None:
+def from_stored_response(
+    stored: StoredResponse,
+) -> types.RecordedResponse | None:
+    """Returns the response to replay, or None if its body was not stored."""
+    if stored.body is None:
         return None
-    body = base64.b64decode(kept.body)
-    return types.RecordedAnswer(kept.status, kept.headers, body)
+    body = base64.b64decode(stored.body)
+    return types.RecordedResponse(stored.status, stored.headers, body)
 
 
 def deny(
-    kind: ErrorKind, detail: str, retry_after: float | None = None
+    error_kind: ErrorKind, detail: str, retry_after: float | None = None
 ) -> types.Denied:
     """Returns a denial."""
-    return types.Denied(Failure(kind, detail, retry_after))
+    return types.Denied(Failure(error_kind, detail, retry_after))
 
 
-def is_same(
+def is_same_request(
     request: types.ClaimRequest, fingerprint: str, service: str, host: str
 ) -> bool:
-    """Tells whether a request is the one that a key stands for.
+    """Returns whether a request is the one that a key was claimed for.
 
-    It has the same digest, and the same service or the same host: a service may
-    have several hosts, and a bundle may give a path to another service.
+    Its digest is equal, and its service or its host: a service may have
+    several hosts, and a bundle may move a path to another service.
 
     Args:
-        request: The present request.
-        fingerprint: Digest of the request that the key stands for.
+        request: The current request.
+        fingerprint: Digest of the request that the key was claimed for.
         service: Service of that request.
         host: Host of that request.
     """
-    is_same_place = request.service == service or request.host == host
-    return request.fingerprint == fingerprint and is_same_place
+    is_same_target = request.service == service or request.host == host
+    return request.fingerprint == fingerprint and is_same_target
 
 
-def judge(
+def evaluate(
     record: Record | None, request: types.ClaimRequest, wall: float
 ) -> types.ClaimOutcome | None:
-    """Tells what a caller gets whose key has a record already.
+    """Returns the outcome of a claim on a key that has a record.
 
-    The clock decides only between two answers that are both safe: "in
-    progress" and "outcome unknown". It never makes a key claimable. Whoever
-    says "outcome unknown" of a claim that `needs_fence` must fence it first.
+    The clock decides only between two safe outcomes, "in progress" and
+    "outcome unknown"; it never makes a key claimable. A claim for which
+    `needs_fence` is true must be fenced before its outcome is reported.
 
     Args:
-        record: The record, or None when it could not be understood.
-        request: The present request.
-        wall: Wall-clock seconds now.
+        record: The record, or None if it cannot be decoded.
+        request: The current request.
+        wall: Current wall-clock seconds.
 
     Returns:
-        The outcome, or None when the key was released and may be claimed.
+        The outcome, or None if the key was released and may be claimed.
     """
     if record is None:
         return deny(
@@ -213,27 +215,29 @@
         )
     if record.state == State.RELEASED:
         return None
-    if not is_same(request, record.fingerprint, record.service, record.host):
+    if not is_same_request(
+        request, record.fingerprint, record.service, record.host
+    ):
         return deny(
             ErrorKind.KEY_REUSED, "The key was used for another request."
         )
-    return judge_same(record, wall)
+    return evaluate_repeat(record, wall)
 
 
-def judge_same(record: Record, wall: float) -> types.ClaimOutcome:
-    """Tells what a caller gets who repeats the request of a key.
+def evaluate_repeat(record: Record, wall: float) -> types.ClaimOutcome:
+    """Returns the outcome for a request that repeats the one of a record.
 
     Args:
         record: The record; it is not released.
-        wall: Wall-clock seconds now.
+        wall: Current wall-clock seconds.
     """
     if record.state == State.DONE:
-        return _judge_done(record)
+        return _evaluate_done(record)
     if record.state == State.CLAIMED and wall < record.answer_by:
         return deny(
             ErrorKind.KEY_IN_PROGRESS,
             "A request with this key is in progress.",
-            REPEAT_AFTER_S,
+            IN_PROGRESS_RETRY_S,
         )
     return deny(
         ErrorKind.KEY_OUTCOME_UNKNOWN,
@@ -242,7 +246,7 @@
 
 
 def needs_fence(record: Record | None, outcome: types.ClaimOutcome) -> bool:
-    """Tells whether an outcome could still be undone by a late release."""
+    """Returns whether a late release could still reverse an outcome."""
     is_unknown = (
         isinstance(outcome, types.Denied)
         and outcome.failure.kind is ErrorKind.KEY_OUTCOME_UNKNOWN
@@ -250,15 +254,15 @@
     return is_unknown and record is not None and record.state == State.CLAIMED
 
 
-def fence(record: Record) -> Record:
-    """Returns a claimed record as one that no release can undo."""
+def to_fenced(record: Record) -> Record:
+    """Returns the fenced form of a claimed record; no release frees its key."""
     return record._replace(state=State.FENCED)
 
 
-def _judge_done(record: Record) -> types.ClaimOutcome:
-    answer = recall(record.answer) if record.answer else None
-    if answer is not None:
-        return types.Finished(answer)
+def _evaluate_done(record: Record) -> types.ClaimOutcome:
+    response = from_stored_response(record.answer) if record.answer else None
+    if response is not None:
+        return types.Finished(response)
     return deny(
         ErrorKind.KEY_ALREADY_RUN,
         "A request with this key was run; its answer was not kept.",
--- a/banyantiller/claims/settling.py
+++ b/banyantiller/claims/settling.py
@@ -1,9 +1,9 @@
-"""Writes the end of a claim, again and again until it is certain.
+"""Writes the final state of a claim and retries until it is confirmed.
 
-An end is the answer of a finished request, the fact that its outcome is
-unknown, or the release of a claim that was certainly not sent. Releases also
-clean up after a claim whose write got no answer: the object then holds this
-daemon's nonce, or may still come to hold it.
+A settlement records the response of a finished request, records that its
+outcome is unknown, or releases a claim that was certainly not sent. Releases
+also clean up after a claim whose write got no response: the object then holds
+this daemon's nonce, or may do so later.
 """
 
 import asyncio
@@ -17,24 +17,24 @@
 
 log = structlog.get_logger("banyantiller.claims")
 
-RETRY_S = 0.5
-LONGEST_RETRY_S = 8.0
-MOST_CALLS = 5
-MOST_ENDS = 5_000
-MOST_UNSENT = 10_000
-PARALLEL = 4
+INITIAL_RETRY_S = 0.5
+MAX_RETRY_S = 8.0
+MAX_CALLS = 5
+MAX_PENDING = 5_000
+MAX_UNSENT = 10_000
+BATCH_SIZE = 4
 BATCH_PAUSE_S = 0.2
 
-Written = interface.CreateOutcome | interface.UpdateOutcome
+WriteOutcome = interface.CreateOutcome | interface.UpdateOutcome
 
 
-class End(NamedTuple):
-    """The last state that one claim is to get.
+class Settlement(NamedTuple):
+    """The final state to write for a claim.
 
     Attributes:
         name: Name of the object.
-        record: What the object is to hold; its nonce names the claim.
-        item: The object as last seen, or None if it has to be read.
+        record: The record to write; its nonce identifies the claim.
+        item: The object as last read, or None if it must be read.
     """
 
     name: str
@@ -43,92 +43,95 @@
 
 
 class Settler:
-    """Keeps the ends that are not yet certain and writes them.
+    """Writes pending settlements until each is confirmed.
 
     Attributes:
-        ends: Ends not yet certain, by object name and nonce.
-        unsent: Nonces of which no request was or will be sent.
-        given_up: Ends dropped because there were too many.
+        pending: Unconfirmed settlements by object name and nonce.
+        unsent_nonces: Nonces whose request was not sent and will not be.
+        dropped: Number of settlements dropped because the queue was full.
+        has_pending: Set while settlements are pending.
     """
 
     def __init__(self, store: interface.ObjectStore, deployment: str) -> None:
         self.store = store
         self.deployment = deployment
-        self.ends: dict[tuple[str, str], End] = {}
-        self.unsent: collections.OrderedDict[str, None] = (
+        self.pending: dict[tuple[str, str], Settlement] = {}
+        self.unsent_nonces: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self.given_up = 0
-        self.waiting = asyncio.Event()
-
-    def add(self, end: End) -> None:
-        """Takes an end that must become certain."""
-        if end.record.state == records.State.RELEASED:
-            self.unsent[end.record.nonce] = None
-            if len(self.unsent) > MOST_UNSENT:
-                self.unsent.popitem(last=False)
-        self.ends[end.name, end.record.nonce] = end
-        if len(self.ends) > MOST_ENDS:
-            self.ends.pop(next(iter(self.ends)))
-            self.given_up += 1
+        self.dropped = 0
+        self.has_pending = asyncio.Event()
+
+    def enqueue(self, settlement: Settlement) -> None:
+        """Adds a settlement that `run` retries until it is confirmed."""
+        if settlement.record.state == records.State.RELEASED:
+            self.unsent_nonces[settlement.record.nonce] = None
+            if len(self.unsent_nonces) > MAX_UNSENT:
+                self.unsent_nonces.popitem(last=False)
+        self.pending[settlement.name, settlement.record.nonce] = settlement
+        if len(self.pending) > MAX_PENDING:
+            self.pending.pop(next(iter(self.pending)))
+            self.dropped += 1
             log.error("claims: too many ends wait; the oldest was dropped.")
-        self.waiting.set()
+        self.has_pending.set()
 
-    async def settle(self, end: End) -> bool:
-        """Tries to make one end certain, with a bounded number of calls.
+    async def settle(self, settlement: Settlement) -> bool:
+        """Tries to write a settlement with a bounded number of calls.
 
         Returns:
-            Whether it is certain now.
+            Whether it is confirmed.
         """
-        if not await self._write(end):
+        if not await self._write(settlement):
             return False
-        self.ends.pop((end.name, end.record.nonce), None)
+        self.pending.pop((settlement.name, settlement.record.nonce), None)
         return True
 
     async def run(self) -> None:
-        """Retries ends with back-off while there are any."""
-        pause = RETRY_S
+        """Retries pending settlements with exponential backoff."""
+        pause = INITIAL_RETRY_S
         while True:
-            await self.waiting.wait()
+            await self.has_pending.wait()
             await asyncio.sleep(pause)
             if await self.settle_all():
-                pause = RETRY_S
+                pause = INITIAL_RETRY_S
             else:
-                pause = min(pause * 2, LONGEST_RETRY_S)
+                pause = min(pause * 2, MAX_RETRY_S)
 
     async def settle_all(self) -> bool:
-        """Tries each waiting end once; stops early when none succeeds.
+        """Tries each pending settlement once; stops if a whole batch fails.
 
-        After an outage many ends wait in every daemon, so the writes are
-        paced to stay far below what the object API takes.
+        After an outage every daemon has many pending settlements, so writes
+        are paced to stay far below the capacity of the object API.
 
         Returns:
-            Whether all are certain.
+            Whether none is left.
         """
-        waiting = list(self.ends.values())
-        for start in range(0, len(waiting), PARALLEL):
-            batch = waiting[start : start + PARALLEL]
+        pending = list(self.pending.values())
+        for start in range(0, len(pending), BATCH_SIZE):
+            batch = pending[start : start + BATCH_SIZE]
             settled = await asyncio.gather(*map(self.settle, batch))
             if not any(settled):
                 return False
-            if start + PARALLEL < len(waiting):
+            if start + BATCH_SIZE < len(pending):
                 await asyncio.sleep(BATCH_PAUSE_S)
-        if not self.ends:
-            self.waiting.clear()
-        return not self.ends
+        if not self.pending:
+            self.has_pending.clear()
+        return not self.pending
 
-    async def _write(self, end: End) -> bool:
-        item = end.item
-        for _ in range(MOST_CALLS):
+    async def _write(self, settlement: Settlement) -> bool:
+        item = settlement.item
+        for _ in range(MAX_CALLS):
             if item is None:
-                got = await self.store.get(records.KIND, end.name)
-                if isinstance(got, interface.Unavailable):
+                read = await self.store.get(
+                    records.OBJECT_KIND, settlement.name
+                )
+                if isinstance(read, interface.Unavailable):
                     return False
-                if isinstance(got, interface.Found):
-                    item = got.item
-            if item is not None and _is_certain(end, item):
+                if isinstance(read, interface.Found):
+                    item = read.item
+            if item is not None and _is_settled(settlement, item):
                 return True
-            written = await self._write_once(end, item)
+            written = await self._write_once(settlement, item)
             if isinstance(written, interface.Found):
                 return True
             if isinstance(written, interface.Unavailable):
@@ -137,44 +140,48 @@
         return False
 
     async def _write_once(
-        self, end: End, item: interface.StoredObject | None
-    ) -> Written:
-        value = records.to_value(_last_record(end, item))
+        self, settlement: Settlement, item: interface.StoredObject | None
+    ) -> WriteOutcome:
+        value = records.to_value(_target_record(settlement, item))
         if item is not None:
             return await self.store.update(item, value)
-        labels = records.expiry_labels(self.deployment, end.record.expires_at)
-        return await self.store.create(records.KIND, end.name, value, labels)
+        labels = records.expiry_labels(
+            self.deployment, settlement.record.expires_at
+        )
+        return await self.store.create(
+            records.OBJECT_KIND, settlement.name, value, labels
+        )
 
 
-def _last_record(
-    end: End, item: interface.StoredObject | None
+def _target_record(
+    settlement: Settlement, item: interface.StoredObject | None
 ) -> records.Record:
-    """Returns what the object is to hold.
+    """Returns the record to write.
 
-    Callers were told of a fenced claim that the key never runs again, so it
-    is not released; as `UNKNOWN` it can be deleted in its time.
+    The key of a fenced claim was reported as never running again, so it is
+    not released; as `UNKNOWN` it is deleted once it expires.
     """
-    seen = records.from_object(item) if item is not None else None
-    is_fenced = seen is not None and seen.state == records.State.FENCED
-    if is_fenced and end.record.state == records.State.RELEASED:
-        return end.record._replace(state=records.State.UNKNOWN)
-    return end.record
+    current = records.from_object(item) if item is not None else None
+    is_fenced = current is not None and current.state == records.State.FENCED
+    if is_fenced and settlement.record.state == records.State.RELEASED:
+        return settlement.record._replace(state=records.State.UNKNOWN)
+    return settlement.record
 
 
-def _is_certain(end: End, item: interface.StoredObject) -> bool:
-    """Tells whether the object needs no write any more.
+def _is_settled(settlement: Settlement, item: interface.StoredObject) -> bool:
+    """Returns whether the object needs no further write.
 
-    Another nonce means that the claim never took effect and, as each write
-    is conditional, no longer can; only a released object is written once
-    more, because a late write of the claim may be based on just that state.
+    A different nonce means that the claim never took effect and, as writes
+    are conditional, no longer can. Only a released object is written once
+    more, because a late write of the claim may be based on that state.
     """
     record = records.from_object(item)
     if record is None:
         return True
-    if record.nonce == end.record.nonce:
-        return record.state not in records.MAY_STILL_SEND
+    if record.nonce == settlement.record.nonce:
+        return record.state not in records.SENDABLE_STATES
     both_released = (
         record.state == records.State.RELEASED
-        and end.record.state == records.State.RELEASED
+        and settlement.record.state == records.State.RELEASED
     )
     return not both_released
--- a/banyantiller/daemon/suspect_requests.py
+++ b/banyantiller/daemon/suspect_requests.py
@@ -19,7 +19,7 @@
 
 def start(daemon: "assembly.Daemon") -> None:
     """Connects the data path's part with the other daemons."""
-    known = daemon.proxy.endings
+    known = daemon.proxy.crash_tracker
     peers = daemon.peers
 
     def on_news(event: events.RequestsSuspected) -> None:
@@ -29,12 +29,12 @@
 
     def on_told(sender: str, message: messages.SuspectRequests) -> None:
         told = _records(message)
-        if not known.learn(told):
+        if not known.receive_records(told):
             return
         now = asyncio.get_running_loop().time()
         names = [fields["fingerprint"] for fields in told]
         passed_on = known.watch.table.export_records(names, now)
-        peers.broadcast(_message(passed_on), but=sender)
+        peers.broadcast(_message(passed_on), exclude=sender)
 
     def on_link(peer: str) -> None:
         now = asyncio.get_running_loop().time()
@@ -58,7 +58,7 @@
         tuple(
             messages.SuspectRequest(
                 fields["fingerprint"],
-                tuple(messages.ServerEnd(**end) for end in fields["ends"]),
+                tuple(messages.ServerCrash(**end) for end in fields["ends"]),
                 fields["answered_age_ms"],
             )
             for fields in told
--- a/banyantiller/tests/proxy/test_faults.py
+++ b/banyantiller/tests/proxy/test_faults.py
@@ -1,4 +1,4 @@
-"""Random faults under load with the real dispatcher; the promises hold."""
+"""Checks the guarantees under random faults, with the real dispatcher."""
 
 import asyncio
 import collections
@@ -12,15 +12,16 @@
 CALLERS = 25
 CALLS = 12
 FAULTS = (
-    "refuse", "reset", "shed", "garbage", "half head", "half body", "silent"
+    "refuse", "reset", "shed", "garbage",
+    "half head", "half body", "unresponsive",
 )  # fmt: skip
 
 
 class FaultyServers:
-    """Servers that mostly answer with what they were asked.
+    """Servers that usually respond with the name of the request.
 
     Attributes:
-        run: How often each request was run.
+        run: Number of runs by request.
     """
 
     def __init__(self, seed: int) -> None:
@@ -45,50 +46,50 @@
                 )
                 continue
             self.run[name] += 1
-            answer = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (
+            response = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (
                 len(name),
                 name,
             )
-            if fault in ("reset", "silent"):
-                await asyncio.sleep(3.0 if fault == "silent" else 0.0)
+            if fault in ("reset", "unresponsive"):
+                await asyncio.sleep(3.0 if fault == "unresponsive" else 0.0)
                 connection.reset()
                 return
             if fault == "garbage":
                 await connection.send(b"\x00\x01\r\n\r\n")
                 return
             if fault:
-                cut = 9 if fault == "half head" else len(answer) - 1
-                await connection.send(answer[:cut])
+                cut = 9 if fault == "half head" else len(response) - 1
+                await connection.send(response[:cut])
                 return
-            await connection.send(answer)
+            await connection.send(response)
 
 
 class FaultsTest(base.TestCase):
     def check(self, seed: int) -> collections.Counter[str]:
         servers = FaultyServers(seed)
-        told: collections.Counter[str] = collections.Counter()
+        outcomes: collections.Counter[str] = collections.Counter()
 
         async def call(bench: fakes.Bench, name: bytes) -> None:
             lookup = name.endswith(b"0")
             method = b"GET /" + name if lookup else b"POST /"
             sent = b"" if lookup else name
-            got = await bench.ask(
+            got = await bench.exchange(
                 method + b" HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
                 b"X-Request-Deadline-Ms: 1500\r\nContent-Length: %d\r\n\r\n%b"
                 % (len(sent), sent)
             )
             key = b"/" + name if lookup else name
-            head, _, answer = got.partition(b"\r\n\r\n")
+            head, _, response = got.partition(b"\r\n\r\n")
             if head.startswith(b"HTTP/1.1 200"):
-                told["answered"] += 1
-                # Whole, or visibly not: the connection was cut.
-                self.assertIn(answer, (key, key[:-1], b""))
+                outcomes["answered"] += 1
+                # The body is complete, or the connection was visibly cut.
+                self.assertIn(response, (key, key[:-1], b""))
                 self.assertGreaterEqual(servers.run[key], 1)
             elif b"request-ran: no" in head:
-                told["not run"] += 1
+                outcomes["not run"] += 1
                 self.assertEqual(0, servers.run[key], head)
             else:
-                told["unknown"] += 1
+                outcomes["unknown"] += 1
             if not lookup:
                 self.assertLessEqual(servers.run[key], 1, head)
 
@@ -110,16 +111,16 @@
             load = driver.dispatcher.own_load(0.0)
             self.assertEqual(0, sum(load.values()))
             for pool in driver.pools.values():
-                self.assertEqual(len(pool.idle), len(pool.open))
+                self.assertEqual(len(pool.idle), len(pool.open_connections))
             await bench.proxy.close()
 
         self.run_paused(body())
         self.assertGreater(max(servers.run.values()), 1)
-        return told
+        return outcomes
 
-    def test_promises_hold_under_random_faults(self) -> None:
-        told: collections.Counter[str] = collections.Counter()
+    def test_guarantees_hold_under_random_faults(self) -> None:
+        outcomes: collections.Counter[str] = collections.Counter()
         for seed in range(5):
-            told += self.check(seed)
-        for kind in ("answered", "not run", "unknown"):
-            self.assertGreater(told[kind], 0, told)
+            outcomes += self.check(seed)
+        for outcome in ("answered", "not run", "unknown"):
+            self.assertGreater(outcomes[outcome], 0, outcomes)
