--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -300,7 +300,7 @@
                 self.progress.maybe_ran = True
             elif isinstance(outcome, exchange.BrokenResponse):
                 self.progress.maybe_ran = True
-                if not self.idempotent or self._crashes_servers(
+                if not self.idempotent or self._crashed_too_many(
                     attempt, outcome
                 ):
                     return self._fail(outcome.kind)
@@ -320,7 +320,7 @@
             self.request.fingerprint, self.loop.time()
         )
 
-    def _crashes_servers(
+    def _crashed_too_many(
         self, attempt: attempts.Attempt, broken: exchange.BrokenResponse
     ) -> bool:
         """Returns whether too many servers crashed for another attempt.
@@ -330,11 +330,11 @@
         """
         if broken.kind is not ErrorKind.CONNECTION_LOST:
             return False
-        lost = crash_detection.incarnation_id(attempt.entry.server)
-        found = self.gateway.crash_detector.watch.count_crashes(
-            self.request.fingerprint, lost
+        incarnation = crash_detection.incarnation_id(attempt.entry.server)
+        crashes = self.gateway.crash_detector.watch.count_crashes(
+            self.request.fingerprint, incarnation
         )
-        return found >= MAX_CRASHES_BEFORE_ATTEMPT
+        return crashes >= MAX_CRASHES_BEFORE_ATTEMPT
 
     def _should_retry(self, response: exchange.CompleteResponse) -> bool:
         """Returns whether a 5xx response should be retried elsewhere."""
