--- a/banyantiller/gateway/decisions/__init__.py
+++ b/banyantiller/gateway/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What a daemon decides for requests, apart from sockets and tasks."""
+"""Decisions about requests, free of sockets and tasks."""
--- a/banyantiller/gateway/decisions/budget.py
+++ b/banyantiller/gateway/decisions/budget.py
@@ -1,12 +1,13 @@
-"""Repeated sends within a budget that holds for the whole fleet.
+"""Limits retries to a budget that holds for the whole fleet.
 
-The load pattern: all servers of a service turn half of the requests away for
-seconds, although they have room. Which one does, no question foretells, and
-more tries are wanted than the budget bears. The fleet's budget is in many small
-parts: a daemon with a request a second may repeat four in ten seconds.
+Load pattern: for some seconds all servers of a service reject half of the
+requests although they have free slots. A probe does not show which server
+will, and more retries are needed than the budget allows. The fleet's budget is
+divided into many small shares: a daemon with one request a second may retry
+four times in ten seconds.
 
-Each daemon rounds its part, so that a fleet that always rounds down leaves a
-half of a try a daemon unused.
+Each daemon rounds its share at random. If all of them rounded down, half a
+retry per daemon would stay unused.
 """
 
 import collections
@@ -15,67 +16,72 @@
 
 
 def rounding(daemon: str, service: str) -> float:
-    """Draws how a daemon rounds its part; see `RetryBudget.rounding`.
+    """Draws a daemon's rounding offset; see `RetryBudget.rounding`.
 
-    The same after each start, so that starts draw nothing better.
+    The offset is the same after each restart, so that a daemon cannot draw a
+    larger one by restarting.
     """
     return random.Random(f"{daemon} {service}").random()
 
 
 class MinShare:
-    """The least part of a shared budget that was held in the last window.
+    """The smallest share of a shared budget within the last window.
 
-    Who counts on the greatest part at once uses again what another daemon used
-    and died with, or what it used itself before it was started anew. With the
-    least part of a window, two parts used in one window were both held at its
-    begin, when all of them added up to the whole at most.
+    A daemon that used its largest share at once would spend again what a peer
+    spent before it crashed, or what it spent itself before a restart. With the
+    smallest share of a window, any two shares that are used in one window were
+    both assigned at its start, when all shares added up to the whole at most.
 
     Attributes:
         window_s: Length of the window, in seconds.
-        held: Times and parts, each less than those after it.
+        shares: Loop times and shares; each share is smaller than those after
+            it.
     """
 
     def __init__(self, window_s: float, now: float) -> None:
         self.window_s = window_s
-        # Nothing was held before the start.
-        self.held: collections.deque[tuple[float, float]] = collections.deque(
+        # No share was assigned before the start.
+        self.shares: collections.deque[tuple[float, float]] = collections.deque(
             [(now, 0.0)]
         )
 
     def record(self, share: float, now: float) -> None:
-        """Notes the part that is held from a loop time on."""
-        if share == self.held[-1][1]:
+        """Records the share that is assigned from a loop time on."""
+        if share == self.shares[-1][1]:
             return
-        while self.held and self.held[-1][1] > share:
-            self.held.pop()
-        if not self.held or self.held[-1][1] != share:
-            self.held.append((now, share))
+        while self.shares and self.shares[-1][1] > share:
+            self.shares.pop()
+        if not self.shares or self.shares[-1][1] != share:
+            self.shares.append((now, share))
 
     def minimum(self, now: float) -> float:
-        """Returns the least part held in the window before a loop time."""
+        """Returns the smallest share in the window before a loop time."""
         oldest = now - self.window_s
-        while len(self.held) > 1 and self.held[1][0] <= oldest:
-            self.held.popleft()
-        return self.held[0][1]
+        while len(self.shares) > 1 and self.shares[1][0] <= oldest:
+            self.shares.popleft()
+        return self.shares[0][1]
 
 
 class RetryBudget:
-    """Allows repeated sends as a share of the requests seen lately.
+    """Allows retries as a ratio of the recent requests.
 
-    The fleet's bound is a ratio of all requests plus a fixed number a window.
-    A daemon that keeps the ratio on its own requests keeps it for the fleet,
-    whatever it believes of the others; only the fixed part is divided.
+    The fleet's limit is a ratio of all requests plus a fixed number per window.
+    If each daemon keeps the ratio for its own requests, the fleet keeps it too,
+    however wrong a daemon's view of its peers is. Only the fixed number is
+    divided among the daemons.
 
     Attributes:
         window_s: Length of the sliding window, in seconds.
-        ratio: Repeated sends for each request in a window.
-        extra: Repeated sends in a window besides.
-        rounding: Added to what the window allows, from 0 to below 1. Parts of
-            sends are lost where each daemon rounds down; rounded by chance, the
-            parts of all daemons add up to the whole.
-        requests: Times of requests in the window.
-        retries: Times of repeated sends in the window.
-        reported_spent_at: Loop time at which it was last said that it is spent.
+        ratio: Retries allowed for each request in a window.
+        extra: Additional retries allowed in a window.
+        rounding: Added to the number of retries that the window allows, from 0
+            to below 1. Fractions of retries are lost if each daemon rounds
+            down; with random offsets the shares of all daemons add up to the
+            whole.
+        requests: Loop times of the requests in the window.
+        retries: Loop times of the retries in the window.
+        reported_spent_at: Loop time of the last report that the budget is
+            spent.
     """
 
     def __init__(
@@ -94,19 +100,19 @@
         self.reported_spent_at = -math.inf
 
     def record_request(self, now: float) -> None:
-        """Counts a request that a caller sent, at a loop time."""
-        self._forget(now)
+        """Counts a request of a caller, at a loop time."""
+        self._expire(now)
         self.requests.append(now)
 
     def try_spend(self, now: float, budget_share: float = 1.0) -> bool:
-        """Takes one repeated send; False if the budget is used up.
+        """Spends one retry; returns False if the budget is spent.
 
         Args:
             now: Loop time.
-            budget_share: Part of the budget that may be used up by this; the
-                rest is kept for sends that matter more.
+            budget_share: Share of the budget that this kind of retry may use
+                up. The rest is reserved for more important retries.
         """
-        self._forget(now)
+        self._expire(now)
         if (
             len(self.retries) + 1
             > self.max_retries * budget_share + self.rounding
@@ -117,17 +123,20 @@
 
     @property
     def max_retries(self) -> float:
-        """How many repeated sends the window allows."""
+        """Number of retries that the window allows."""
         return self.ratio * len(self.requests) + self.extra
 
     def should_report_spent(self, now: float) -> bool:
-        """Tells whether it is time to say that the budget is spent."""
+        """Returns whether to report now that the budget is spent.
+
+        At most one report is made per window.
+        """
         if now < self.reported_spent_at + self.window_s:
             return False
         self.reported_spent_at = now
         return True
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         oldest = now - self.window_s
         for times in (self.requests, self.retries):
             while times and times[0] <= oldest:
--- a/banyantiller/gateway/decisions/hedging.py
+++ b/banyantiller/gateway/decisions/hedging.py
@@ -1,48 +1,49 @@
-"""When a second server is tried beside the first, and which one will do.
+"""Decides when to hedge a request, and which servers are good enough for it.
 
-The load pattern: a server runs a request and its answer is lost, or it falls
-silent with requests on it. A second one is not tried earlier wherever the first
-is slow: it would take the slot of another request.
+Load pattern: a server runs a request and its response is lost, or it becomes
+unresponsive with requests running. A request is not hedged earlier just because
+the first server is slow: the hedge would take the slot of another request.
 """
 
 from typing import NamedTuple
 
-# A server that has not answered after this share of the objective is asked
-# whether it lives.
+# A server that has not answered after this share of the objective is probed, to
+# see whether it is alive.
 PROBE_SHARE = 0.6
-# In any case a second server is tried after this share of the objective: by
-# then the first has become some four times slower, or will never answer.
+# A request is hedged in any case after this share of the objective: by then the
+# first server has become some four times slower, or will never answer.
 LATE_SHARE = 0.9
-# A second server must be free and at usual speed, or both are late.
+# A hedge needs a server that is free and works at its usual speed; otherwise
+# both attempts are late.
 MAX_SCORE = 1.8
-# Pause before a second server is looked for again.
+# Pause before the next search for a server for the hedge.
 RETRY_PAUSE_S = 0.03
-# Part of the retry budget that second servers may use up; the rest is for
+# Share of the retry budget that hedges may use up; the rest is reserved for
 # requests whose only server failed.
 BUDGET_SHARE = 0.6
 
 
 class FirstAttempt(NamedTuple):
-    """The only try of a call that is running.
+    """The only running attempt of a call.
 
     Attributes:
-        waited_s: Time since it began, in seconds.
+        waited_s: Time since it was sent, in seconds.
         objective_s: Latency objective of the route, in seconds.
-        suspected: Whether its server did not answer a question meanwhile.
+        unresponsive: Whether its server has not answered a probe since.
     """
 
     waited_s: float
     objective_s: float
-    suspected: bool
+    unresponsive: bool
 
 
 def should_hedge(first: FirstAttempt) -> bool:
-    """Tells whether the only try seems dead or takes too long."""
+    """Returns whether the only attempt seems dead or takes too long."""
     late_s = first.objective_s * LATE_SHARE
-    return first.suspected or first.waited_s >= late_s
+    return first.unresponsive or first.waited_s >= late_s
 
 
 def recheck_after_s(first: FirstAttempt) -> float:
-    """Returns after which time the only try is looked at again, in seconds."""
-    doubt_s = first.objective_s * PROBE_SHARE
-    return min(doubt_s, RETRY_PAUSE_S) if should_hedge(first) else doubt_s
+    """Returns the time until the next check of the attempt, in seconds."""
+    probe_s = first.objective_s * PROBE_SHARE
+    return min(probe_s, RETRY_PAUSE_S) if should_hedge(first) else probe_s
--- a/banyantiller/gateway/decisions/retry_after.py
+++ b/banyantiller/gateway/decisions/retry_after.py
@@ -1,51 +1,52 @@
-"""When a caller that is turned away may come back.
+"""Times after which rejected callers may retry.
 
-Two load patterns. A burst is over within seconds, and a slot frees within tens
-of milliseconds, so a caller that comes back soon finds one, unless all that
-were refused come back together.
+There are two load patterns. In a burst, which is over within seconds, a slot
+becomes free within tens of milliseconds. A caller that retries soon finds one,
+unless all rejected callers retry at the same moment.
 
-Or servers turn requests away although they have free slots, more often than the
-retry budget bears. Nothing gets free then that a caller would have to wait for:
-its next try is as good at once as later, and an answer is timely more often.
+In the other, servers reject requests although they have free slots, more often
+than the retry budget covers. Waiting gains nothing then: an immediate retry is
+as likely to succeed as a later one, and its response is more often in time.
 """
 
 import random
 
-# When a caller may come back: it has 0.5 s at least, and takes no time that is
-# longer than a third of what it has left.
+# Time after which a caller may retry. A caller has at least 0.5 s left, and
+# accepts no time longer than a third of what it has left.
 RETRY_AFTER_S = 0.15
-# The same for one that servers with free slots turned away: time for a new
+# The same for a caller that servers with free slots rejected: time for a new
 # connection.
 REJECTED_RETRY_AFTER_S = 0.03
-# Each is told another time, by up to this share earlier or later.
+# Each caller's time is varied at random by up to this share, up or down.
 RETRY_SPREAD = 0.3
-# When a daemon that knows no document yet, or perhaps not the newest, may be
-# asked again.
+# Time after which to retry at a daemon that has no document yet, or possibly
+# not the latest.
 START_RETRY_AFTER_S = 0.5
-# When a service may be asked again of which all servers are in evacuated zones.
+# Time after which to retry if all servers of the service are in evacuated
+# zones.
 EVACUATED_RETRY_AFTER_S = 1.0
-# Bounds of the time told to a caller where all servers of a service name
-# limits: it may come back when it is this daemon's turn at one of them.
+# Bounds of the time given to a caller if all servers of a service name limits:
+# it may retry when it is this daemon's turn at one of them.
 MIN_TURN_RETRY_AFTER_S = 0.03
 MAX_TURN_RETRY_AFTER_S = 1.0
 
 
 def turn_retry_after_s(seconds_until_turn: float) -> float:
-    """Returns when a caller may come back where servers name limits.
+    """Returns when a caller may retry if servers name limits, in seconds.
 
     Args:
         seconds_until_turn: Time until this daemon may send to one, in seconds.
     """
-    least_s = max(MIN_TURN_RETRY_AFTER_S, seconds_until_turn)
-    return min(least_s, MAX_TURN_RETRY_AFTER_S)
+    bounded_s = max(MIN_TURN_RETRY_AFTER_S, seconds_until_turn)
+    return min(bounded_s, MAX_TURN_RETRY_AFTER_S)
 
 
 def retry_after_s(rng: random.Random, by_servers: bool = False) -> float:
-    """Returns when a caller that was turned away may come back, in seconds.
+    """Returns the time after which a rejected caller may retry, in seconds.
 
     Args:
-        rng: Source of the spread.
-        by_servers: Whether servers that had free slots turned it away.
+        rng: Source of the random variation.
+        by_servers: Whether servers with free slots rejected the request.
     """
-    usual_s = REJECTED_RETRY_AFTER_S if by_servers else RETRY_AFTER_S
-    return usual_s * (1 + rng.uniform(-RETRY_SPREAD, RETRY_SPREAD))
+    mean_s = REJECTED_RETRY_AFTER_S if by_servers else RETRY_AFTER_S
+    return mean_s * (1 + rng.uniform(-RETRY_SPREAD, RETRY_SPREAD))
--- a/banyantiller/gateway/decisions/scoring.py
+++ b/banyantiller/gateway/decisions/scoring.py
@@ -1,21 +1,24 @@
-"""How good a server is for one request, from its load a moment ago."""
+"""Scores servers for one request, by the load that they reported last."""
 
 from banyantiller.gateway import types
 
-# A server works slower for everybody once this share of its slots is busy.
+# A server works slower for all its requests, by a factor of 1 + FULL_SLOWDOWN,
+# once more than the share FULL_SHARE of its slots is busy.
 FULL_SLOWDOWN = 0.7
 FULL_SHARE = 0.8
-# Other zones are farther: enough to break a tie and no more.
-OTHER_ZONE = 1.03
-# A server that still warms up works about twice as long.
-WARMING = 2.0
-# How a failure rate counts: a server that fails half of its requests is as
-# bad as one that takes five times as long.
+# Cost factor of servers in other zones: they are farther away, which breaks a
+# tie and counts for no more.
+OTHER_ZONE_FACTOR = 1.03
+# Cost factor of a server that is warming up: its requests take about twice as
+# long.
+WARMUP_FACTOR = 2.0
+# Cost of the failure rate: a server that fails half of its requests is as bad
+# as one whose requests take five times as long.
 FAILURE_COST = 8.0
 
 
 def duration_factor(load: types.Load) -> float:
-    """Returns how long one more request takes, in usual durations."""
+    """Returns the duration of one more request, in usual durations."""
     slots = max(1, load.slots)
     taken = load.running + load.waiting + 1
     factor = load.slowness
@@ -27,29 +30,29 @@
 
 
 def takes_last_slot(load: types.Load) -> bool:
-    """Tells whether one more request takes the last of several slots."""
+    """Returns whether one more request takes the last of several slots."""
     return load.slots > 1 and load.running + 1 >= load.slots
 
 
 def has_free_slot(load: types.Load) -> bool:
-    """Tells whether a request would start at once."""
+    """Returns whether a request would start at once."""
     return load.waiting == 0 and load.running < max(1, load.slots)
 
 
 def score(
-    load: types.Load, failures: float, same_zone: bool, warming: bool
+    load: types.Load, failure_rate: float, same_zone: bool, warming: bool
 ) -> float:
-    """Returns the cost of a server for one request; less is better.
+    """Returns the cost of a server for one request; lower is better.
 
     Args:
         load: Its load.
-        failures: Its failure rate, 0 to 1.
-        same_zone: Whether it is in the daemon's own availability zone.
-        warming: Whether it started a moment ago.
+        failure_rate: Its failure rate, 0 to 1.
+        same_zone: Whether it is in the daemon's local availability zone.
+        warming: Whether it is still warming up.
     """
-    cost = duration_factor(load) * (1 + FAILURE_COST * failures)
+    cost = duration_factor(load) * (1 + FAILURE_COST * failure_rate)
     if not same_zone:
-        cost *= OTHER_ZONE
+        cost *= OTHER_ZONE_FACTOR
     if warming:
-        cost *= WARMING
+        cost *= WARMUP_FACTOR
     return cost
--- a/banyantiller/gateway/decisions/selection.py
+++ b/banyantiller/gateway/decisions/selection.py
@@ -1,7 +1,7 @@
-"""Which servers are asked for a request, and which of them gets it.
+"""Selects the servers to probe for a request, and the one that gets it.
 
-Pure decisions: who asks and waits is `server_choice`. They are recorded and
-played again by `replay.selector_player`.
+These are pure decisions; `server_choice` probes and waits. The decisions are
+recorded, and replayed by `replay.selector_player`.
 """
 
 import random
@@ -10,79 +10,82 @@
 
 from banyantiller.gateway import probing, servers
 
-# Servers asked for each request.
+# Maximum number of servers probed for each request.
 MAX_PROBED = 5
-# Servers of the own zone that are asked first. Mostly one of them will do, and
-# no question crosses zones.
+# Number of servers of the local zone that are probed first. Mostly one of them
+# is good enough, and no probe crosses zones.
 MAX_PROBED_LOCAL = 3
-# Servers of the own zone, and as many of all others, that a daemon prefers, the
-# same ones each time, so that connections are kept. Of these it asks rather
-# those with an idle connection: a daemon with few requests can keep few, since
-# servers close idle ones. Once in EXPLORED requests any other is asked, so that
-# a server that few daemons prefer gets work too.
+# A daemon prefers this number of servers of the local zone, and as many of all
+# other zones. They are the same ones each time, so that connections are kept.
+# Of these it probes first those with an idle connection: a daemon with few
+# requests can keep few connections, since servers close idle ones. Once in
+# EXPLORE_EVERY requests any server may be probed, so that servers that few
+# daemons prefer get requests too.
 PREFERRED_SERVERS = 8
 EXPLORE_EVERY = 10
-# A server of the own zone with this score or less is taken without asking
-# others: it has free slots and works at most a fifth slower than usual.
+# A server of the local zone with this score or less is chosen without probing
+# more: it has free slots and works at most a fifth slower than usual.
 GOOD_SCORE = 1.25
-# The own zone is asked alone while it was enough this often lately; else its
-# answer would only be waited for.
+# The local zone is probed alone while at least this share of recent requests
+# found a good server there. Below it, waiting for its results first mostly
+# wastes time.
 MIN_LOCAL_ZONE_SUCCESS = 0.5
-# Weight of one request in that rate: it follows a burst within a second.
+# Weight of one request in that share: it follows a burst within a second.
 LOCAL_ZONE_WEIGHT = 0.1
-# A server that works more than this much slower than usual is left alone: its
-# neighbours let go of it within tenths of a second, and what it gets meanwhile
-# is late.
+# A server that is slower than usual by more than this factor gets no request:
+# noisy neighbours slow a server for tenths of a second only, and a request sent
+# meanwhile would be late.
 MAX_SLOWNESS = 2.0
 
 
-class Connected(NamedTuple):
-    """Instances of servers to which a daemon has connections.
+class ConnectedServers(NamedTuple):
+    """Servers to which a daemon has connections, by instance.
 
     Attributes:
-        idle: Those to which one can be used at once.
-        busy: Those to which all are in use.
+        idle: Servers with a connection that can be used at once.
+        busy: Servers whose connections are all in use.
     """
 
     idle: frozenset[str] = frozenset()
     busy: frozenset[str] = frozenset()
 
 
-UNCONNECTED = Connected()
+NO_CONNECTIONS = ConnectedServers()
 
 
-class Eligible(NamedTuple):
-    """Servers of which some are asked.
+class EligibleServers(NamedTuple):
+    """Servers from which the ones to probe are drawn.
 
     Attributes:
         entries: The servers.
-        explores: Whether there are others among them than the preferred ones.
+        explores: Whether they include servers that are not preferred.
     """
 
     entries: list[servers.ServerEntry]
     explores: bool
 
-    def plus(self, other: "Eligible") -> "Eligible":
-        """Returns these servers and others."""
-        return Eligible(
+    def merged_with(self, other: "EligibleServers") -> "EligibleServers":
+        """Returns the servers of both."""
+        return EligibleServers(
             self.entries + other.entries, self.explores or other.explores
         )
 
 
 class ProbePlan(NamedTuple):
-    """Servers that are asked at once.
+    """Servers that are probed at the same time.
 
     Attributes:
         probed: The servers.
-        local_only: Whether other zones are asked only if these are not enough.
-        mixed: Whether there are servers in the own zone and in others.
-        connected: Instances to which there were connections.
+        local_only: Whether other zones are probed only if none of these is
+            good enough.
+        mixed: Whether the service has servers in the local zone and in others.
+        connected: Servers to which there were connections.
     """
 
     probed: list[servers.ServerEntry]
     local_only: bool
     mixed: bool
-    connected: Connected = UNCONNECTED
+    connected: ConnectedServers = NO_CONNECTIONS
 
 
 class ServerSelector:
@@ -91,8 +94,8 @@
     Attributes:
         daemon: Its name.
         zone: Its availability zone.
-        local_zone_success: By service, how often the own zone was enough
-            lately.
+        local_zone_success: Share of recent requests for which the local zone
+            had a good server, by service.
     """
 
     def __init__(self, daemon: str, zone: str, rng: random.Random) -> None:
@@ -105,26 +108,28 @@
         self,
         service: str,
         usable: list[servers.ServerEntry],
-        connected: Connected = UNCONNECTED,
+        connected: ConnectedServers = NO_CONNECTIONS,
     ) -> ProbePlan:
-        """Returns the servers to ask first.
+        """Returns the servers to probe first.
 
         Args:
-            service: The service.
-            usable: Its servers that may be asked.
-            connected: Instances to which there are connections.
+            service: Name of the service.
+            usable: Its servers that may be probed.
+            connected: Servers to which there are connections.
         """
-        near = [entry for entry in usable if self._is_near(entry)]
-        if not near or len(near) == len(usable):
-            some = self._some(self._preferred(usable), MAX_PROBED, connected)
-            return ProbePlan(some, False, False, connected)
-        preferred = self._preferred(near)
+        local = [entry for entry in usable if self._is_local(entry)]
+        if not local or len(local) == len(usable):
+            drawn = self._draw(self._preferred(usable), MAX_PROBED, connected)
+            return ProbePlan(drawn, False, False, connected)
+        preferred = self._preferred(local)
         if self.local_zone_success.get(service, 1.0) < MIN_LOCAL_ZONE_SUCCESS:
-            preferred = preferred.plus(self._preferred(self._far(usable)))
-            some = self._some(preferred, MAX_PROBED, connected)
-            return ProbePlan(some, False, True, connected)
-        some = self._some(preferred, MAX_PROBED_LOCAL, connected)
-        return ProbePlan(some, True, True, connected)
+            preferred = preferred.merged_with(
+                self._preferred(self._remote(usable))
+            )
+            drawn = self._draw(preferred, MAX_PROBED, connected)
+            return ProbePlan(drawn, False, True, connected)
+        drawn = self._draw(preferred, MAX_PROBED_LOCAL, connected)
+        return ProbePlan(drawn, True, True, connected)
 
     def more_probes(
         self,
@@ -133,27 +138,29 @@
         before: ProbePlan,
         found: list[probing.Candidate],
     ) -> list[servers.ServerEntry]:
-        """Returns the servers to ask besides; none if these are enough.
+        """Returns the servers to probe next; none if a good one was found.
 
         Args:
-            service: The service.
-            usable: Its servers that may be asked.
-            before: What was asked.
-            found: Those that answered.
+            service: Name of the service.
+            usable: Its servers that may be probed.
+            before: Servers that were probed first.
+            found: Candidates among them.
         """
-        enough = any(map(self._is_near_and_good, found))
+        enough = any(map(self._is_good_local, found))
         if before.mixed:
-            self._note_near(service, enough)
+            self._record_local_success(service, enough)
         if enough or not before.local_only:
             return []
-        near = [entry for entry in usable if self._is_near(entry)]
-        near_some = self._preferred(near)
-        preferred = near_some.plus(self._preferred(self._far(usable)))
+        local = [entry for entry in usable if self._is_local(entry)]
+        preferred_local = self._preferred(local)
+        preferred = preferred_local.merged_with(
+            self._preferred(self._remote(usable))
+        )
         others = [
             entry for entry in preferred.entries if entry not in before.probed
         ]
         eligible = preferred._replace(entries=others)
-        return self._some(eligible, MAX_PROBED - 1, before.connected)
+        return self._draw(eligible, MAX_PROBED - 1, before.connected)
 
     def pick_candidate(
         self,
@@ -164,21 +171,22 @@
     ) -> probing.Candidate | None:
         """Returns the best candidate that is ready, or None.
 
-        A server that calls itself unfit is taken only if all that answered do:
-        then they may be lying, and refusing would serve nobody.
+        A server that reports itself unhealthy is chosen only if all candidates
+        do: their reports may be wrong then, and rejecting the request would
+        help nobody.
 
         Args:
-            found: Servers that answered, best first.
-            max_score: Greatest score that is taken.
+            found: Candidates, best first.
+            max_score: Maximum score to accept.
             now: Loop time.
-            keep_last_slot: Whether the last slots of servers are left alone.
+            keep_last_slot: Whether the last slots of servers are kept free.
         """
-        any_fit = any(one.healthy for one in found)
+        any_healthy = any(one.healthy for one in found)
         return next(
             (
                 one
                 for one in found
-                if one.healthy == any_fit
+                if one.healthy == any_healthy
                 and one.ready(MAX_SLOWNESS)
                 and not (keep_last_slot and one.takes_last_slot())
                 and one.score <= max_score
@@ -187,72 +195,82 @@
             None,
         )
 
-    def _far(
+    def _remote(
         self, usable: list[servers.ServerEntry]
     ) -> list[servers.ServerEntry]:
-        return [entry for entry in usable if not self._is_near(entry)]
+        return [entry for entry in usable if not self._is_local(entry)]
 
-    def _is_near(self, entry: servers.ServerEntry) -> bool:
+    def _is_local(self, entry: servers.ServerEntry) -> bool:
         return entry.server.zone == self.zone
 
-    def _is_near_and_good(self, candidate: probing.Candidate) -> bool:
-        near = self._is_near(candidate.entry)
-        return near and candidate.healthy and candidate.score <= GOOD_SCORE
+    def _is_good_local(self, candidate: probing.Candidate) -> bool:
+        local = self._is_local(candidate.entry)
+        return local and candidate.healthy and candidate.score <= GOOD_SCORE
 
-    def _note_near(self, service: str, enough: bool) -> None:
+    def _record_local_success(self, service: str, enough: bool) -> None:
         rate = self.local_zone_success.get(service, 1.0)
         self.local_zone_success[service] = rate + LOCAL_ZONE_WEIGHT * (
             enough - rate
         )
 
-    def _preferred(self, some: list[servers.ServerEntry]) -> Eligible:
-        """Returns those of some servers that connections are kept to."""
-        if len(some) <= PREFERRED_SERVERS:
-            return Eligible(some, False)
+    def _preferred(self, entries: list[servers.ServerEntry]) -> EligibleServers:
+        """Returns the preferred servers among some, or at times all."""
+        if len(entries) <= PREFERRED_SERVERS:
+            return EligibleServers(entries, False)
         if self.random.randrange(EXPLORE_EVERY) == 0:
-            return Eligible(some, True)
-        return Eligible(sorted(some, key=self._rank)[:PREFERRED_SERVERS], False)
+            return EligibleServers(entries, True)
+        return EligibleServers(
+            sorted(entries, key=self._rank)[:PREFERRED_SERVERS], False
+        )
 
     def _rank(self, entry: servers.ServerEntry) -> int:
         return zlib.crc32(f"{self.daemon} {entry.server.instance}".encode())
 
-    def _some(
-        self, eligible: Eligible, most: int, connected: Connected
+    def _draw(
+        self,
+        eligible: EligibleServers,
+        max_count: int,
+        connected: ConnectedServers,
     ) -> list[servers.ServerEntry]:
-        """Returns some servers at random, rather those with a connection.
+        """Draws servers at random, with preference for connected ones.
 
-        As many of them are in the own zone as would be by chance. Where others
-        than the preferred ones are eligible, one may be new. A server that only
-        has connections in use is left as chosen.
+        The number of servers in the local zone is left as drawn. If servers
+        that are not preferred are eligible, one server without a connection is
+        kept. A drawn server whose connections are all in use is kept too.
         """
         entries = eligible.entries
-        chosen = self.random.sample(entries, min(most, len(entries)))
-        known = connected.idle | connected.busy
-        new = [one for one in chosen if one.server.instance not in known]
-        if not known or not new:
+        chosen = self.random.sample(entries, min(max_count, len(entries)))
+        kept = connected.idle | connected.busy
+        new = [one for one in chosen if one.server.instance not in kept]
+        if not kept or not new:
             return chosen
         if eligible.explores:
             new.pop()
-        spare = [
+        idle = [
             one
             for one in entries
             if one.server.instance in connected.idle and one not in chosen
         ]
-        self.random.shuffle(spare)
+        self.random.shuffle(idle)
         for one in new:
-            self._replace(chosen, one, spare)
+            self._swap_in(chosen, one, idle)
         return chosen
 
-    def _replace(
+    def _swap_in(
         self,
         chosen: list[servers.ServerEntry],
         new: servers.ServerEntry,
-        spare: list[servers.ServerEntry],
+        idle: list[servers.ServerEntry],
     ) -> None:
-        """Puts a spare server in the place of one as near, if there is one."""
-        near = self._is_near(new)
-        for other in spare:
-            if self._is_near(other) == near:
+        """Replaces a server by an idle one from its side of the zone border.
+
+        One of the local zone is replaced only by another of the local zone, and
+        any other one only by one outside it. Without such a server nothing
+        changes.
+        """
+        local = self._is_local(new)
+        for other in idle:
+            if self._is_local(other) == local:
                 chosen[chosen.index(new)] = other
-                spare.remove(other)
+                idle.remove(other)
                 return
--- a/banyantiller/gateway/decisions/server_health.py
+++ b/banyantiller/gateway/decisions/server_health.py
@@ -1,32 +1,34 @@
-"""What a daemon believes of one server, from what it saw itself."""
+"""Health of one server, as this daemon observed it or peers reported it."""
 
 import math
 
-# A server that did not answer is left out for this long at first, doubled at
-# each further silence: an outage of milliseconds costs little, a dead server
-# is asked about twice in the time that its registration takes to lapse (4.5 s
-# at a heartbeat of 1.5 s).
+# A server that does not respond is skipped for this long at first, and twice as
+# long after each further missed response. An outage of milliseconds costs
+# little, and a dead server is probed about twice before its registration lapses
+# (4.5 s at a heartbeat of 1.5 s).
 FIRST_UNRESPONSIVE_S = 0.5
 MAX_UNRESPONSIVE_S = 4.0
-# Half-life of the failure rate: half of what a server did wrong is forgotten
-# within the shortest fault worth avoiding, some seconds.
+# Half-life of the failure rate: within the shortest fault worth avoiding, which
+# lasts some seconds, half of a server's failures are forgotten.
 FAILURE_HALF_LIFE_S = 3.0
-# Failure rate of a server that failed several other daemons: it costs as much
-# as one that takes five times as long.
+# Failure rate of a server that failed several peers: it costs as much as one
+# whose requests take five times as long.
 REPORTED_FAILING_RATE = 0.5
 # Weight of one result in the failure rate.
 RESULT_WEIGHT = 0.25
 
 
 class ServerHealth:
-    """Silence and failures of one server.
+    """Missed responses and failures of one server.
 
     Attributes:
-        unresponsive_until: Loop time until which it is left out.
-        missed_responses: Times in a row that it did not answer.
-        failure_rate: Share of its lately tried requests that failed, 0 to 1.
+        unresponsive_until: Loop time until which it is skipped.
+        missed_responses: Number of consecutive missed responses.
+        failure_rate: Share of its recent requests that failed, 0 to 1, as of
+            `rate_changed_at`.
         rate_changed_at: Loop time of the last change of the rate.
-        reported_failing_until: Loop time until which others' failures count.
+        reported_failing_until: Loop time until which the failures that peers
+            reported count.
     """
 
     def __init__(self) -> None:
@@ -37,12 +39,12 @@
         self.reported_failing_until = -math.inf
 
     def is_unresponsive(self, now: float) -> bool:
-        """Tells whether the server is believed dead at a loop time."""
+        """Returns whether the server is skipped at a loop time."""
         return now < self.unresponsive_until
 
     def failure_rate_at(self, now: float) -> float:
-        """Returns the failure rate at a loop time, old failures faded."""
-        rate = self._own_failures(now)
+        """Returns the failure rate at a loop time, with its decay applied."""
+        rate = self._local_failure_rate(now)
         return (
             max(rate, REPORTED_FAILING_RATE)
             if now < self.reported_failing_until
@@ -50,32 +52,32 @@
         )
 
     def mark_failing(self, until: float, now: float) -> bool:
-        """Notes that it failed others; True if it was not doubted before."""
+        """Records that it failed peers; returns whether that is new."""
         is_new = self.reported_failing_until <= now
         self.reported_failing_until = until
         return is_new
 
-    def _own_failures(self, now: float) -> float:
-        age = max(0.0, now - self.rate_changed_at)
-        return self.failure_rate * 0.5 ** (age / FAILURE_HALF_LIFE_S)
+    def _local_failure_rate(self, now: float) -> float:
+        age_s = max(0.0, now - self.rate_changed_at)
+        return self.failure_rate * 0.5 ** (age_s / FAILURE_HALF_LIFE_S)
 
     def record_response(self) -> bool:
-        """Notes that the server is alive; True if it was believed dead."""
-        was_silent = self.missed_responses > 0
+        """Records a response; returns whether it was unresponsive before."""
+        was_unresponsive = self.missed_responses > 0
         self.missed_responses = 0
         self.unresponsive_until = -math.inf
-        return was_silent
+        return was_unresponsive
 
     def record_no_response(self, now: float) -> bool:
-        """Notes that it did not answer; True if it was believed alive."""
-        was_alive = self.missed_responses == 0
-        pause = FIRST_UNRESPONSIVE_S * 2**self.missed_responses
-        self.unresponsive_until = now + min(pause, MAX_UNRESPONSIVE_S)
+        """Records a missed response; returns whether it is the first."""
+        was_responsive = self.missed_responses == 0
+        pause_s = FIRST_UNRESPONSIVE_S * 2**self.missed_responses
+        self.unresponsive_until = now + min(pause_s, MAX_UNRESPONSIVE_S)
         self.missed_responses = min(self.missed_responses + 1, 8)
-        return was_alive
+        return was_responsive
 
     def record_result(self, successful: bool, now: float) -> None:
-        """Notes how a request at the server ended."""
-        faded = self._own_failures(now)
-        self.failure_rate = faded + RESULT_WEIGHT * ((not successful) - faded)
+        """Records whether a request at the server succeeded."""
+        rate = self._local_failure_rate(now)
+        self.failure_rate = rate + RESULT_WEIGHT * ((not successful) - rate)
         self.rate_changed_at = now
--- a/banyantiller/gateway/decisions/store_reads.py
+++ b/banyantiller/gateway/decisions/store_reads.py
@@ -1,54 +1,55 @@
-"""When a daemon reads the store itself, and when it relies on others.
-
-The load pattern: hundreds of daemons start in the same second, or learn in the
-same second that the store has lost its history or gives no answer. Each call to
-the store is paid for. If each daemon then reads it, a lost history costs
-several calls a daemon, and calls grow with the fleet and not with what changes.
-
-A few daemons are asked by all others, and read the store. One of them that
-lives and says that it hears nothing of the store saves the others the same
-experience, for as long as a change that they can't see yet may go unseen. Then
-each of them reads the store itself, since only those that are asked may be cut
-off from it.
-
-Others may be silent, late or wrong on how fresh they are, one after the other,
-and each that is waited for takes time that a change has. So there is one time
-for all of it, which follows from the age of what is known: from then on the
-store is read, whatever is being waited for.
+"""Decides when a daemon reads the store itself and when it relies on peers.
+
+Load pattern: hundreds of daemons start in the same second, or learn in the same
+second that the store has lost its history or does not respond. Each call to the
+store is paid for. If each daemon read the store then, a lost history would cost
+several calls per daemon, and the number of calls would grow with the fleet and
+not with the changes.
+
+A few daemons, the relays, read the store, and all others query them. While a
+responding relay reports that it gets nothing from the store, its subscribers
+need not find that out themselves, for as long as a change that they cannot see
+yet may stay unseen. After that each of them reads the store itself, since
+possibly only the relays are cut off from it.
+
+Relays may be unresponsive, late or wrong about their freshness, one after the
+other, and each wait for one uses up time within which a change must be known.
+So one time limit covers all waits. It follows from the staleness of the cached
+state: once it is reached the store is read, whatever the daemon is waiting for.
 """
 
-# A read of the store takes up to 0.4 s when it is slow, and another daemon may
-# be asked in vain for 0.2 s before.
-OWN_READ_S = 0.6
-# What is left for a read of the store that answers as usual, where everything
-# before it was in vain.
-LAST_READ_S = 0.25
-# First pause between own tries of a lost store. A store that is back is seen by
-# the daemons that are asked within a second, so own tries matter only where all
-# of those are cut off.
+# Time reserved for a slow read of the store (up to 0.4 s) after a peer was
+# queried without success (0.2 s).
+STORE_READ_S = 0.6
+# Time reserved for a read of the store at its usual speed, after everything
+# else failed.
+LAST_STORE_READ_S = 0.25
+# First pause between retries of a lost store. The relays see within a second
+# that a store is back, so retries of other daemons matter only if all relays
+# are cut off.
 FIRST_RETRY_PAUSE_S = 1.5
-# Longest pause between them: after an outage a change is to be known within the
-# time that it may take and 3 s more, in which nobody is in touch again.
+# Maximum pause between them: after an outage a change must be known within its
+# usual time limit plus 3 s, in which no daemon may have reached the store yet.
 MAX_RETRY_PAUSE_S = 4.0
-# How long after its start a daemon waits for others to listen or to list: where
-# a fleet starts at once, those that are asked need up to 1 s on a busy machine.
+# How long after its start a daemon waits for peers to listen or to list the
+# store: if a whole fleet starts at once, relays need up to 1 s on a busy
+# machine.
 SETTLE_S = 1.2
-# The same for changes once everything is listed: the age of what is known ends
-# that as well, and until then callers are served.
+# The same for changes once everything is listed. The staleness of the cached
+# state ends this wait as well, and callers are served meanwhile.
 LISTED_SETTLE_S = 3.0
 
 
 class StoreReadPolicy:
-    """How long a daemon relies on others.
+    """How long a daemon relies on peers before it reads the store.
 
     Attributes:
-        bound_s: Time in which a change has to be known, in seconds.
-        fresh_at: Loop time at which the store said what is known here.
-        settling_until: Loop time until which others may be about to listen.
-        listed_settling_until: The same where everything is listed already.
+        bound_s: Time within which a change must be known, in seconds.
+        fresh_at: Loop time at which the store last confirmed the cached state.
+        settling_until: Loop time until which peers may still be starting.
+        listed_settling_until: The same once everything is listed.
         next_retry_at: Loop time from which a lost store is tried again.
-        retry_pause_s: Pause before the next own try of a lost store, in
-            seconds.
+        retry_pause_s: Pause after the next retry of a lost store, in seconds.
     """
 
     def __init__(self, bound_s: float, now: float) -> None:
@@ -61,13 +62,13 @@
 
     @property
     def max_peer_age_s(self) -> float:
-        """Age up to which what others tell is relied on, in seconds."""
-        return self.bound_s - OWN_READ_S
+        """Maximum age of state that is accepted from peers, in seconds."""
+        return self.bound_s - STORE_READ_S
 
     @property
     def max_age_s(self) -> float:
-        """Age of what is known at which the store is read, in seconds."""
-        return self.bound_s - LAST_READ_S
+        """Age of the cached state at which the store is read, in seconds."""
+        return self.bound_s - LAST_STORE_READ_S
 
     @property
     def next_store_retry(self) -> float:
@@ -75,19 +76,19 @@
         return max(self.fresh_at + self.max_peer_age_s, self.next_retry_at)
 
     def record_confirmation(self, fresh_at: float) -> None:
-        """Notes that the store said at `fresh_at` what is known now."""
+        """Records that the store confirmed the cached state at `fresh_at`."""
         if fresh_at > self.fresh_at:
             self.fresh_at = fresh_at
             self.next_retry_at = 0.0
             self.retry_pause_s = FIRST_RETRY_PAUSE_S
 
     def end_settling(self) -> None:
-        """Notes that others are not about to listen any more."""
+        """Ends the wait for peers that are still starting."""
         self.settling_until = 0.0
         self.listed_settling_until = 0.0
 
     def is_settling(self, now: float, listed: bool = False) -> bool:
-        """Tells whether others may still be about to listen.
+        """Returns whether peers may still be starting to listen.
 
         Args:
             now: Loop time.
@@ -98,11 +99,11 @@
         )
 
     def may_rely_on_peers(self, now: float) -> bool:
-        """Tells whether others that hear nothing of the store will do."""
+        """Returns whether peers without contact to the store are enough."""
         return now < self.fresh_at + self.max_peer_age_s
 
     def should_retry_store(self, now: float) -> bool:
-        """Tells whether to try a lost store now; each try moves the next."""
+        """Returns whether to try a lost store now; schedules the next retry."""
         if now < self.next_store_retry:
             return False
         self.next_retry_at = now + self.retry_pause_s
--- a/banyantiller/gateway/decisions/waiting.py
+++ b/banyantiller/gateway/decisions/waiting.py
@@ -1,40 +1,40 @@
-"""How long a request waits for a server, and what it takes in the end.
+"""Limits how long a request waits for a server.
 
-The load pattern: for some seconds more requests come than servers execute at
-full speed.
+Load pattern: for some seconds more requests arrive than the servers can handle
+at full speed.
 
-A server slows down when its last slot is taken: all requests on it take longer,
-and are late more often. Where a server with
-a slot to spare turns up soon, waiting for it serves both. Where none does, last
-slots are used all the same, as more work is done with them.
+A server slows down when its last slot is taken: all requests on it take longer
+and are late more often. If a server with a second free slot turns up soon,
+waiting for it is better for both requests. If none does, last slots are used
+all the same, since the servers then get more work done.
 
-A longer wait for any slot makes none free sooner; all that wait have less time
-left when their turn comes, and are late. A caller that is refused early has
-time for another try, at a daemon that may know other servers. Where objectives
-are wide a wait costs little, and refusing early would serve nobody.
+A longer wait for any slot frees none sooner. All waiting requests have less
+time left when they get a slot, and are late. A caller that is rejected early
+has time for a retry at another daemon, which may know other servers. If the
+objective is long, waiting costs little, and early rejection would help nobody.
 """
 
 from typing import NamedTuple
 
-# Pause before servers are asked again; a slot frees every 15 ms or so.
+# Pause before servers are probed again; a slot frees every 15 ms or so.
 REPROBE_PAUSE_S = 0.015
-# Longest wait for a server with a slot to spare, as a share of the latency
-# objective and of the usual duration: the last slot costs a part of a duration,
-# so that waiting for longer than that gains nothing.
+# Maximum wait for a server whose last slot stays free, as a share of the
+# latency objective and of the usual duration. Taking the last slot costs a
+# fraction of a duration, so a longer wait gains nothing.
 LAST_SLOT_SHARE = 0.07
 LAST_SLOT_WORK_SHARE = 0.25
-# A request needs up to this many usual durations once it is sent: on a full
-# server work takes so much longer.
-NEEDED = 1.7
-# Longest wait for any free slot, as a share of the latency objective, or of
-# what it leaves beyond that where it leaves much.
-ANY_SHARE = 0.07
-LEFT_SHARE = 0.35
-# The most urgent routes of a service wait for this share of their objective in
-# any case; with the longer wait for all routes nobody would be the first.
+# A request needs up to this many usual durations once it is sent, since a full
+# server takes that much longer.
+FULL_SERVER_DURATIONS = 1.7
+# Maximum wait for any free slot, as a share of the latency objective, or of the
+# time that remains of it after the request itself, whichever is longer.
+ANY_SERVER_SHARE = 0.07
+REMAINING_SHARE = 0.35
+# The most urgent routes of a service may always wait for this share of their
+# objective. If all routes waited this long, none would have precedence.
 URGENT_SHARE = 0.3
-# In any case servers are asked twice more: one question may meet a moment in
-# which no slot is free.
+# Servers are always probed at least twice more: a single probe may hit a moment
+# without a free slot.
 MIN_WAIT_S = 2 * REPROBE_PAUSE_S
 
 
@@ -42,8 +42,9 @@
     """Until when a request waits.
 
     Attributes:
-        keep_last_slot_until: Loop time until which last slots are left alone.
-        any_server_until: Loop time until which any free slot is waited for.
+        keep_last_slot_until: Loop time until which the last slots of servers
+            are kept free.
+        any_server_until: Loop time until which it waits for any free slot.
     """
 
     keep_last_slot_until: float
@@ -53,7 +54,7 @@
 def wait_limits(
     objective_s: float, usual_s: float, urgent: bool, now: float
 ) -> WaitLimits:
-    """Returns until when a request waits that begins now.
+    """Returns until when a request that begins now waits.
 
     Args:
         objective_s: Latency objective of its route, in seconds.
@@ -61,14 +62,16 @@
         urgent: Whether the route is among the most urgent of its service.
         now: Loop time.
     """
-    spare_s = min(LAST_SLOT_SHARE * objective_s, LAST_SLOT_WORK_SHARE * usual_s)
-    left_s = objective_s - NEEDED * usual_s
-    any_s = max(MIN_WAIT_S, ANY_SHARE * objective_s, LEFT_SHARE * left_s)
+    keep_s = min(LAST_SLOT_SHARE * objective_s, LAST_SLOT_WORK_SHARE * usual_s)
+    left_s = objective_s - FULL_SERVER_DURATIONS * usual_s
+    any_s = max(
+        MIN_WAIT_S, ANY_SERVER_SHARE * objective_s, REMAINING_SHARE * left_s
+    )
     if urgent:
         any_s = max(any_s, URGENT_SHARE * objective_s)
-    return WaitLimits(now + spare_s, now + any_s)
+    return WaitLimits(now + keep_s, now + any_s)
 
 
 def no_wait(now: float) -> WaitLimits:
-    """Returns the limits of a request that takes what there is or nothing."""
+    """Returns the limits of a request that does not wait for a server."""
     return WaitLimits(now, now)
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -364,7 +364,7 @@
 
     def _connected(
         self, entries: list[servers.ServerEntry]
-    ) -> selection.Connected:
+    ) -> selection.ConnectedServers:
         """Returns to which servers there are connections."""
         pools = [
             (entry.server.instance, self.pools.get(entry.server.instance))
@@ -373,7 +373,7 @@
         found = [(name, kept) for name, kept in pools if kept is not None]
         idle = frozenset(name for name, kept in found if kept.has_idle())
         busy = frozenset(name for name, kept in found if kept.busy)
-        return selection.Connected(idle, busy - idle)
+        return selection.ConnectedServers(idle, busy - idle)
 
     def _connections_of(self, service: str) -> int:
         found = self.store_view.service(service)
--- a/banyantiller/gateway/server_choice.py
+++ b/banyantiller/gateway/server_choice.py
@@ -1,4 +1,4 @@
-"""Finds a server for a request, or that none can be in time."""
+"""Chooses a server for a request, or finds that none is available in time."""
 
 import asyncio
 import math
@@ -8,19 +8,19 @@
 from banyantiller.gateway import probing, server_limits, servers, types
 from banyantiller.gateway.decisions import cold_start, selection, waiting
 
-# Servers that few daemons may send to, which are asked beside the others.
+# Maximum number of cold or limited servers that are probed besides the others.
 MAX_SCARCE_PROBED = 1
 
 
 class SelectionRequest(NamedTuple):
-    """What a server is wanted for.
+    """A request that needs a server.
 
     Attributes:
         route: Route of the request.
-        service: Service that takes it.
-        wait_limits: Until when a server is waited for.
-        attempted: Instances that are not wanted again.
-        max_score: Greatest score that is taken.
+        service: Service that handles it.
+        wait_limits: Until when it waits for a server.
+        attempted: Instances that are not chosen again.
+        max_score: Maximum score to accept.
     """
 
     route: types.Route
@@ -31,15 +31,15 @@
 
 
 class ServerChooser:
-    """Asks a few servers at a time until one is ready.
+    """Probes a few servers at a time until one is ready.
 
     Attributes:
         table: Registered servers.
-        prober: Asks for their load.
-        selector: Decides who is asked and who is taken.
+        prober: Probes servers for their load.
+        selector: Decides which servers are probed and which one is chosen.
         connected: Returns to which servers there are connections.
-        cold_share: Returns which part of the rate that a cold server states
-            this daemon may send.
+        cold_share: Returns this daemon's share of the rate that a cold server
+            states, 0 to 1.
         server_limits: Limits that servers name.
     """
 
@@ -48,7 +48,9 @@
         table: servers.ServerTable,
         prober: probing.LoadProber,
         selector: selection.ServerSelector,
-        connected: Callable[[list[servers.ServerEntry]], selection.Connected],
+        connected: Callable[
+            [list[servers.ServerEntry]], selection.ConnectedServers
+        ],
         cold_share: Callable[[], float],
         limits: server_limits.ServerLimits,
     ) -> None:
@@ -63,94 +65,104 @@
     async def choose(
         self, request: SelectionRequest
     ) -> probing.Candidate | None:
-        """Returns the best ready server, or None if none got ready.
+        """Returns the best ready server, or None if none is ready in time.
 
-        The candidate's connection belongs to the caller.
+        The candidate's connection belongs to the calling function.
         """
         while True:
             usable = self.usable(request)
-            if not usable and self._is_hopeless(request):
+            if not usable and self._none_in_time(request):
                 return None
-            found = await self._ask(request, usable)
+            found = await self._probe(request, usable)
             now = self.loop.time()
-            again = now + waiting.REPROBE_PAUSE_S
-            spare = again <= request.wait_limits.keep_last_slot_until
-            fit = [one for one in found if self._may_send(one.entry, request)]
+            reprobe_at = now + waiting.REPROBE_PAUSE_S
+            keep_last_slot = (
+                reprobe_at <= request.wait_limits.keep_last_slot_until
+            )
+            sendable = [
+                one for one in found if self._may_send(one.entry, request)
+            ]
             best = self.selector.pick_candidate(
-                fit, request.max_score, now, spare
+                sendable, request.max_score, now, keep_last_slot
             )
             self.prober.release([one for one in found if one is not best])
             if best is not None:
                 best.entry.record_cold_send(now)
                 self.server_limits.record_send(best.entry.server, now)
                 return best
-            if again > request.wait_limits.any_server_until:
+            if reprobe_at > request.wait_limits.any_server_until:
                 return None
             await asyncio.sleep(waiting.REPROBE_PAUSE_S)
 
     def usable(self, request: SelectionRequest) -> list[servers.ServerEntry]:
-        """Returns the servers that may be asked, without silent ones."""
+        """Returns the servers that may be probed, except unresponsive ones."""
         now = self.loop.time()
         found = [
             entry
             for entry in self.table.usable(request.service.name, now)
             if entry.server.instance not in request.attempted
-            and self._may_ask(entry, request)
+            and self._may_probe(entry, request)
         ]
         alive = [
             entry for entry in found if not entry.health.is_unresponsive(now)
         ]
-        # If all are silent, the fault may be on this side.
+        # If all are unresponsive, the fault may be at this daemon, so that all
+        # of them are returned.
         return alive or found
 
-    def _may_ask(
-        self, entry: servers.ServerEntry, wanted: SelectionRequest
+    def _may_probe(
+        self, entry: servers.ServerEntry, request: SelectionRequest
     ) -> bool:
-        """Tells whether a server may be asked.
+        """Returns whether a server may be probed.
 
-        One whose registration says that it is cold may be asked once: it may
-        be warm meanwhile.
+        A server whose registration alone says that it is cold may be probed,
+        since it may be warm by now. Once its own answer says so, it is probed
+        only if it may get a request.
         """
         now = self.loop.time()
         if now < entry.reported_cold_until:
-            return self._may_send(entry, wanted)
+            return self._may_send(entry, request)
         return self.server_limits.may_send(entry.server, now)
 
     def _may_send(
-        self, entry: servers.ServerEntry, wanted: SelectionRequest
+        self, entry: servers.ServerEntry, request: SelectionRequest
     ) -> bool:
-        """Tells whether a server is warm, or may get a request all the same.
+        """Returns whether a server may get a request.
 
-        In any case no more than it takes, if it names a limit.
+        A limit that the server names always holds. A cold server gets only this
+        daemon's share of the rate that it states.
         """
         now = self.loop.time()
         if not self.server_limits.may_send(entry.server, now):
             return False
-        per_s = wanted.service.cold_per_s
+        per_s = request.service.cold_per_s
         if now >= entry.warm_at or math.isinf(per_s):
             return True
-        start = f"{entry.server.instance} {entry.server.started_ms}"
+        incarnation = f"{entry.server.instance} {entry.server.started_ms}"
         share = self.cold_share()
-        part = cold_start.cold_allowance(
-            self.selector.daemon, start, per_s, share
+        allowance = cold_start.cold_allowance(
+            self.selector.daemon, incarnation, per_s, share
+        )
+        return (
+            allowance.allowed
+            and now >= entry.last_cold_send_at + allowance.spacing_s
         )
-        return part.allowed and now >= entry.last_cold_send_at + part.spacing_s
 
-    def _own_scarce(
+    def _scarce_probes(
         self,
         usable: list[servers.ServerEntry],
-        asked: list[servers.ServerEntry],
+        probed: list[servers.ServerEntry],
     ) -> list[servers.ServerEntry]:
-        """Returns a cold or limited server that is asked besides, if any.
+        """Returns a cold or limited server to probe as well, if there is one.
 
-        Few daemons may send to it, and these are to find it while all other
+        Few daemons may send to it, and these should find it while all other
         servers are full.
         """
         now = self.loop.time()
         found = [
             entry
             for entry in usable
-            if entry not in asked and self._is_scarce(entry, now)
+            if entry not in probed and self._is_scarce(entry, now)
         ]
         return found[:MAX_SCARCE_PROBED]
 
@@ -161,13 +173,14 @@
     def seconds_until_turn(
         self, service: str, attempted: Collection[str]
     ) -> float:
-        """Returns when a server of a service may get a request, in seconds.
+        """Returns the time until a server may get a request, in seconds.
 
-        Zero or less if one may now; infinite if there is none.
+        It is zero or less if one may get a request now, and infinite if there
+        is no server.
 
         Args:
             service: Name of the service.
-            attempted: Instances that do not count.
+            attempted: Instances that are ignored.
         """
         now = self.loop.time()
         times = [
@@ -177,27 +190,27 @@
         ]
         return min(times, default=math.inf) - now
 
-    def _is_hopeless(self, wanted: SelectionRequest) -> bool:
-        """Tells whether waiting for a server is of no use."""
+    def _none_in_time(self, request: SelectionRequest) -> bool:
+        """Returns whether no server can be available in time."""
         now = self.loop.time()
-        name = wanted.service.name
+        name = request.service.name
         if self.table.all_evacuated(name, now):
             return True
-        turn_in_s = self.seconds_until_turn(name, wanted.attempted)
-        # Where there is no server one may register.
+        until_turn_s = self.seconds_until_turn(name, request.attempted)
+        # If there is no server at all, one may still register.
         return (
-            math.isfinite(turn_in_s)
-            and now + turn_in_s > wanted.wait_limits.any_server_until
+            math.isfinite(until_turn_s)
+            and now + until_turn_s > request.wait_limits.any_server_until
         )
 
-    async def _ask(
-        self, wanted: SelectionRequest, usable: list[servers.ServerEntry]
+    async def _probe(
+        self, request: SelectionRequest, usable: list[servers.ServerEntry]
     ) -> list[probing.Candidate]:
-        """Asks some servers, and others if these are not enough."""
-        name = wanted.service.name
-        path = wanted.service.health_path
+        """Probes some servers, and more if none of them is good enough."""
+        name = request.service.name
+        path = request.service.health_path
         first = self.selector.first_probes(name, usable, self.connected(usable))
-        scarce = self._own_scarce(usable, first.probed)
+        scarce = self._scarce_probes(usable, first.probed)
         found = await self.prober.probe(first.probed + scarce, path)
         more = self.selector.more_probes(name, usable, first, found)
         if not more:
--- a/banyantiller/replay/selector_inputs.py
+++ b/banyantiller/replay/selector_inputs.py
@@ -145,7 +145,7 @@
         self,
         service: str,
         usable: list[servers.ServerEntry],
-        connected: selection.Connected = selection.UNCONNECTED,
+        connected: selection.ConnectedServers = selection.NO_CONNECTIONS,
     ) -> selection.ProbePlan:
         """See `ServerSelector.first_probes`."""
         found = self.selector.first_probes(service, usable, connected)
--- a/banyantiller/replay/selector_player.py
+++ b/banyantiller/replay/selector_player.py
@@ -126,7 +126,7 @@
 
     def _first(self, line: traces.Line, item: inputs.First) -> None:
         usable = [self._known(line, name) for name in item.usable]
-        connected = selection.Connected(
+        connected = selection.ConnectedServers(
             frozenset(item.idle), frozenset(item.busy)
         )
         found = self.selector.first_probes(item.service, usable, connected)
--- a/banyantiller/tests/gateway/decisions/__init__.py
+++ b/banyantiller/tests/gateway/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what a gateway decides."""
+"""Tests of the gateway's decisions."""
--- a/banyantiller/tests/gateway/decisions/test_scarce_budget.py
+++ b/banyantiller/tests/gateway/decisions/test_scarce_budget.py
@@ -1,7 +1,7 @@
-"""Replays a service that turns requests away, before a fleet's retry budget.
+"""Simulates a fleet's retry budget while servers reject requests.
 
-Decisions only, without sockets: each daemon has its own small part of the
-budget, callers come back once, to any daemon.
+Only decisions are simulated, without sockets: each daemon has a small share of
+the budget, and callers retry once, at any daemon.
 """
 
 import heapq
@@ -14,15 +14,15 @@
 DAEMONS = 60
 RATE_PER_S = 57.0
 RATIO, EXTRA, WINDOW_S = 0.2, 96.0, 10.0
-# Part of these that daemons use.
+# Shares of RATIO and EXTRA that daemons use.
 RATIO_USE, SHARE_USE = 0.9, 0.8
-# Part of all requests that servers turn away, and when.
-TURNED_AWAY, BEGIN_S, END_S, LAST_S = 0.56, 12.0, 20.0, 22.0
-AGAIN_S = 0.06
+# Share of all requests that servers reject, and when they do, in seconds.
+REJECTED_SHARE, BEGIN_S, END_S, LAST_S = 0.56, 12.0, 20.0, 22.0
+CALLER_RETRY_S = 0.06
 
 
 class Request(NamedTuple):
-    """A request of a caller; ordered by its time."""
+    """A request of a caller; requests are ordered by time."""
 
     at: float
     number: int
@@ -30,7 +30,7 @@
 
 
 class Fleet:
-    """Daemons whose parts of the budget are as in a running gateway."""
+    """Daemons that share the budget as in a running gateway."""
 
     def __init__(self, seed, rounds):
         self.random = random.Random(seed)
@@ -43,34 +43,39 @@
             self.budgets.append(
                 budget.RetryBudget(WINDOW_S, RATIO * RATIO_USE, extra, rounding)
             )
-        self.requests, self.repeats = [], []
+        self.requests, self.retries = [], []
 
-    def turned_away(self, now):
-        return BEGIN_S <= now < END_S and self.random.random() < TURNED_AWAY
+    def rejects(self, now):
+        return BEGIN_S <= now < END_S and self.random.random() < REJECTED_SHARE
 
     def serve(self, request):
-        """Tells whether a request is served."""
+        """Returns whether a request is served."""
         number = self.random.randrange(DAEMONS)
-        kept, now = self.budgets[number], request.at
+        retry_budget, now = self.budgets[number], request.at
         self.requests.append(now)
-        kept.record_request(now)
-        if not self.turned_away(now):
+        retry_budget.record_request(now)
+        if not self.rejects(now):
             return True
-        if not kept.try_spend(now):
+        if not retry_budget.try_spend(now):
             return False
-        self.repeats.append(now)
-        return not self.turned_away(now)
+        self.retries.append(now)
+        return not self.rejects(now)
 
 
 class Outcome(NamedTuple):
-    """What became of the requests while servers turned requests away."""
+    """Result of the time in which servers rejected requests.
+
+    Attributes:
+        served: Share of the requests that were served.
+        max_used: Largest share of the whole budget spent in any window.
+    """
 
     served: float
-    most_used: float
+    max_used: float
 
 
-def play(seed, rounds):
-    """Plays one stretch of time; see `Outcome`."""
+def simulate(seed, rounds):
+    """Simulates `LAST_S` seconds; see `Outcome`."""
     fleet = Fleet(seed, rounds)
     rng = random.Random(seed)
     queue, at, number = [], 0.0, 0
@@ -78,28 +83,28 @@
         at += rng.expovariate(RATE_PER_S)
         number += 1
         heapq.heappush(queue, Request(at, number, at))
-    served, asked = 0, 0
+    served, counted = 0, 0
     while queue:
         request = heapq.heappop(queue)
-        counts = BEGIN_S <= request.first_at < END_S
+        in_outage = BEGIN_S <= request.first_at < END_S
         first = request.at == request.first_at
-        asked += counts and first
+        counted += in_outage and first
         if fleet.serve(request):
-            served += counts
+            served += in_outage
         elif first:
-            again = request._replace(at=request.at + AGAIN_S)
-            heapq.heappush(queue, again)
-    return Outcome(served / asked, most_used(fleet))
+            retry = request._replace(at=request.at + CALLER_RETRY_S)
+            heapq.heappush(queue, retry)
+    return Outcome(served / counted, max_used(fleet))
 
 
-def most_used(fleet):
-    """Returns the greatest part of the whole budget used in any window."""
+def max_used(fleet):
+    """Returns the largest share of the whole budget spent in any window."""
     used = 0.0
-    for begin in fleet.repeats:
+    for begin in fleet.retries:
         ends = begin + WINDOW_S
-        repeats = sum(begin <= at < ends for at in fleet.repeats)
+        retries = sum(begin <= at < ends for at in fleet.retries)
         requests = sum(begin <= at < ends for at in fleet.requests)
-        used = max(used, repeats / (RATIO * requests + EXTRA))
+        used = max(used, retries / (RATIO * requests + EXTRA))
     return used
 
 
@@ -112,19 +117,19 @@
     def setUp(self):
         super().setUp()
         seeds = range(12)
-        self.down = [play(seed, False) for seed in seeds]
-        self.by_chance = [play(seed, True) for seed in seeds]
+        self.rounded_down = [simulate(seed, False) for seed in seeds]
+        self.rounded_at_random = [simulate(seed, True) for seed in seeds]
 
-    def test_more_of_the_budget_is_used(self):
-        before = mean(one.most_used for one in self.down)
-        now = mean(one.most_used for one in self.by_chance)
+    def test_random_rounding_uses_more_of_the_budget(self):
+        before = mean(one.max_used for one in self.rounded_down)
+        now = mean(one.max_used for one in self.rounded_at_random)
         self.assertGreater(now, before + 0.05)
 
-    def test_more_requests_are_served(self):
-        before = mean(one.served for one in self.down)
-        now = mean(one.served for one in self.by_chance)
+    def test_random_rounding_serves_more_requests(self):
+        before = mean(one.served for one in self.rounded_down)
+        now = mean(one.served for one in self.rounded_at_random)
         self.assertGreater(now, before)
 
     def test_whole_budget_is_never_exceeded(self):
-        for one in self.by_chance:
-            self.assertLess(one.most_used, 1.0)
+        for one in self.rounded_at_random:
+            self.assertLess(one.max_used, 1.0)
--- a/banyantiller/tests/gateway/decisions/test_turns.py
+++ b/banyantiller/tests/gateway/decisions/test_turns.py
@@ -1,4 +1,4 @@
-"""Tests of turns at servers that take few requests of all, by many daemons."""
+"""Tests the turns of many daemons at a server that limits requests."""
 
 import math
 import random
@@ -11,18 +11,18 @@
 TOLERANCE = 1.5
 SLACK = 5
 ALONE = turns.FleetPosition(0, 1)
-PLAYED_S = 160.0
+SIMULATED_S = 160.0
 STEP_S = 0.1
 GROUPS = 3
 FLEETS = (13, 112, 312)
 
 
 class Daemon(NamedTuple):
-    """A daemon with requests.
+    """A daemon that has requests for the server.
 
     Attributes:
         group: Number of its group.
-        per_s: Requests a second that it could send to the server.
+        per_s: Requests a second that it would send without a limit.
     """
 
     group: int
@@ -30,12 +30,12 @@
 
 
 def allowed(per_s):
-    """Returns what a window may have."""
+    """Returns the maximum number of requests in a window."""
     return per_s * WINDOW_S * TOLERANCE + SLACK
 
 
-def most(times):
-    """Returns the most of any window."""
+def max_in_window(times):
+    """Returns the largest number of requests in any window."""
     found, first = 0, 0
     for last, at in enumerate(times):
         while times[first] <= at - WINDOW_S:
@@ -48,10 +48,11 @@
     """Daemons that take turns at one server.
 
     Attributes:
-        counted: By how much a group's count is off: 0.5 counts half of it.
-        restarts: Whether daemons are started again now and then.
-        used: What each daemon has used.
-        times: When the server got a request.
+        counted: Error factor of a group's count: with 0.5, half of the daemons
+            are counted.
+        restarts: Whether daemons are restarted from time to time.
+        usage: Which turns each daemon has used.
+        times: Times at which the server got a request.
     """
 
     def __init__(
@@ -66,11 +67,11 @@
             for number in range(size)
         ]
         self.ahead_s = [self.random.uniform(0, 100) for _ in range(GROUPS)]
-        self.used = [turns.TurnUsage(0.0) for _ in self.daemons]
+        self.usage = [turns.TurnUsage(0.0) for _ in self.daemons]
         self.times = []
 
-    def place(self, number):
-        """Returns the place of a daemon, as its group counts it."""
+    def position(self, number):
+        """Returns the position of a daemon, as its group counts it."""
         group = self.daemons[number].group
         members = [
             n for n, one in enumerate(self.daemons) if one.group == group
@@ -79,80 +80,84 @@
         rank = members.index(number) % count
         return turns.FleetPosition(rank, count, GROUPS, self.ahead_s[group])
 
-    def play(self):
-        """Sends for a while; returns the times of what was sent."""
-        places = [self.place(number) for number in range(len(self.daemons))]
-        for step in range(int(PLAYED_S / STEP_S)):
+    def simulate(self):
+        """Sends for `SIMULATED_S`; returns the times of the requests."""
+        positions = [
+            self.position(number) for number in range(len(self.daemons))
+        ]
+        for step in range(int(SIMULATED_S / STEP_S)):
             now = step * STEP_S
             if self.restarts and step % 40 == 0:
                 number = self.random.randrange(len(self.daemons))
-                # One that starts is told the limit half a second later.
-                self.used[number] = turns.TurnUsage(now + 0.5)
+                # A daemon learns the limit half a second after its start.
+                self.usage[number] = turns.TurnUsage(now + 0.5)
             for number, one in enumerate(self.daemons):
                 if self.random.random() < one.per_s * STEP_S:
-                    self._send(number, places[number], now)
+                    self._send(number, positions[number], now)
         return self.times
 
-    def _send(self, number, place, now):
-        used = self.used[number]
-        turn = turns.next_turn(place, "server", self.per_s, used, now)
+    def _send(self, number, position, now):
+        usage = self.usage[number]
+        turn = turns.next_turn(position, "server", self.per_s, usage, now)
         if turn <= now:
-            self.used[number] = used._replace(last=turn)
+            self.usage[number] = usage._replace(last=turn)
             self.times.append(now)
 
 
 class TurnsTest(base.TestCase):
-    def check(self, times, per_s, least_use, what):
-        self.assertLessEqual(most(times), allowed(per_s), what)
-        self.assertGreaterEqual(len(times) / PLAYED_S, least_use * per_s, what)
+    def check(self, times, per_s, min_use, case):
+        self.assertLessEqual(max_in_window(times), allowed(per_s), case)
+        self.assertGreaterEqual(len(times) / SIMULATED_S, min_use * per_s, case)
 
-    def test_limit_is_kept_and_used_at_each_size(self):
+    def test_limit_is_kept_and_used_at_each_fleet_size(self):
         for size in FLEETS:
             for per_s in (0.7, 1.3, 6.0):
-                times = Fleet(size, per_s, seed=1).play()
+                times = Fleet(size, per_s, seed=1).simulate()
                 self.check(times, per_s, 0.5, (size, per_s))
-                # Turns of a window and of the time for which they are kept.
+                # Turns of the window, and earlier ones that are still valid.
                 bound = per_s * (WINDOW_S + turns.VALID_S) + GROUPS
-                self.assertLessEqual(most(times), bound, (size, per_s))
+                self.assertLessEqual(max_in_window(times), bound, (size, per_s))
 
-    def test_limit_is_kept_where_the_fleet_is_counted_half_or_double(self):
+    def test_limit_is_kept_if_the_fleet_is_counted_half_or_double(self):
         for size in FLEETS:
-            for counted, least_use in ((0.5, 0.5), (2.0, 0.25)):
-                times = Fleet(size, 1.3, seed=2, counted=counted).play()
-                self.check(times, 1.3, least_use, (size, counted))
+            for counted, min_use in ((0.5, 0.5), (2.0, 0.25)):
+                times = Fleet(size, 1.3, seed=2, counted=counted).simulate()
+                self.check(times, 1.3, min_use, (size, counted))
 
-    def test_limit_is_kept_while_daemons_are_started_again(self):
+    def test_limit_is_kept_while_daemons_restart(self):
         for size in FLEETS:
-            times = Fleet(size, 1.3, seed=3, restarts=True).play()
+            times = Fleet(size, 1.3, seed=3, restarts=True).simulate()
             self.check(times, 1.3, 0.4, size)
 
     def test_few_daemons_with_many_requests_use_the_limit(self):
-        times = Fleet(3, 20.0, seed=4, load=30.0).play()
+        times = Fleet(3, 20.0, seed=4, load=30.0).simulate()
         self.check(times, 20.0, 0.9, "few")
 
-    def test_turn_that_was_not_used_in_time_is_lost(self):
-        used = turns.TurnUsage(0.0)
-        turn = turns.next_turn(ALONE, "server", 0.2, used, 100.0)
+    def test_unused_turn_expires(self):
+        usage = turns.TurnUsage(0.0)
+        turn = turns.next_turn(ALONE, "server", 0.2, usage, 100.0)
         late = turns.next_turn(
-            ALONE, "server", 0.2, used, turn + turns.VALID_S + 0.1
+            ALONE, "server", 0.2, usage, turn + turns.VALID_S + 0.1
         )
         self.assertGreater(late, turn + turns.VALID_S + 0.1)
 
-    def test_turn_is_used_once_also_if_the_place_changes_a_little(self):
+    def test_turn_is_used_once_even_if_the_clock_offset_changes(self):
         rng = random.Random(5)
         for _ in range(200):
-            place = turns.FleetPosition(
+            position = turns.FleetPosition(
                 rng.randrange(30), 30, 3, rng.uniform(0, 9)
             )
-            moved = place._replace(ahead_s=place.ahead_s + rng.uniform(-1, 1))
+            shifted = position._replace(
+                ahead_s=position.ahead_s + rng.uniform(-1, 1)
+            )
             first = turns.next_turn(
-                place, "s", 1.3, turns.TurnUsage(0.0), 500.0
+                position, "s", 1.3, turns.TurnUsage(0.0), 500.0
             )
-            used = turns.TurnUsage(0.0, first)
-            again = turns.next_turn(moved, "s", 1.3, used, first)
+            usage = turns.TurnUsage(0.0, first)
+            again = turns.next_turn(shifted, "s", 1.3, usage, first)
             self.assertGreater(again, first + turns.VALID_S)
 
-    def test_limit_of_nothing_leaves_a_try_now_and_then(self):
-        times = Fleet(13, 0.0, seed=6).play()
-        self.assertLessEqual(most(times), 1 + GROUPS)
+    def test_limit_of_zero_still_allows_occasional_requests(self):
+        times = Fleet(13, 0.0, seed=6).simulate()
+        self.assertLessEqual(max_in_window(times), 1 + GROUPS)
         self.assertGreater(len(times), 5)
--- a/banyantiller/tests/gateway/decisions/test_waiting.py
+++ b/banyantiller/tests/gateway/decisions/test_waiting.py
@@ -1,74 +1,76 @@
-"""Tests of what is learned of durations, and of how long requests wait."""
+"""Tests the estimates of durations and how long requests wait."""
 
 import random
 
 from banyantiller.gateway.decisions import durations, waiting
 from banyantiller.tests import base
 
-# Usual durations and objectives of services of unlike shape, in seconds.
-SHAPES = ((0.005, 0.02), (0.06, 0.2), (0.22, 0.6), (2.0, 5.0), (0.02, 2.0))
+# Usual durations and latency objectives of different services, in seconds.
+SERVICES = ((0.005, 0.02), (0.06, 0.2), (0.22, 0.6), (2.0, 5.0), (0.02, 2.0))
 
 
-def learned(usual_s, answers=30, seed=1):
-    """Returns what is known after some answers of a route."""
-    known = durations.Durations()
+def recorded_durations(usual_s, responses=30, seed=1):
+    """Returns the estimates after some responses of a route."""
+    estimates = durations.Durations()
     rng = random.Random(seed)
-    for _ in range(answers):
-        known.record_duration("r", usual_s * rng.lognormvariate(0.0, 0.3))
-    return known
+    for _ in range(responses):
+        estimates.record_duration("r", usual_s * rng.lognormvariate(0.0, 0.3))
+    return estimates
 
 
 class DurationsTest(base.TestCase):
-    def test_services_of_unlike_shape_are_learned_from_a_few_answers(self):
-        for usual_s, objective_s in SHAPES:
-            found = learned(usual_s).usual_s("r", objective_s) / usual_s
+    def test_few_responses_give_a_good_estimate(self):
+        for usual_s, objective_s in SERVICES:
+            found = (
+                recorded_durations(usual_s).usual_s("r", objective_s) / usual_s
+            )
             self.assertTrue(0.85 < found < 1.15, (usual_s, found))
 
-    def test_before_any_answer_the_objective_tells(self):
-        known = durations.Durations()
-        self.assertAlmostEqual(0.24, known.usual_s("r", 0.6))
+    def test_objective_gives_the_first_estimate(self):
+        estimates = durations.Durations()
+        self.assertAlmostEqual(0.24, estimates.usual_s("r", 0.6))
 
-    def test_one_answer_that_was_held_up_says_little(self):
-        known = learned(0.2)
-        before = known.usual_s("r", 0.6)
-        known.record_duration("r", 6.0)
-        self.assertLess(known.usual_s("r", 0.6), 1.25 * before)
+    def test_one_slow_response_changes_little(self):
+        estimates = recorded_durations(0.2)
+        before = estimates.usual_s("r", 0.6)
+        estimates.record_duration("r", 6.0)
+        self.assertLess(estimates.usual_s("r", 0.6), 1.25 * before)
 
-    def test_work_that_changes_is_learned_anew(self):
-        known = learned(0.2)
+    def test_estimate_follows_a_changed_duration(self):
+        estimates = recorded_durations(0.2)
         for _ in range(60):
-            known.record_duration("r", 1.0)
-        self.assertGreater(known.usual_s("r", 0.6), 0.9)
+            estimates.record_duration("r", 1.0)
+        self.assertGreater(estimates.usual_s("r", 0.6), 0.9)
 
-    def test_routes_that_are_gone_are_forgotten(self):
-        known = learned(0.2)
-        known.record_duration("s", 0.1)
-        known.retain_routes(frozenset({"s"}))
-        self.assertEqual({"s"}, set(known.usual))
-        self.assertAlmostEqual(0.24, known.usual_s("r", 0.6))
+    def test_removed_routes_are_forgotten(self):
+        estimates = recorded_durations(0.2)
+        estimates.record_duration("s", 0.1)
+        estimates.retain_routes(frozenset({"s"}))
+        self.assertEqual({"s"}, set(estimates.mean_logs))
+        self.assertAlmostEqual(0.24, estimates.usual_s("r", 0.6))
 
 
-class LimitTest(base.TestCase):
+class WaitLimitsTest(base.TestCase):
     def wait(self, usual_s, objective_s, urgent=False):
         return waiting.wait_limits(
             objective_s, usual_s, urgent, 0.0
         ).any_server_until
 
-    def spare(self, usual_s, objective_s):
+    def keep_last_slot(self, usual_s, objective_s):
         return waiting.wait_limits(
             objective_s, usual_s, False, 0.0
         ).keep_last_slot_until
 
-    def test_slot_to_spare_is_waited_for_as_long_as_that_can_gain(self):
-        for usual_s, objective_s in SHAPES:
-            found = self.spare(usual_s, objective_s)
+    def test_last_slot_is_kept_only_while_waiting_can_gain(self):
+        for usual_s, objective_s in SERVICES:
+            found = self.keep_last_slot(usual_s, objective_s)
             self.assertLessEqual(found, 0.25 * usual_s)
             self.assertLessEqual(found, 0.07 * objective_s)
-        self.assertAlmostEqual(0.042, self.spare(0.22, 0.6))
-        self.assertAlmostEqual(0.005, self.spare(0.02, 2.0))
+        self.assertAlmostEqual(0.042, self.keep_last_slot(0.22, 0.6))
+        self.assertAlmostEqual(0.005, self.keep_last_slot(0.02, 2.0))
 
-    def test_time_for_the_work_is_left(self):
-        for usual_s, objective_s in SHAPES:
+    def test_time_for_the_request_itself_is_left(self):
+        for usual_s, objective_s in SERVICES:
             wait_s = self.wait(usual_s, objective_s)
             left_s = objective_s - wait_s
             self.assertTrue(
