--- a/banyantiller/claims/breaker.py
+++ b/banyantiller/claims/breaker.py
@@ -1,36 +1,38 @@
-"""Stops asking an object API that does not answer."""
+"""A circuit breaker for calls to an object API that does not respond."""
 
-FAILURES_TO_STOP = 3
-TRIAL_S = 0.5
+MAX_FAILURES = 3
+TRIAL_INTERVAL_S = 0.5
 
 
-class Breaker:
-    """Lets one trial in `TRIAL_S` through while calls fail.
+class CircuitBreaker:
+    """Allows one trial call per `TRIAL_INTERVAL_S` while it is open.
+
+    It opens after `MAX_FAILURES` consecutive failures.
 
     Attributes:
-        failures: Calls in a row that were not answered.
-        trial_at: Loop time of the next trial.
+        failures: Number of consecutive calls without a response.
+        next_trial_at: Loop time of the next trial, in seconds.
     """
 
     def __init__(self) -> None:
         self.failures = 0
-        self.trial_at = 0.0
+        self.next_trial_at = 0.0
 
-    def answered(self) -> None:
-        """A call was answered."""
+    def record_success(self) -> None:
+        """Records a call that got a response; closes the breaker."""
         self.failures = 0
 
-    def failed(self, now: float) -> None:
-        """A call was not answered."""
+    def record_failure(self, now: float) -> None:
+        """Records a call that got no response."""
         self.failures += 1
-        if self.failures == FAILURES_TO_STOP:
-            self.trial_at = now + TRIAL_S
+        if self.failures == MAX_FAILURES:
+            self.next_trial_at = now + TRIAL_INTERVAL_S
 
-    def may_try(self, now: float) -> bool:
-        """Tells whether to call, and counts that as the trial."""
-        if self.failures < FAILURES_TO_STOP:
+    def allows_call(self, now: float) -> bool:
+        """Returns whether a call is allowed; counts it as the trial."""
+        if self.failures < MAX_FAILURES:
             return True
-        if now < self.trial_at:
+        if now < self.next_trial_at:
             return False
-        self.trial_at = now + TRIAL_S
+        self.next_trial_at = now + TRIAL_INTERVAL_S
         return True
--- a/banyantiller/proxy/probe.py
+++ b/banyantiller/proxy/probe.py
@@ -1,11 +1,11 @@
-"""A probe: one cheap request that asks a server for its load."""
+"""Probes: small requests that query a server for its load."""
 
 from typing import TYPE_CHECKING
 
 import h11
 
 from banyantiller.errors import ErrorKind
-from banyantiller.proxy import backend, headers, watchdog
+from banyantiller.proxy import backend, headers, timers
 from banyantiller.proxy import pool as pools
 from banyantiller.routing.types import LoadReport
 
@@ -17,10 +17,10 @@
 
 
 class Probe:
-    """Sends one probe; `Borrower` of the pool, `Exchange` of the connection.
+    """Sends a probe; `Borrower` of the pool, `Exchange` of the connection.
 
     Attributes:
-        report: Load that the answer told, if any.
+        report: Load reported by the response, or None.
     """
 
     def __init__(
@@ -29,15 +29,15 @@
         self.driver = driver
         self.server = server
         self.pool = pool
-        self.proven = False
-        self.wanted = True
+        self.requires_proven = False
+        self.is_waiting = True
         self.connection: backend.BackendConnection | None = None
         self.report: LoadReport | None = None
-        self.watch = watchdog.Watchdog(driver.loop, self._expired)
+        self.timer = timers.LazyTimer(driver.loop, self._expired)
 
-    def begin(self) -> None:
-        """Asks for a connection and starts the timer."""
-        self.watch.set(self.driver.loop.time() + PROBE_TIMEOUT_S)
+    def start(self) -> None:
+        """Acquires a connection and starts the timer."""
+        self.timer.set_lazily(self.driver.loop.time() + PROBE_TIMEOUT_S)
         self.pool.acquire(self)
 
     def connected(self, connection: backend.BackendConnection) -> None:
@@ -50,45 +50,47 @@
             target=service.measuring.path,
             headers=[(b"Host", host.encode("ascii")), USER_AGENT],
         )
-        connection.begin(self, request)
+        connection.start_exchange(self, request)
         connection.send_end(headers.END)
         connection.flush()
 
-    def connect_failed(self, kind: ErrorKind) -> None:  # noqa: ARG002
-        """The probe failed."""
+    def connect_failed(self, error_kind: ErrorKind) -> None:  # noqa: ARG002
+        """Fails the probe."""
         self._fail()
 
-    def informational(self, event: h11.InformationalResponse) -> None:
-        """Has no meaning for a probe."""
+    def informational_received(self, event: h11.InformationalResponse) -> None:
+        """Ignores informational responses."""
 
-    def head(self, event: h11.Response) -> None:
-        """Reads the load."""
-        loads = self.driver.loads
-        told = headers.get(headers.received(event.headers), loads.header)
-        if told is not None:
-            self.report = loads.read(told, "probe")
+    def head_received(self, event: h11.Response) -> None:
+        """Reads the load report."""
+        load_reader = self.driver.load_reader
+        value = headers.get(
+            headers.raw_fields(event.headers), load_reader.header
+        )
+        if value is not None:
+            self.report = load_reader.read(value, "probe")
 
-    def data(self, data: bytes) -> None:
-        """The body of a probe's answer is dropped."""
+    def data_received(self, data: bytes) -> None:
+        """Discards the response body."""
 
-    def end(self, event: h11.EndOfMessage) -> None:  # noqa: ARG002
-        """Passes the load on."""
-        self.watch.stop()
-        self.wanted = False
+    def end_received(self, event: h11.EndOfMessage) -> None:  # noqa: ARG002
+        """Reports the load to the driver."""
+        self.timer.stop()
+        self.is_waiting = False
         if self.report is None:
             self.driver.probe_failed(self.server)
         else:
-            self.driver.probed(self.server, self.report)
+            self.driver.probe_succeeded(self.server, self.report)
 
-    def failed(self, kind: ErrorKind) -> None:  # noqa: ARG002
-        """The probe failed."""
+    def connection_failed(self, error_kind: ErrorKind) -> None:  # noqa: ARG002
+        """Fails the probe."""
         self._fail()
 
     def flush(self) -> None:
-        """Nothing is passed on."""
+        """Does nothing, as no data is forwarded."""
 
-    def writable(self, now: bool) -> None:
-        """A probe has no body."""
+    def set_writable(self, writable: bool) -> None:
+        """Does nothing, as a probe has no body."""
 
     def _expired(self) -> None:
         if self.connection is not None:
@@ -96,7 +98,7 @@
         self._fail()
 
     def _fail(self) -> None:
-        self.watch.stop()
-        if self.wanted:
-            self.wanted = False
+        self.timer.stop()
+        if self.is_waiting:
+            self.is_waiting = False
             self.driver.probe_failed(self.server)
--- a/banyantiller/tests/claims/test_at_most_once.py
+++ b/banyantiller/tests/claims/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Counts runs while daemons die, pause and lose answers at every point."""
+"""Counts runs while daemons crash, pause or lose responses at any await."""
 
 import asyncio
 import collections
@@ -19,7 +19,7 @@
 LOST = faulty.Step(fault="lost")
 LATE = faulty.Step(fault="late")
 STALE = faulty.Step(fault="stale")
-# Schedules of the store that make the path longer than create and update.
+# Store schedules that lead to more calls than a create and an update.
 SCHEDULES = (
     (),
     (LOST,),
@@ -30,46 +30,48 @@
 )
 
 
-class Stop:
-    """Stops a daemon at one await point of its path.
+class PausePoint:
+    """Stops a daemon at one await point.
 
     Attributes:
-        reached: Whether the daemon came to the point.
-        woken: Set to let a paused daemon go on.
+        reached: Whether the daemon reached the point.
+        resumed: Set to let a paused daemon continue.
     """
 
     def __init__(self, at: int) -> None:
         self.at = at
         self.passed = 0
         self.reached = False
-        self.woken = asyncio.Event()
+        self.resumed = asyncio.Event()
 
     async def gate(self, point: str) -> None:
         self.passed += 1
         if self.passed == self.at:
             self.reached = True
-            await self.woken.wait()
+            await self.resumed.wait()
 
 
 async def run_stopped(
     at: int,
     steps: tuple[faulty.Step, ...],
     refused: bool,
-    wake: bool,
+    resume: bool,
 ) -> tuple[bool, int]:
-    """Runs one daemon up to a point, then others, then may wake the first.
+    """Runs a daemon up to a point, then its peers, then may resume it.
 
-    The first daemon's timers stand still while the others' wall clock goes
-    on by days. A new daemon of the same name takes its place meanwhile.
+    The first daemon's timers are frozen while the wall clock advances by
+    days. Meanwhile a new daemon of the same name replaces it.
 
     Returns:
         Whether the point was reached, and the number of runs.
     """
     fleet = faulty.Fleet()
-    stop = Stop(at)
+    stop = PausePoint(at)
     first = fleet.daemon("d1", stop.gate, steps)
     loop = asyncio.get_running_loop()
-    path = asyncio.create_task(fleet.serve(first, REQUEST, FOREVER_S, refused))
+    serving = asyncio.create_task(
+        fleet.serve(first, REQUEST, FOREVER_S, refused)
+    )
     await asyncio.sleep(1)
     if stop.reached:
         await asyncio.sleep(20)
@@ -77,35 +79,35 @@
     for name in ("d2", "d1"):
         await fleet.serve(fleet.daemon(name), REQUEST, loop.time() + 5)
         await asyncio.sleep(50)
-    if wake:
-        stop.woken.set()
-        await path
+    if resume:
+        stop.resumed.set()
+        await serving
         settling = asyncio.create_task(first.settler.run())
         await asyncio.sleep(20)
         settling.cancel()
         await fleet.serve(first, REQUEST, loop.time() + 5)
-    path.cancel()
+    serving.cancel()
     await fleet.serve(fleet.daemon("d4"), REQUEST, loop.time() + 5)
     return stop.reached, fleet.runs["k1"]
 
 
 class StoppedDaemonTest(base.TestCase):
-    def test_death_and_pause_at_each_await_point(self) -> None:
+    def test_crash_and_pause_at_each_await_point(self) -> None:
         seen = collections.Counter()
-        for steps, refused, wake in itertools.product(
+        for steps, refused, resume in itertools.product(
             SCHEDULES, (False, True), (False, True)
         ):
             for at in itertools.count(1):
                 reached, runs = self.run_paused(
-                    run_stopped(at, steps, refused, wake)
+                    run_stopped(at, steps, refused, resume)
                 )
-                note = f"{steps} refused={refused} wake={wake} at={at}"
+                note = f"{steps} refused={refused} resume={resume} at={at}"
                 self.assertTrue(runs <= 1, note)
                 seen[reached, runs] += 1
                 if not reached:
                     self.assertEqual(1, runs, note)
                     break
-        # Stopped paths, some of which ran and some of which could not.
+        # Both kinds of stopped scenarios occur: the key ran or never ran.
         self.assertTrue(seen[True, 1] > 50, seen)
         self.assertTrue(seen[True, 0] > 10, seen)
 
@@ -118,14 +120,14 @@
     async def cancel_and_retry(
         self, at: int, steps: tuple[faulty.Step, ...]
     ) -> int:
-        """Cancels a claim; its daemon settles, so that another may run."""
+        """Cancels a claim; its daemon settles it, so that a peer may run."""
         fleet = faulty.Fleet()
-        stop = Stop(at)
+        stop = PausePoint(at)
         first = fleet.daemon("d1", stop.gate, steps)
         claiming = asyncio.create_task(first.claim(REQUEST, FOREVER_S))
         await asyncio.sleep(1)
         claiming.cancel()
-        stop.woken.set()
+        stop.resumed.set()
         await asyncio.gather(claiming, return_exceptions=True)
         if not claiming.cancelled():
             await first.release(REQUEST, claiming.result().nonce)
@@ -139,7 +141,7 @@
     def test_claim_races_with_the_release_of_its_orphan(self) -> None:
         async def scenario() -> None:
             fleet = faulty.Fleet()
-            # Create, read of the earlier record, and read and update of the
+            # Create, read of the legacy record, then read and update of the
             # release.
             slow_release = (
                 faulty.Step(after_s=1.0),
@@ -150,7 +152,7 @@
             first = fleet.daemon("d1", steps=slow_release)
             settling = asyncio.create_task(first.settler.run())
             denied = await fleet.serve(first, REQUEST, 0.5)
-            self.assertTrue(says_ran(denied, Ran.NO))
+            self.assertTrue(reports_ran(denied, Ran.NO))
             await asyncio.sleep(1)
             self.assertEqual(1, first.store.calls["update"])
             granted = await first.claim(REQUEST, 5)
@@ -167,20 +169,20 @@
     """One caller of a random interleaving.
 
     Attributes:
-        daemon: Index of the daemon that it reaches.
-        starts_s: When it starts.
-        patience_s: Time to its deadline.
-        leaves_s: When it hangs up, counted from its start.
+        daemon: Index of the daemon that it connects to.
+        starts_s: Start time in seconds.
+        timeout_s: Seconds from its start to its deadline.
+        disconnects_s: Seconds from its start until it disconnects.
         refused: Whether the backend server refuses its connection.
-        repeats: Whether it asks another daemon when told "not run".
+        retries: Whether it retries at another daemon after "not run".
     """
 
     daemon: int
     starts_s: float
-    patience_s: float
-    leaves_s: float
+    timeout_s: float
+    disconnects_s: float
     refused: bool
-    repeats: bool
+    retries: bool
 
 
 DELAYS = strategies.sampled_from((0.0, 0.001, 0.5, 3.0, 30.0))
@@ -201,8 +203,8 @@
 )
 
 
-def says_ran(outcome: types.ClaimOutcome, ran: Ran) -> bool:
-    """Tells whether the caller is told this about its request."""
+def reports_ran(outcome: types.ClaimOutcome, ran: Ran) -> bool:
+    """Returns whether an outcome reports this `ran` to the caller."""
     if isinstance(outcome, types.Denied):
         return outcome.failure.answer.ran == ran
     return isinstance(outcome, types.Finished) and ran == Ran.YES
@@ -214,7 +216,7 @@
     """Runs callers over three daemons.
 
     Returns:
-        Runs, and answers that claim a run which there was not.
+        Number of runs, and of responses that report a run that never was.
     """
     fleet = faulty.Fleet()
     daemons = [
@@ -222,24 +224,24 @@
         for index, steps in enumerate(schedules)
     ]
     loop = asyncio.get_running_loop()
-    lies = 0
+    false_reports = 0
 
     async def call(caller: Caller, index: int) -> None:
-        nonlocal lies
+        nonlocal false_reports
         outcome = await fleet.serve(
             daemons[index],
             REQUEST,
-            loop.time() + caller.patience_s,
+            loop.time() + caller.timeout_s,
             caller.refused,
         )
-        lies += says_ran(outcome, Ran.YES) and not fleet.runs["k1"]
-        if caller.repeats and says_ran(outcome, Ran.NO):
-            await call(caller._replace(repeats=False), (index + 1) % 3)
+        false_reports += reports_ran(outcome, Ran.YES) and not fleet.runs["k1"]
+        if caller.retries and reports_ran(outcome, Ran.NO):
+            await call(caller._replace(retries=False), (index + 1) % 3)
 
     async def follow(caller: Caller) -> None:
         await asyncio.sleep(caller.starts_s)
         try:
-            async with asyncio.timeout(caller.leaves_s):
+            async with asyncio.timeout(caller.disconnects_s):
                 await call(caller, caller.daemon)
         except TimeoutError:
             pass
@@ -251,7 +253,7 @@
         await call(Caller(index, 0, 5, 1000, False, False), index)
     for task in settling:
         task.cancel()
-    return fleet.runs["k1"], lies
+    return fleet.runs["k1"], false_reports
 
 
 class InterleavingTest(base.TestCase):
@@ -267,6 +269,6 @@
     def test_random_faults_never_run_a_key_twice(
         self, callers: list[Caller], schedules: list[list[faulty.Step]]
     ) -> None:
-        runs, lies = self.run_paused(interleave(callers, schedules))
+        runs, false_reports = self.run_paused(interleave(callers, schedules))
         self.assertTrue(runs <= 1, f"{runs} runs")
-        self.assertEqual(0, lies)
+        self.assertEqual(0, false_reports)
--- a/banyantiller/tests/proxy/test_at_most_once.py
+++ b/banyantiller/tests/proxy/test_at_most_once.py
@@ -1,11 +1,11 @@
-"""Tests of what is sent again, to whom, and what the caller is told."""
+"""Tests of which requests are retried, where, and what the caller gets."""
 
 import asyncio
 import contextlib
 from unittest import mock
 
 from banyantiller.bundle import options
-from banyantiller.claims.types import RecordedAnswer
+from banyantiller.claims.types import RecordedResponse
 from banyantiller.proxy import attempt, call, driver
 from banyantiller.tests import base
 from banyantiller.tests.proxy import fakes
@@ -23,8 +23,8 @@
 )
 
 
-def dying(when: str, seen: list[bytes]) -> fakes.Script:
-    """Returns a script of a server that dies at one point of an exchange."""
+def crashing(when: str, seen: list[bytes]) -> fakes.Script:
+    """Returns a script of a server that crashes at one point of an exchange."""
 
     async def script(connection: fakes.FakeConnection) -> None:
         if when == "before the request":
@@ -39,10 +39,10 @@
             await connection.reader.readexactly(3)
         if when == "after the request":
             return
-        if when == "amid the answer head":
+        if when == "amid the response head":
             await connection.send(OK[:10])
             return
-        if when == "after the answer head":
+        if when == "after the response head":
             await connection.send(OK[:-2])
             return
         await connection.send(OK[:-1])
@@ -50,75 +50,75 @@
     return script
 
 
-DEATHS = (
+CRASH_POINTS = (
     "before the request",
     "amid the request",
     "after the request",
-    "amid the answer head",
-    "after the answer head",
-    "amid the answer body",
+    "amid the response head",
+    "after the response head",
+    "amid the response body",
 )
 
 
 class AtMostOnceTest(base.TestCase):
-    def ask(
+    def exchange(
         self, request: bytes, first: fakes.Script | None, second: fakes.Script
     ) -> tuple[bytes, fakes.Bench]:
         async def body() -> tuple[bytes, fakes.Bench]:
             bench = await fakes.Bench.start(first, second)
-            answer = await bench.ask(request, wait_s=20)
+            response = await bench.exchange(request, wait_s=20)
             await asyncio.sleep(0.1)
             await bench.proxy.close()
-            return answer, bench
+            return response, bench
 
         return self.run_paused(body())
 
     def test_non_idempotent_request_is_not_sent_twice(self) -> None:
-        for when in DEATHS:
+        for when in CRASH_POINTS:
             for request in (POST, KEYED):
                 first: list[bytes] = []
                 second: list[bytes] = []
-                answer, bench = self.ask(
-                    request, dying(when, first), fakes.answering(OK, second)
+                response, bench = self.exchange(
+                    request, crashing(when, first), fakes.responding(OK, second)
                 )
                 self.assertLessEqual(len(first) + len(second), 1, when)
                 self.assertEqual([], second, when)
-                if when in DEATHS[4:]:
+                if when in CRASH_POINTS[4:]:
                     self.assertTrue(bench.finished[0].cut, when)
                 else:
-                    self.assertIn(b"request-ran: unknown", answer, when)
+                    self.assertIn(b"request-ran: unknown", response, when)
 
-    def test_idempotent_request_is_sent_again_until_an_answer_began(
+    def test_idempotent_request_is_retried_until_a_response_began(
         self,
     ) -> None:
-        for when in DEATHS:
+        for when in CRASH_POINTS:
             second: list[bytes] = []
-            answer, bench = self.ask(
-                GET, dying(when, []), fakes.answering(OK, second)
+            response, bench = self.exchange(
+                GET, crashing(when, []), fakes.responding(OK, second)
             )
-            if when in DEATHS[4:]:
+            if when in CRASH_POINTS[4:]:
                 self.assertEqual([], second, when)
                 self.assertTrue(bench.finished[0].cut, when)
             else:
                 self.assertEqual(1, len(second), when)
-                self.assertIn(b"200", answer, when)
+                self.assertIn(b"200", response, when)
                 self.assertEqual(2, bench.finished[0].attempts, when)
 
-    def test_what_was_not_run_is_sent_elsewhere(self) -> None:
-        for first in (None, fakes.answering(NOT_RUN)):
+    def test_request_that_was_not_run_is_retried(self) -> None:
+        for first in (None, fakes.responding(NOT_RUN)):
             for request in (GET, POST, KEYED):
                 second: list[bytes] = []
-                answer, _ = self.ask(
-                    request, first, fakes.answering(OK, second)
+                response, _ = self.exchange(
+                    request, first, fakes.responding(OK, second)
                 )
-                self.assertIn(b" 200 ", answer)
+                self.assertIn(b" 200 ", response)
                 self.assertEqual(1, len(second))
 
-    def test_body_that_grows_too_large_midway_may_have_run(self) -> None:
+    def test_body_that_exceeds_the_limit_midway_may_have_run(self) -> None:
         async def body() -> None:
             settings = fakes.make_settings(max_body_bytes=4)
             bench = await fakes.Bench.start(
-                fakes.answering(), settings=settings
+                fakes.responding(), settings=settings
             )
             caller = await bench.connect()
             await caller.send(
@@ -134,10 +134,10 @@
 
         self.run_paused(body())
 
-    def test_keyed_request_is_asked_for_its_body_at_once(self) -> None:
+    def test_keyed_request_gets_100_continue_at_once(self) -> None:
         async def body() -> None:
             seen: list[bytes] = []
-            bench = await fakes.Bench.start(fakes.answering(OK, seen))
+            bench = await fakes.Bench.start(fakes.responding(OK, seen))
             caller = await bench.connect()
             head, _, sent = KEYED.partition(b"\r\n\r\n")
             await caller.send(head + b"\r\nExpect: 100-continue\r\n\r\n")
@@ -150,13 +150,13 @@
 
         self.run_paused(body())
 
-    def test_claim_names_the_host_as_routes_read_it(self) -> None:
+    def test_claim_has_the_normalized_host(self) -> None:
         async def claimed_host(request: bytes) -> str:
-            bench = await fakes.Bench.start(fakes.answering(OK))
+            bench = await fakes.Bench.start(fakes.responding(OK))
             with mock.patch.object(
                 bench.claims, "claim", wraps=bench.claims.claim
             ) as claim:
-                await bench.ask(request)
+                await bench.exchange(request)
             await bench.proxy.close()
             return claim.call_args.args[0].host
 
@@ -164,49 +164,53 @@
             request = KEYED.replace(b"Host: x", line)
             self.assertEqual("x", self.run_paused(claimed_host(request)))
 
-    def test_503_without_the_agreed_header_is_an_answer(self) -> None:
+    def test_503_without_the_not_run_header_is_relayed(self) -> None:
         busy = b"HTTP/1.1 503 X\r\nContent-Length: 4\r\n\r\nbusy"
         second: list[bytes] = []
-        answer, _ = self.ask(
-            POST, fakes.answering(busy), fakes.answering(OK, second)
+        response, _ = self.exchange(
+            POST, fakes.responding(busy), fakes.responding(OK, second)
         )
-        self.assertTrue(answer.endswith(b"busy"))
+        self.assertTrue(response.endswith(b"busy"))
         self.assertEqual([], second)
 
-    def test_told_not_run_only_if_no_try_may_have_run(self) -> None:
-        answer, _ = self.ask(
-            GET, dying("after the request", []), fakes.answering(NOT_RUN)
+    def test_not_run_is_reported_only_if_no_attempt_may_have_run(self) -> None:
+        response, _ = self.exchange(
+            GET, crashing("after the request", []), fakes.responding(NOT_RUN)
         )
-        self.assertIn(b"request-ran: unknown", answer)
-        self.assertNotIn(b"Retry-After", answer)
-        answer, _ = self.ask(
-            POST, fakes.answering(NOT_RUN), fakes.answering(NOT_RUN)
+        self.assertIn(b"request-ran: unknown", response)
+        self.assertNotIn(b"Retry-After", response)
+        response, _ = self.exchange(
+            POST, fakes.responding(NOT_RUN), fakes.responding(NOT_RUN)
         )
-        self.assertIn(b"request-ran: no", answer)
+        self.assertIn(b"request-ran: no", response)
 
-    def test_claim_is_settled_by_what_happened(self) -> None:
+    def test_claim_is_settled_by_the_outcome(self) -> None:
         big = b"HTTP/1.1 200 X\r\nContent-Length: 20000\r\n\r\n" + b"x" * 20000
         cases = (
-            (fakes.answering(OK), "finish", b"ok"),
-            (fakes.answering(big), "finish", None),
-            (dying("amid the answer body", []), "finish", None),
-            (dying("after the request", []), "unsettled", None),
-            (fakes.answering(NOT_RUN), "release", None),
+            (fakes.responding(OK), "finish", b"ok"),
+            (fakes.responding(big), "finish", None),
+            (crashing("amid the response body", []), "finish", None),
+            (crashing("after the request", []), "mark_unknown", None),
+            (fakes.responding(NOT_RUN), "release", None),
             (None, "release", None),
         )
-        for script, wanted, kept in cases:
-            _, bench = self.ask(KEYED, script, fakes.answering(NOT_RUN))
-            ((kind, key, *rest),) = bench.claims.settled
-            self.assertEqual((wanted, "k1"), (kind, key))
-            if wanted == "finish":
-                self.assertEqual((200, kept), (rest[0].status, rest[0].body))
-
-    def test_claim_of_a_request_that_ran_is_kept_after_a_fault(self) -> None:
+        for script, expected, expected_body in cases:
+            _, bench = self.exchange(KEYED, script, fakes.responding(NOT_RUN))
+            ((action, key, *rest),) = bench.claims.settled
+            self.assertEqual((expected, "k1"), (action, key))
+            if expected == "finish":
+                self.assertEqual(
+                    (200, expected_body), (rest[0].status, rest[0].body)
+                )
+
+    def test_claim_of_a_request_that_ran_is_not_released_on_errors(
+        self,
+    ) -> None:
         async def settled(owner: type, name: str) -> list[str]:
-            bench = await fakes.Bench.start(fakes.answering(OK))
+            bench = await fakes.Bench.start(fakes.responding(OK))
             fault = mock.patch.object(owner, name, side_effect=RuntimeError)
             with fault, contextlib.suppress(TimeoutError, ConnectionError):
-                await bench.ask(KEYED, wait_s=10)
+                await bench.exchange(KEYED, wait_s=10)
             await asyncio.sleep(0.1)
             await bench.proxy.close()
             return [item[0] for item in bench.claims.settled]
@@ -218,11 +222,11 @@
             (call.Call, "relay_head"),
         ):
             found = self.run_paused(settled(owner, name))
-            self.assertEqual(["unsettled"], found, name)
+            self.assertEqual(["mark_unknown"], found, name)
 
-    def test_claim_of_a_caller_that_left_is_given_back(self) -> None:
+    def test_claim_of_a_disconnected_caller_is_released(self) -> None:
         async def body() -> None:
-            bench = await fakes.Bench.start(fakes.answering(OK))
+            bench = await fakes.Bench.start(fakes.responding(OK))
             caller = await bench.connect()
             await caller.send(KEYED)
             await asyncio.sleep(0.0005)
@@ -234,26 +238,26 @@
 
         self.run_paused(body())
 
-    def test_repeated_request_gets_the_recorded_answer(self) -> None:
+    def test_repeated_request_gets_the_recorded_response(self) -> None:
         async def body() -> None:
             seen: list[bytes] = []
-            bench = await fakes.Bench.start(fakes.answering(OK, seen))
-            first = await bench.ask(KEYED)
-            again = await bench.ask(KEYED)
+            bench = await fakes.Bench.start(fakes.responding(OK, seen))
+            first = await bench.exchange(KEYED)
+            again = await bench.exchange(KEYED)
             self.assertEqual(1, len(seen))
             self.assertNotIn(b"idempotency-replayed", first)
             self.assertIn(b"idempotency-replayed: true", again)
             self.assertTrue(again.endswith(b"\r\n\r\nok"))
-            bench.claims.held["k1"] = RecordedAnswer(200, (), None)
-            gone = await bench.ask(KEYED)
-            self.assertIn(b" 409 ", gone)
-            self.assertIn(b"request-ran: yes", gone)
-            self.assertIn(b'details="key_already_run"', gone)
+            bench.claims.responses["k1"] = RecordedResponse(200, (), None)
+            unrecorded = await bench.exchange(KEYED)
+            self.assertIn(b" 409 ", unrecorded)
+            self.assertIn(b"request-ran: yes", unrecorded)
+            self.assertIn(b'details="key_already_run"', unrecorded)
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_same_long_body_in_other_pieces_has_the_same_fingerprint(
+    def test_fingerprint_does_not_depend_on_how_a_body_is_split(
         self,
     ) -> None:
         body = bytes(range(65, 105))
@@ -261,7 +265,7 @@
         async def fingerprint(*sizes: int) -> str:
             settings = fakes.make_settings(replay_bytes=10)
             bench = await fakes.Bench.start(
-                fakes.answering(OK), settings=settings
+                fakes.responding(OK), settings=settings
             )
             with mock.patch.object(
                 bench.claims, "claim", wraps=bench.claims.claim
@@ -279,15 +283,15 @@
             await bench.proxy.close()
             return claim.call_args.args[0].fingerprint
 
-        whole = self.run_paused(fingerprint(len(body)))
+        expected = self.run_paused(fingerprint(len(body)))
         for sizes in ((6, 6, 28), (10, 1, 29), (11, 29)):
-            self.assertEqual(whole, self.run_paused(fingerprint(*sizes)))
+            self.assertEqual(expected, self.run_paused(fingerprint(*sizes)))
 
-    def test_non_idempotent_request_uses_no_connection_idle_for_long(
+    def test_non_idempotent_request_avoids_long_idle_connections(
         self,
     ) -> None:
         async def body() -> None:
-            bench = await fakes.Bench.start(fakes.answering(OK))
+            bench = await fakes.Bench.start(fakes.responding(OK))
             for pause, request, connections in (
                 (0.0, POST, 1),
                 (0.5, POST, 1),
@@ -295,20 +299,20 @@
                 (1.5, POST, 2),
             ):
                 await asyncio.sleep(pause)
-                await bench.ask(request)
+                await bench.exchange(request)
                 got = len(bench.servers[0].connections)
                 self.assertEqual(connections, got, (pause, request))
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_silent_connection_takes_its_idle_kin_along(self) -> None:
-        silent = False
+    def test_unresponsive_connection_closes_other_idle_ones(self) -> None:
+        unresponsive = False
 
         async def script(connection: fakes.FakeConnection) -> None:
             while True:
                 await connection.message()
-                if silent and connection in old:
+                if unresponsive and connection in old:
                     await asyncio.sleep(1000)
                 await asyncio.sleep(0.01)
                 await connection.send(OK)
@@ -316,26 +320,26 @@
         old: list[fakes.FakeConnection] = []
 
         async def body() -> None:
-            nonlocal silent
+            nonlocal unresponsive
             bench = await fakes.Bench.start(script)
-            await asyncio.gather(*(bench.ask(GET) for _ in range(4)))
+            await asyncio.gather(*(bench.exchange(GET) for _ in range(4)))
             old.extend(bench.servers[0].connections)
             self.assertEqual(4, len(old))
-            silent = True
-            hurried = GET.replace(
+            unresponsive = True
+            short_deadline = GET.replace(
                 b"Host", b"X-Request-Deadline-Ms: 500\r\nHost"
             )
-            self.assertIn(b" 504 ", await bench.ask(hurried))
-            # The other three would be silent as well.
-            self.assertIn(b" 200 ", await bench.ask(hurried))
+            self.assertIn(b" 504 ", await bench.exchange(short_deadline))
+            # The other three idle connections would be unresponsive as well.
+            self.assertIn(b" 200 ", await bench.exchange(short_deadline))
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_paths_that_hide_another_one_are_not_idempotent(self) -> None:
+    def test_ambiguous_paths_are_not_idempotent(self) -> None:
         async def body() -> None:
             rules = (options.RequestRule(True, path="/read"),)
-            bench = await fakes.Bench.start(fakes.answering(OK))
+            bench = await fakes.Bench.start(fakes.responding(OK))
             service = fakes.make_service([9001])._replace(requests=rules)
             bench.proxy.apply(options.Bundle((service,)), 2, 1000.0)
             for path, idempotent in (
@@ -348,7 +352,7 @@
                 (b"/read/pay;v=1", False),
                 (b"/read/pay#x", False),
             ):
-                await bench.ask(GET.replace(b"GET /", b"GET " + path))
+                await bench.exchange(GET.replace(b"GET /", b"GET " + path))
                 got = bench.finished[-1].idempotent
                 self.assertEqual(idempotent, got, path)
             await bench.proxy.close()
--- a/banyantiller/tests/proxy/test_bodies.py
+++ b/banyantiller/tests/proxy/test_bodies.py
@@ -1,4 +1,4 @@
-"""Tests of back-pressure and of the body kept for another try."""
+"""Tests of backpressure and of the body that is buffered for a retry."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 MEGABYTE = b"x" * (1 << 20)
 GET_CLOSE = b"GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-# The sockets of the tests hold 64 KiB in each direction.
+# The in-memory sockets of the tests buffer 64 KiB in each direction.
 BOUND = buffers.HIGH_WATER_BYTES + 2 * buffers.READ_BYTES
 
 
@@ -24,7 +24,7 @@
 
 
 class BodiesTest(base.TestCase):
-    def test_slow_reader_bounds_what_is_held_of_an_answer(self) -> None:
+    def test_slow_caller_bounds_the_buffered_response(self) -> None:
         async def body() -> None:
             bench = await fakes.Bench.start(big_answer)
             caller = await bench.connect()
@@ -32,12 +32,12 @@
             await caller.send(GET_CLOSE)
             await asyncio.sleep(5)
             (connection,) = bench.proxy.callers
-            held = connection.transport.get_write_buffer_size()
-            self.assertGreater(held, 0)
-            self.assertLessEqual(held, BOUND)
+            buffered = connection.transport.get_write_buffer_size()
+            self.assertGreater(buffered, 0)
+            self.assertLessEqual(buffered, BOUND)
             caller.writer.transport.resume_reading()
-            answer = await caller.reader.read()
-            self.assertEqual(MEGABYTE, answer[-len(MEGABYTE) :])
+            response = await caller.reader.read()
+            self.assertEqual(MEGABYTE, response[-len(MEGABYTE) :])
             self.assertFalse(bench.finished[0].cut)
             await bench.proxy.close()
 
@@ -57,7 +57,7 @@
 
         self.run_paused(body())
 
-    def test_slow_server_bounds_what_is_held_of_a_request(self) -> None:
+    def test_slow_server_bounds_the_buffered_request(self) -> None:
         async def script(connection: fakes.FakeConnection) -> None:
             await connection.head()
             connection.writer.transport.pause_reading()
@@ -80,10 +80,10 @@
             caller.writer.write(MEGABYTE)
             await asyncio.sleep(3)
             pool = bench.proxy.drivers["orders"].pools["server-9001"]
-            (connection,) = pool.open
-            held = connection.transport.get_write_buffer_size()
-            self.assertGreater(held, 0)
-            self.assertLessEqual(held, BOUND)
+            (connection,) = pool.open_connections
+            buffered = connection.transport.get_write_buffer_size()
+            self.assertGreater(buffered, 0)
+            self.assertLessEqual(buffered, BOUND)
             self.assertIn(b" 200 ", await caller.head())
             await bench.proxy.close()
 
@@ -91,7 +91,7 @@
 
     def test_body_waits_for_a_server_within_the_limit(self) -> None:
         async def body() -> None:
-            bench = await fakes.Bench.start(fakes.answering())
+            bench = await fakes.Bench.start(fakes.responding())
             driver = bench.proxy.drivers["orders"]
             driver.pools["server-9001"].limit = 0
             caller = await bench.connect()
@@ -122,19 +122,19 @@
             caller.writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 40000)
             await asyncio.sleep(5)
             (connection,) = bench.proxy.callers
-            held = len(connection.http.trailing_data[0])
-            self.assertLessEqual(held, BOUND)
+            buffered = len(connection.http.trailing_data[0])
+            self.assertLessEqual(buffered, BOUND)
             caller.reset()
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_answers_to_pipelined_requests_wait_for_a_slow_reader(
+    def test_responses_to_pipelined_requests_wait_for_a_slow_caller(
         self,
     ) -> None:
         async def body() -> None:
             bench = await fakes.Bench.start(
-                fakes.answering(
+                fakes.responding(
                     b"HTTP/1.1 200 X\r\nContent-Length: 9000\r\n\r\n"
                     + MEGABYTE[:9000]
                 )
@@ -144,18 +144,18 @@
             caller.writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 9000)
             await asyncio.sleep(5)
             (connection,) = bench.proxy.callers
-            held = connection.transport.get_write_buffer_size()
-            self.assertLessEqual(held, BOUND)
+            buffered = connection.transport.get_write_buffer_size()
+            self.assertLessEqual(buffered, BOUND)
             self.assertLessEqual(len(connection.http.trailing_data[0]), BOUND)
             caller.writer.transport.resume_reading()
             for _ in range(9000):
-                _, answer = await caller.message()
-                self.assertEqual(9000, len(answer))
+                _, response = await caller.message()
+                self.assertEqual(9000, len(response))
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_early_answer_is_whole_though_the_caller_stops_sending(
+    def test_early_response_is_complete_if_the_caller_stops_sending(
         self,
     ) -> None:
         async def script(connection: fakes.FakeConnection) -> None:
@@ -168,36 +168,36 @@
 
         async def body() -> None:
             bench = await fakes.Bench.start(script)
-            answer = await bench.ask(
+            response = await bench.exchange(
                 b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\na"
             )
-            self.assertTrue(answer.endswith(b"too!"), answer)
+            self.assertTrue(response.endswith(b"too!"), response)
             self.assertFalse(bench.finished[0].cut)
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_body_over_the_replay_limit_is_not_sent_twice(self) -> None:
+    def test_body_over_the_replay_limit_is_not_retried(self) -> None:
         seen: list[bytes] = []
 
         async def losing(connection: fakes.FakeConnection) -> None:
             await connection.message()
 
         async def body(size: int) -> bytes:
-            bench = await fakes.Bench.start(losing, fakes.answering(seen=seen))
-            answer = await bench.ask(
+            bench = await fakes.Bench.start(losing, fakes.responding(seen=seen))
+            response = await bench.exchange(
                 b"GET / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n"
                 b"Connection: close\r\n\r\n" % size + MEGABYTE[:size]
             )
             await bench.proxy.close()
-            return answer
+            return response
 
         self.assertIn(b" 200 ", self.run_paused(body(1000)))
         self.assertEqual(1, len(seen))
         self.assertIn(b" 502 ", self.run_paused(body(200000)))
         self.assertEqual(1, len(seen))
 
-    def test_silence_within_an_answer_cuts_it(self) -> None:
+    def test_stalled_response_is_cut(self) -> None:
         async def script(connection: fakes.FakeConnection) -> None:
             await connection.message()
             await connection.send(
@@ -209,7 +209,7 @@
             bench = await fakes.Bench.start(
                 script, backends=BackendSettings(silence_s=2.0)
             )
-            await bench.ask(GET_CLOSE)
+            await bench.exchange(GET_CLOSE)
             self.assertTrue(bench.finished[0].cut)
             self.assertEqual("backend_timeout", bench.finished[0].error)
             await bench.proxy.close()
--- a/banyantiller/tests/proxy/test_kinds.py
+++ b/banyantiller/tests/proxy/test_error_kinds.py
@@ -1,4 +1,4 @@
-"""Every error kind that the data path raises, provoked through a socket."""
+"""Provokes every error kind of the data path through a socket."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -11,11 +11,11 @@
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n"
 POST = b"POST / HTTP/1.1\r\nHost: x\r\n"
-OK = fakes.answering()
+OK = fakes.responding()
 
 
-def saying(data: bytes, reset: bool = False) -> fakes.Script:
-    """Returns a script that reads a head, says something and closes."""
+def sending(data: bytes, reset: bool = False) -> fakes.Script:
+    """Returns a script that reads a message, sends data and closes."""
 
     async def script(connection: fakes.FakeConnection) -> None:
         await connection.message()
@@ -26,25 +26,25 @@
     return script
 
 
-async def silent(connection: fakes.FakeConnection) -> None:
+async def unresponsive(connection: fakes.FakeConnection) -> None:
     await connection.message()
     await asyncio.sleep(1000)
 
 
 class Case(NamedTuple):
-    """One way to provoke a kind.
+    """One way to provoke an error kind.
 
     Attributes:
-        kind: Kind that the caller must be told.
+        kind: Error kind that the caller must get.
         request: What the caller sends.
         script: Script of the only backend server.
-        callers: Changed settings towards callers.
-        backends: Changed settings towards backend servers.
+        callers: Changed settings of callers' connections.
+        backends: Changed settings of backend connections.
         service: Changed options of the service.
-        ran: What must be said if it differs from the table.
+        ran: Expected `Request-Ran` if it differs from the table.
     """
 
-    kind: ErrorKind
+    error_kind: ErrorKind
     request: bytes
     script: Any = OK
     callers: dict[str, Any] = {}  # noqa: RUF012
@@ -110,41 +110,41 @@
     Case(
         K.DEADLINE_AFTER_START,
         GET + b"X-Request-Deadline-Ms: 700\r\n\r\n",
-        silent,
+        unresponsive,
     ),
     Case(K.CONNECT_FAILED, GET + b"\r\n", None),
     Case(
         K.BACKEND_SHED,
         GET + b"\r\n",
-        saying(
+        sending(
             b"HTTP/1.1 503 no\r\nRequest-Not-Run: 1\r\n"
             b"Content-Length: 0\r\n\r\n"
         ),
     ),
-    Case(K.CONNECTION_LOST, GET + b"\r\n", saying(b"")),
-    Case(K.CONNECTION_LOST, GET + b"\r\n", saying(b"", reset=True)),
-    Case(K.BACKEND_MALFORMED, GET + b"\r\n", saying(b"garbage\r\n\r\n")),
+    Case(K.CONNECTION_LOST, GET + b"\r\n", sending(b"")),
+    Case(K.CONNECTION_LOST, GET + b"\r\n", sending(b"", reset=True)),
+    Case(K.BACKEND_MALFORMED, GET + b"\r\n", sending(b"garbage\r\n\r\n")),
     Case(
         K.BACKEND_MALFORMED,
         GET + b"\r\n",
-        saying(b"HTTP/1.1 101 ok\r\n\r\n"),
+        sending(b"HTTP/1.1 101 ok\r\n\r\n"),
     ),
-    Case(K.BACKEND_INCOMPLETE, GET + b"\r\n", saying(b"HTTP/1.1 200 O")),
+    Case(K.BACKEND_INCOMPLETE, GET + b"\r\n", sending(b"HTTP/1.1 200 O")),
     Case(
         K.BACKEND_HEAD_TOO_LARGE,
         GET + b"\r\n",
-        saying(b"HTTP/1.1 200 OK\r\nA: " + b"x" * 70000),
+        sending(b"HTTP/1.1 200 OK\r\nA: " + b"x" * 70000),
     ),
     Case(
         K.BACKEND_HEAD_TOO_LARGE,
         GET + b"\r\n",
-        saying(b"HTTP/1.1 200 OK\r\nA: " + b"x" * 2000 + b"\r\n\r\n"),
+        sending(b"HTTP/1.1 200 OK\r\nA: " + b"x" * 2000 + b"\r\n\r\n"),
         backends={"max_head_bytes": 1024},
     ),
     Case(
         K.BACKEND_TIMEOUT,
         GET + b"\r\n",
-        silent,
+        unresponsive,
         backends={"silence_s": 2.0},
     ),
     Case(K.KEY_MISSING, POST + b"\r\n", service={"key_required": True}),
@@ -155,7 +155,7 @@
     ),
 )
 NOT_FROM_THE_DATA_PATH = {
-    # Denials of a claim, below.
+    # Denials of a claim, tested below.
     K.KEY_REUSED,
     K.KEY_IN_PROGRESS,
     K.KEY_OUTCOME_UNKNOWN,
@@ -181,21 +181,25 @@
 }
 
 
-class KindsTest(base.TestCase):
-    def check(self, bench: fakes.Bench, answer: bytes, case: Case) -> None:
-        row = ANSWERS[case.kind]
-        what = f"{case.kind} {case.request[:70]!r}: {answer!r}"
-        head = answer.partition(b"\r\n\r\n")[0].lower().decode()
-        self.assertTrue(head.startswith(f"http/1.1 {row.status} "), what)
-        self.assertIn(f"request-ran: {case.ran or row.ran}", head, what)
-        self.assertIn(f"error={row.proxy_error};", head, what)
-        self.assertIn(f'details="{case.kind}"', head, what)
-        self.assertEqual(case.kind, bench.finished[-1].error, what)
-        self.assertEqual(1, len(bench.finished), what)
-        self.assertEqual(0, bench.proxy.in_flight, what)
+class ErrorKindsTest(base.TestCase):
+    def check(self, bench: fakes.Bench, response: bytes, case: Case) -> None:
+        row = ANSWERS[case.error_kind]
+        context = f"{case.error_kind} {case.request[:70]!r}: {response!r}"
+        head = response.partition(b"\r\n\r\n")[0].lower().decode()
+        self.assertTrue(head.startswith(f"http/1.1 {row.status} "), context)
+        self.assertIn(f"request-ran: {case.ran or row.ran}", head, context)
+        self.assertIn(f"error={row.proxy_error};", head, context)
+        self.assertIn(f'details="{case.error_kind}"', head, context)
+        self.assertEqual(case.error_kind, bench.finished[-1].error, context)
+        self.assertEqual(1, len(bench.finished), context)
+        self.assertEqual(0, bench.proxy.in_flight, context)
 
     def test_every_kind_is_tested(self) -> None:
-        tested = {case.kind for case in CASES} | TESTED_BELOW | TESTED_ELSEWHERE
+        tested = (
+            {case.error_kind for case in CASES}
+            | TESTED_BELOW
+            | TESTED_ELSEWHERE
+        )
         self.assertEqual(set(ErrorKind), tested | NOT_FROM_THE_DATA_PATH)
 
     def test_table(self) -> None:
@@ -207,8 +211,8 @@
                 backends=BackendSettings(**case.backends),
                 **case.service,
             )
-            answer = await bench.ask(case.request, wait_s=15.0)
-            self.check(bench, answer, case)
+            response = await bench.exchange(case.request, wait_s=15.0)
+            self.check(bench, response, case)
             await bench.proxy.close()
 
         for case in CASES:
@@ -219,31 +223,31 @@
                 case = case._replace(request=closing)
             self.run_paused(body(case))
 
-    def ask_in_state(self, kind: ErrorKind, **state: Any) -> None:
+    def exchange_in_state(self, error_kind: ErrorKind, **state: Any) -> None:
         async def body() -> None:
             bench = await fakes.Bench.start(OK)
             for name, value in state.items():
                 setattr(bench.proxy, name, value)
-            answer = await bench.ask(GET + b"Connection: close\r\n\r\n")
-            self.check(bench, answer, Case(kind, b""))
-            self.assertIn(b"Retry-After: 1", answer)
+            response = await bench.exchange(GET + b"Connection: close\r\n\r\n")
+            self.check(bench, response, Case(error_kind, b""))
+            self.assertIn(b"Retry-After: 1", response)
             self.assertEqual([], bench.servers[0].connections)
             await bench.proxy.close()
 
         self.run_paused(body())
 
     def test_states_of_the_daemon(self) -> None:
-        self.ask_in_state(K.FENCED, fenced=True)
-        self.ask_in_state(K.NO_BUNDLE, version=0)
-        self.ask_in_state(K.DRAINING, refusing=True)
+        self.exchange_in_state(K.FENCED, fenced=True)
+        self.exchange_in_state(K.NO_BUNDLE, version=0)
+        self.exchange_in_state(K.DRAINING, refusing=True)
 
-    def test_one_connection_too_many(self) -> None:
+    def test_connection_above_the_limit(self) -> None:
         async def body() -> None:
             settings = fakes.make_settings(max_connections=1)
             bench = await fakes.Bench.start(OK, settings=settings)
             await bench.connect()
-            answer = await bench.ask(b"")
-            self.check(bench, answer, Case(K.QUEUE_FULL, b""))
+            response = await bench.exchange(b"")
+            self.check(bench, response, Case(K.QUEUE_FULL, b""))
             await bench.proxy.close()
 
         self.run_paused(body())
@@ -252,30 +256,32 @@
         async def body() -> None:
             bench = await fakes.Bench.start(OK)
             bench.proxy.server_leaving("orders", "server-9001", "vm_list")
-            answer = await bench.ask(GET + b"Connection: close\r\n\r\n")
-            self.check(bench, answer, Case(K.NO_SERVER, b""))
-            bench.proxy.server_back("orders", "server-9001")
-            answer = await bench.ask(GET + b"Connection: close\r\n\r\n")
-            self.assertIn(b"200", answer)
+            response = await bench.exchange(GET + b"Connection: close\r\n\r\n")
+            self.check(bench, response, Case(K.NO_SERVER, b""))
+            bench.proxy.server_returned("orders", "server-9001")
+            response = await bench.exchange(GET + b"Connection: close\r\n\r\n")
+            self.assertIn(b"200", response)
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_connection_that_is_not_made_in_time(self) -> None:
+    def test_connect_timeout(self) -> None:
         async def body() -> None:
             bench = await fakes.Bench.start(OK)
 
             async def never() -> None:
                 await asyncio.sleep(1000)
 
-            bench.proxy.drivers["orders"].pools["server-9001"].create = never
-            answer = await bench.ask(GET + b"Connection: close\r\n\r\n")
-            self.check(bench, answer, Case(K.CONNECT_TIMEOUT, b""))
+            bench.proxy.drivers["orders"].pools[
+                "server-9001"
+            ].open_connection = never
+            response = await bench.exchange(GET + b"Connection: close\r\n\r\n")
+            self.check(bench, response, Case(K.CONNECT_TIMEOUT, b""))
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_caller_that_leaves_cancels_the_work(self) -> None:
+    def test_caller_that_disconnects_cancels_the_request(self) -> None:
         async def body() -> None:
             ended = asyncio.Event()
 
@@ -293,34 +299,34 @@
             self.assertEqual(K.CALLER_GONE, bench.finished[-1].error)
             self.assertEqual(0, bench.proxy.in_flight)
             pool = bench.proxy.drivers["orders"].pools["server-9001"]
-            self.assertEqual(set(), pool.open)
+            self.assertEqual(set(), pool.open_connections)
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def ask_with_claim(self, kind: ErrorKind, outcome: Any) -> None:
+    def exchange_with_claim(self, error_kind: ErrorKind, outcome: Any) -> None:
         async def body() -> None:
             bench = await fakes.Bench.start(OK)
             bench.claims.outcome = outcome
-            answer = await bench.ask(
+            response = await bench.exchange(
                 POST + b"Idempotency-Key: k\r\nConnection: close\r\n\r\n"
             )
-            self.check(bench, answer, Case(kind, b""))
+            self.check(bench, response, Case(error_kind, b""))
             self.assertEqual([], bench.servers[0].connections)
             await bench.proxy.close()
 
         self.run_paused(body())
 
     def test_denied_claims(self) -> None:
-        for kind in (
+        for error_kind in (
             K.KEY_REUSED,
             K.KEY_IN_PROGRESS,
             K.KEY_OUTCOME_UNKNOWN,
             K.CLAIM_UNAVAILABLE,
         ):
-            self.ask_with_claim(kind, Denied(Failure(kind)))
+            self.exchange_with_claim(error_kind, Denied(Failure(error_kind)))
 
-    def test_fault_within_the_daemon(self) -> None:
+    def test_internal_error(self) -> None:
         async def body() -> None:
             bench = await fakes.Bench.start(OK)
 
@@ -328,8 +334,8 @@
                 raise ValueError
 
             bench.proxy.drivers["orders"].dispatcher.submit = broken
-            answer = await bench.ask(GET + b"Connection: close\r\n\r\n")
-            self.check(bench, answer, Case(K.INTERNAL, b""))
+            response = await bench.exchange(GET + b"Connection: close\r\n\r\n")
+            self.check(bench, response, Case(K.INTERNAL, b""))
             await bench.proxy.close()
 
         self.run_paused(body())
--- a/banyantiller/tests/proxy/test_evacuations.py
+++ b/banyantiller/tests/proxy/test_evacuations.py
@@ -12,7 +12,7 @@
 
 
 def in_zones(service, *evacuated):
-    """Returns a service whose servers are in zone-1 and zone-2."""
+    """Returns the service with its servers in zone-1 and zone-2."""
     servers = tuple(
         server._replace(zone=f"zone-{number}")
         for number, server in enumerate(service.servers, start=1)
@@ -23,8 +23,8 @@
 class EvacuationTest(base.TestCase):
     async def start(self, wait_s=0.0):
         bench = await fakes.Bench.start(
-            fakes.answering(wait_s=wait_s),
-            fakes.answering(wait_s=wait_s),
+            fakes.responding(wait_s=wait_s),
+            fakes.responding(wait_s=wait_s),
             create=adaptive.create,
         )
         self.version = 1
@@ -36,27 +36,27 @@
         bundle = options.Bundle((service,))
         bench.proxy.apply(bundle, self.version, 1000.0)
 
-    def test_evacuated_zone_gets_no_new_calls_until_it_is_given_back(self):
+    def test_evacuated_zone_gets_no_new_calls_until_it_is_restored(self):
         async def body():
             bench = await self.start()
             self.evacuate(bench, "zone-1")
             for _ in range(10):
-                self.assertIn(b" 200 ", await bench.ask(CLOSE))
+                self.assertIn(b" 200 ", await bench.exchange(CLOSE))
             servers = {call.server for call in bench.finished}
             self.assertEqual({"server-9002"}, servers)
             self.evacuate(bench)
             for _ in range(20):
-                await bench.ask(CLOSE)
+                await bench.exchange(CLOSE)
             servers = {call.server for call in bench.finished}
             self.assertEqual({"server-9001", "server-9002"}, servers)
             await bench.proxy.close()
 
         self.run_paused(body())
 
-    def test_calls_that_run_there_are_not_cut(self):
+    def test_running_calls_are_not_cut(self):
         async def body():
             bench = await self.start(wait_s=1.0)
-            running = asyncio.create_task(bench.ask(CLOSE))
+            running = asyncio.create_task(bench.exchange(CLOSE))
             await asyncio.sleep(0.5)
             self.evacuate(bench, "zone-1", "zone-2")
             self.assertIn(b" 200 ", await running)
@@ -64,17 +64,19 @@
 
         self.run_paused(body())
 
-    def test_call_without_another_zone_is_refused_as_not_run(self):
+    def test_call_without_another_zone_is_rejected_as_not_run(self):
         async def body():
             bench = await self.start()
             self.evacuate(bench, "zone-1", "zone-2")
-            began = asyncio.get_running_loop().time()
-            answer = await bench.ask(CLOSE)
-            took_s = asyncio.get_running_loop().time() - began
-            self.assertIn(b" 503 ", answer)
+            started_at = asyncio.get_running_loop().time()
+            response = await bench.exchange(CLOSE)
+            took_s = asyncio.get_running_loop().time() - started_at
+            self.assertIn(b" 503 ", response)
             self.assertLess(took_s, 0.05)
-            self.assertIn(b"retry-after", answer.lower())
-            self.assertIn(b"no", answer.lower().split(b"request-ran: ")[1][:3])
+            self.assertIn(b"retry-after", response.lower())
+            self.assertIn(
+                b"no", response.lower().split(b"request-ran: ")[1][:3]
+            )
             await bench.proxy.close()
 
         self.run_paused(body())
