--- a/banyantiller/gateway/change_history.py
+++ b/banyantiller/gateway/change_history.py
@@ -25,7 +25,7 @@
 
     version: int
     events: tuple[interface.Changed | interface.Deleted, ...]
-    bridges: int | None = None
+    compared_with: int | None = None
 
 
 class ChangeHistory:
@@ -42,50 +42,50 @@
 
     def __init__(self, listed: interface.Listed) -> None:
         self.items = {item.name: item for item in listed.items}
-        self.packed: messages.Response | None = None
+        self.cached_list: messages.Response | None = None
         self.oldest_version = int(listed.version)
         self.version = self.oldest_version
         self.batches: collections.deque[Batch] = collections.deque()
         self.changed = asyncio.Event()
 
-    def add_changes(self, found: interface.Changes) -> None:
+    def add_changes(self, changes: interface.Changes) -> None:
         """Adds what was read."""
-        self._add(Batch(int(found.version), found.events))
+        self._append_batch(Batch(int(changes.version), changes.events))
 
-    def apply_list(self, found: interface.Listed) -> None:
+    def apply_list(self, listed: interface.Listed) -> None:
         """Takes a newer list as the changes that lead to it.
 
         Those who ask go on from what they know: after a lost history one list
         is read for the whole fleet.
         """
-        listed = {item.name: item for item in found.items}
-        gone = [
+        new_items = {item.name: item for item in listed.items}
+        deleted = [
             interface.Deleted(item)
             for name, item in self.items.items()
-            if name not in listed
+            if name not in new_items
         ]
         changed = [
             interface.Changed(item)
-            for name, item in listed.items()
+            for name, item in new_items.items()
             if self.items.get(name) != item
         ]
-        version = int(found.version)
-        self._add(Batch(version, (*gone, *changed), self.version))
+        version = int(listed.version)
+        self._append_batch(Batch(version, (*deleted, *changed), self.version))
 
     def is_complete_since(self, version: int) -> bool:
         """Tells whether all changes after a version are known."""
         if version < self.oldest_version:
             return False
         return not any(
-            batch.bridges is not None
-            and batch.bridges < version < batch.version
+            batch.compared_with is not None
+            and batch.compared_with < version < batch.version
             for batch in self.batches
         )
 
-    def _add(self, batch: Batch) -> None:
+    def _append_batch(self, batch: Batch) -> None:
         self.version = max(self.version, batch.version)
-        self.packed = None
-        if not batch.events and batch.bridges is None:
+        self.cached_list = None
+        if not batch.events and batch.compared_with is None:
             return
         for event in batch.events:
             if isinstance(event, interface.Deleted):
@@ -99,16 +99,16 @@
 
     def pack_list(self) -> messages.Response:
         """Returns an answer with all objects."""
-        if self.packed is None:
+        if self.cached_list is None:
             items = [
-                peer_messages.fields_of(item, False)
+                peer_messages.encode_object(item, False)
                 for item in self.items.values()
             ]
             fields = peer_messages.ListFields(
                 items=items, version=str(self.version)
             )
-            self.packed = peer_messages.pack(fields)
-        return self.packed
+            self.cached_list = peer_messages.build_response(fields)
+        return self.cached_list
 
     def changes_after(
         self, version: int
--- a/banyantiller/gateway/mirror.py
+++ b/banyantiller/gateway/mirror.py
@@ -72,14 +72,14 @@
         self.sentinel = sentinel
         self.times: dict[str, float] = {}
 
-    def record(self, kind: str, at: float) -> None:
+    def record(self, object_kind: str, at: float) -> None:
         """Notes that the store said at a loop time what is known of a kind."""
-        self.times[kind] = max(self.times.get(kind, at), at)
+        self.times[object_kind] = max(self.times.get(object_kind, at), at)
 
-    def confirmed_at(self, kind: str) -> float:
+    def confirmed_at(self, object_kind: str) -> float:
         """Returns the loop time of what is known of a kind; 0 if nothing is."""
         return max(
-            self.times.get(kind, 0.0), self.times.get(self.sentinel, 0.0)
+            self.times.get(object_kind, 0.0), self.times.get(self.sentinel, 0.0)
         )
 
 
@@ -107,37 +107,44 @@
         self.on_first_subscriber: Callable[[], None] = lambda: None
         self.mark: Callable[[], str] = lambda: ""
         self.failure_reports = failure_reports.FailureReports()
-        self.failing_servers: Callable[[], list[str]] = self._doubted
+        self.failing_servers: Callable[[], list[str]] = self._reported_failing
         self.server_limits: server_limits.ServerLimits | None = None
         self.loop = asyncio.get_running_loop()
 
     def has_subscribers(self) -> bool:
         """Tells whether other daemons rely on this one."""
-        return bool(self._asked_lately())
+        return bool(self._active_subscribers())
 
     def count_sharers(self) -> int:
         """Counts the daemons that share with this one, and itself."""
-        return sum(asker.shares for asker in self._asked_lately()) + 1
+        return (
+            sum(subscriber.shares for subscriber in self._active_subscribers())
+            + 1
+        )
 
-    def _asked_lately(self) -> list[Subscriber]:
-        oldest = self.loop.time() - SUBSCRIBER_TIMEOUT_S
+    def _active_subscribers(self) -> list[Subscriber]:
+        oldest_query = self.loop.time() - SUBSCRIBER_TIMEOUT_S
         for name in [
-            n for n, a in self.subscribers.items() if a.queried_at <= oldest
+            n
+            for n, a in self.subscribers.items()
+            if a.queried_at <= oldest_query
         ]:
             del self.subscribers[name]
         return list(self.subscribers.values())
 
-    def record_list(self, kind: str, found: interface.Listed) -> None:
+    def record_list(self, object_kind: str, listed: interface.Listed) -> None:
         """Notes that a kind was read whole."""
-        history = self.histories.get(kind)
+        history = self.histories.get(object_kind)
         if history is None:
-            self.histories[kind] = change_history.ChangeHistory(found)
-        elif int(found.version) >= history.version:
-            history.apply_list(found)
+            self.histories[object_kind] = change_history.ChangeHistory(listed)
+        elif int(listed.version) >= history.version:
+            history.apply_list(listed)
 
-    def record_changes(self, kind: str, found: interface.Changes) -> None:
+    def record_changes(
+        self, object_kind: str, changes: interface.Changes
+    ) -> None:
         """Notes changes that were read."""
-        self.histories[kind].add_changes(found)
+        self.histories[object_kind].add_changes(changes)
 
     def wake(self) -> None:
         """Lets those who wait look again whether this daemon is fit."""
@@ -146,90 +153,96 @@
 
     async def handle(self, request: messages.Request) -> messages.Response:
         """Answers another daemon's question."""
-        response = await self._handle(request)
+        response = await self._handle_query(request)
         mark = self.mark()
         if not mark:
             return response
         headers = (*response.headers, (MARK_FIELD, mark))
         return response._replace(headers=headers)
 
-    async def _handle(self, request: messages.Request) -> messages.Response:
-        kind = request.path.removeprefix(PATH)
+    async def _handle_query(
+        self, request: messages.Request
+    ) -> messages.Response:
+        object_kind = request.path.removeprefix(PATH)
         if "since" not in request.query:
-            return self._tell_list(kind)
+            return self._list_response(object_kind)
         try:
             since = int(request.query["since"])
             wait_s = int(request.query["wait_ms"]) / 1000
             name = request.query["name"]
             shares = request.query.get("shares", SHARES) == SHARES
             mark = request.query.get("mark", self.mark())
-            told = request.query.get("limits", "[]")
+            limits_text = request.query.get("limits", "[]")
             named_limits = msgspec.json.decode(
-                told, type=list[server_limits.LimitFields]
+                limits_text, type=list[server_limits.LimitFields]
             )
         except (KeyError, ValueError, msgspec.DecodeError):
             return messages.Response(400)
-        first = not self.has_subscribers()
+        is_first = not self.has_subscribers()
         now = self.loop.time()
         self.subscribers[name] = Subscriber(now, shares)
-        named = [n for n in request.query.get("failing", "").split(",") if n]
+        failing = [n for n in request.query.get("failing", "").split(",") if n]
         self.failure_reports.receive(
-            name, named[: failure_reports.MAX_NAMED], now
+            name, failing[: failure_reports.MAX_NAMED], now
         )
         if self.server_limits is not None:
             self.server_limits.merge_report(named_limits, now)
-        if first:
+        if is_first:
             events.emit(events.ReadsForSubscribers(name))
             self.on_first_subscriber()
         wait_s = min(wait_s, MAX_WAIT_S)
-        return await self._answer(kind, since, wait_s, mark, name)
+        return await self._wait_for_changes(
+            object_kind, since, wait_s, mark, name
+        )
 
-    def _tell_list(self, kind: str) -> messages.Response:
+    def _list_response(self, object_kind: str) -> messages.Response:
         """Tells all objects of a kind, also while the store is away."""
-        history = self.histories.get(kind)
+        history = self.histories.get(object_kind)
         if history is None:
             return messages.Response(NOT_READY_STATUS)
-        packed = history.pack_list()
-        age = (AGE_FIELD, str(peer_messages.age_ms(self._age_s(kind))))
-        return packed._replace(headers=(*packed.headers, age))
+        response = history.pack_list()
+        age = (AGE_FIELD, str(peer_messages.age_ms(self._age_s(object_kind))))
+        return response._replace(headers=(*response.headers, age))
 
-    async def _answer(
-        self, kind: str, since: int, wait_s: float, mark: str, name: str
+    async def _wait_for_changes(
+        self, object_kind: str, since: int, wait_s: float, mark: str, name: str
     ) -> messages.Response:
         """Answers once there are changes, a new mark, or the time is over."""
-        received = self.loop.time()
-        until = received + wait_s
+        received_at = self.loop.time()
+        deadline = received_at + wait_s
         while True:
-            history = self.histories.get(kind)
+            history = self.histories.get(object_kind)
             if history is None:
                 return messages.Response(NOT_READY_STATUS)
             if self.status() != 200:
                 return messages.Response(self.status())
             if not history.is_complete_since(since):
                 return messages.Response(GONE_STATUS)
-            events = history.changes_after(since)
-            left = until - self.loop.time()
-            if events or left <= 0 or self.mark() != mark:
+            changes = history.changes_after(since)
+            remaining_s = deadline - self.loop.time()
+            if changes or remaining_s <= 0 or self.mark() != mark:
                 version = max(since, history.version)
-                age_s = self._age_s(kind)
-                fields = peer_messages.reply(
-                    events, version, self.count_sharers(), age_s
+                age_s = self._age_s(object_kind)
+                fields = peer_messages.changes_reply(
+                    changes, version, self.count_sharers(), age_s
                 )
-                held_s = self.loop.time() - received
+                held_s = self.loop.time() - received_at
                 fields["held_ms"] = int(held_s * 1000)
-                doubted = self.failing_servers()
-                if doubted:
-                    fields["doubted"] = doubted
-                if kind == self.freshness.sentinel:
-                    self._add_turns(fields, name)
-                return peer_messages.pack(fields)
+                failing_servers = self.failing_servers()
+                if failing_servers:
+                    fields["doubted"] = failing_servers
+                if object_kind == self.freshness.sentinel:
+                    self._add_turn_fields(fields, name)
+                return peer_messages.build_response(fields)
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await history.changed.wait()
             except TimeoutError:
                 continue
 
-    def _add_turns(self, fields: peer_messages.ReplyFields, name: str) -> None:
+    def _add_turn_fields(
+        self, fields: peer_messages.ReplyFields, name: str
+    ) -> None:
         """Adds what a daemon needs to take its turns at servers."""
         fields["rank"] = self.rank(name)
         fields["clock_ms"] = int(self.loop.time() * 1000)
@@ -241,12 +254,14 @@
 
         This one is the last.
         """
-        sharing = [n for n, asker in self.subscribers.items() if asker.shares]
+        sharing = [
+            n for n, subscriber in self.subscribers.items() if subscriber.shares
+        ]
         return sum(other < name for other in sharing)
 
-    def _doubted(self) -> list[str]:
+    def _reported_failing(self) -> list[str]:
         return self.failure_reports.failing_servers(self.loop.time())
 
-    def _age_s(self, kind: str) -> float:
+    def _age_s(self, object_kind: str) -> float:
         """Returns how long ago the store said what is known, in seconds."""
-        return self.loop.time() - self.freshness.confirmed_at(kind)
+        return self.loop.time() - self.freshness.confirmed_at(object_kind)
--- a/banyantiller/gateway/peer_lists.py
+++ b/banyantiller/gateway/peer_lists.py
@@ -10,9 +10,9 @@
 # Another daemon that lives tells a list within this time, also a slow one. A
 # daemon that knows nothing asks the store then if a caller waits, or if other
 # daemons wait for it: when all start at once after a power cut nobody can tell.
-HASTE_S = 0.05
+STARTUP_QUERY_S = 0.05
 # The same for a daemon that knows something already.
-LIST_S = 0.4
+LIST_QUERY_S = 0.4
 
 
 class PeerListReader:
@@ -41,63 +41,71 @@
         self.start_pause_skipped = asyncio.Event()
         self.loop = asyncio.get_running_loop()
 
-    async def fetch(self, kind: str) -> peers.PeerList | None:
+    async def fetch(self, object_kind: str) -> peers.PeerList | None:
         """Asks for a list, as long as nobody waits for what is known then.
 
         A machine without power gives no answer at all, so that asking all in
         vain takes a second; callers have no time for that after a power cut.
         """
-        asking = asyncio.ensure_future(self._ask_until_told(kind))
-        waiting = asyncio.ensure_future(self._wait_for_haste(kind))
+        query_task = asyncio.ensure_future(self._query_until_found(object_kind))
+        timeout_task = asyncio.ensure_future(
+            self._wait_until_store_due(object_kind)
+        )
         try:
             await asyncio.wait(
-                {asking, waiting}, return_when=asyncio.FIRST_COMPLETED
+                {query_task, timeout_task}, return_when=asyncio.FIRST_COMPLETED
             )
-            return asking.result() if asking.done() else None
+            return query_task.result() if query_task.done() else None
         finally:
-            for task in (asking, waiting):
+            for task in (query_task, timeout_task):
                 task.cancel()
-            await asyncio.gather(asking, waiting, return_exceptions=True)
+            await asyncio.gather(
+                query_task, timeout_task, return_exceptions=True
+            )
 
-    async def _wait_for_haste(self, kind: str) -> None:
+    async def _wait_until_store_due(self, object_kind: str) -> None:
         """Returns when the store should be asked in place of others."""
-        if kind in self.min_versions:
-            await asyncio.sleep(LIST_S)
+        if object_kind in self.min_versions:
+            await asyncio.sleep(LIST_QUERY_S)
             return
         if not self.is_relay:
             await self.start_pause_skipped.wait()
-        await asyncio.sleep(HASTE_S)
+        await asyncio.sleep(STARTUP_QUERY_S)
 
-    async def _ask_until_told(self, kind: str) -> peers.PeerList | None:
+    async def _query_until_found(
+        self, object_kind: str
+    ) -> peers.PeerList | None:
         """Asks again while others may be about to have a list."""
         while True:
-            found = await self._ask_for_list(kind)
+            peer_list = await self._query_relays(object_kind)
             now = self.loop.time()
-            waits = not self.is_relay and self.read_policy.is_settling(now)
-            if found is not None or not self.relays or not waits:
-                return found
+            may_retry = not self.is_relay and self.read_policy.is_settling(now)
+            if peer_list is not None or not self.relays or not may_retry:
+                return peer_list
             await asyncio.sleep(START_PAUSE_S)
 
-    async def _ask_for_list(self, kind: str) -> peers.PeerList | None:
+    async def _query_relays(self, object_kind: str) -> peers.PeerList | None:
         """Returns the first fresh list, else the freshest.
 
         None that is older than what is known.
         """
         best = None
         for peer in self.relays:
-            found = await peer.list(kind)
-            if isinstance(found, peers.PeerRefusal):
+            peer_list = await peer.list(object_kind)
+            if isinstance(peer_list, peers.PeerRefusal):
                 continue
-            if int(found.listed.version) < self.min_versions.get(kind, 0):
+            if int(peer_list.listed.version) < self.min_versions.get(
+                object_kind, 0
+            ):
                 continue
-            events.emit(events.PeerListReceived(kind, peer.address))
-            if self.is_fresh(found):
-                return found
-            if best is None or found.fresh_at > best.fresh_at:
-                best = found
+            events.emit(events.PeerListReceived(object_kind, peer.address))
+            if self.is_fresh(peer_list):
+                return peer_list
+            if best is None or peer_list.fresh_at > best.fresh_at:
+                best = peer_list
         return best
 
-    def is_fresh(self, found: peers.PeerList) -> bool:
+    def is_fresh(self, peer_list: peers.PeerList) -> bool:
         """Tells whether a list is young enough to rely on."""
-        age_s = self.loop.time() - found.fresh_at
+        age_s = self.loop.time() - peer_list.fresh_at
         return age_s <= self.read_policy.max_peer_age_s
--- a/banyantiller/gateway/peer_messages.py
+++ b/banyantiller/gateway/peer_messages.py
@@ -14,7 +14,7 @@
 # tenth; below 1 KB there is nothing to gain.
 DEFLATE_LEVEL = 1
 MIN_DEFLATED_BYTES = 1024
-DEFLATED = (("content-encoding", "deflate"),)
+DEFLATE_HEADERS = (("content-encoding", "deflate"),)
 
 
 class EventFields(TypedDict):
@@ -61,7 +61,7 @@
     return math.ceil(age_s * 1000)
 
 
-def reply(
+def changes_reply(
     events: list[interface.Changed | interface.Deleted],
     version: int,
     sharers: int,
@@ -69,7 +69,7 @@
 ) -> ReplyFields:
     """Returns changes as they are sent."""
     fields = [
-        fields_of(event.item, isinstance(event, interface.Deleted))
+        encode_object(event.item, isinstance(event, interface.Deleted))
         for event in events
     ]
     return ReplyFields(
@@ -80,16 +80,18 @@
     )
 
 
-def fields_of(item: interface.StoredObject, removed: bool) -> EventFields:
+def encode_object(item: interface.StoredObject, removed: bool) -> EventFields:
     """Returns an object as it is sent."""
     return EventFields(
         name=item.name, version=item.version, value=item.value, removed=removed
     )
 
 
-def pack(fields: ReplyFields | ListFields) -> messages.Response:
+def build_response(fields: ReplyFields | ListFields) -> messages.Response:
     """Returns an answer with these fields, deflated if it is long."""
     body = msgspec.json.encode(fields)
     if len(body) < MIN_DEFLATED_BYTES:
         return messages.Response(200, (), body)
-    return messages.Response(200, DEFLATED, zlib.compress(body, DEFLATE_LEVEL))
+    return messages.Response(
+        200, DEFLATE_HEADERS, zlib.compress(body, DEFLATE_LEVEL)
+    )
--- a/banyantiller/gateway/peers.py
+++ b/banyantiller/gateway/peers.py
@@ -21,7 +21,7 @@
 QUERY_MARGIN_S = 0.4
 # A daemon that refuses for a reason that lasts is not asked again so long.
 SKIP_S = 2.0
-LIMITS = messages.Limits(connections=4, silence_s=3)
+HTTP_LIMITS = messages.Limits(connections=4, silence_s=3)
 # A process and a revision; see `gateway.quarantine_sync`.
 MARK = re.compile("[0-9a-f]{8}-[0-9]{1,18}")
 
@@ -44,7 +44,7 @@
 class PeerRefusal:
     """Another daemon told nothing."""
 
-    kind: RefusalKind
+    refusal_kind: RefusalKind
 
 
 class PeerReply(NamedTuple):
@@ -73,7 +73,7 @@
     address: str
 
 
-REFUSALS = {
+REFUSALS_BY_STATUS = {
     mirror.NOT_READY_STATUS: RefusalKind.NOT_READY,
     mirror.STORE_LOST_STATUS: RefusalKind.STORE_LOST,
 }
@@ -112,7 +112,9 @@
         self.rank = 0
         self.ahead_s = 0.0
         self.fresh_at = 0.0
-        self.client = client.HttpClient(endpoint.address, endpoint.port, LIMITS)
+        self.client = client.HttpClient(
+            endpoint.address, endpoint.port, HTTP_LIMITS
+        )
         self.skipped_until = 0.0
         self.mark = ""
         self.on_mark: Callable[[Peer, str], None] = lambda *_: None
@@ -122,33 +124,35 @@
         self.peer_limits: list[server_limits.LimitFields] = []
 
     async def changes(
-        self, kind: str, version: str, wait_s: float
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.Changes | interface.Gone | PeerRefusal:
         """Asks for the changes after a version."""
         target = (
-            f"{mirror.PATH}{kind}?since={version}"
+            f"{mirror.PATH}{object_kind}?since={version}"
             f"&wait_ms={wait_s * 1000:.0f}&name={self.name}"
             f"&shares={self.shares}&mark={self.mark}"
         )
-        named = self.failing()
-        if named:
-            target += f"&failing={parse.quote(','.join(named))}"
-        target += self._limits_to_tell()
-        asked_at = _now()
-        told = await self._ask(target, wait_s, peer_messages.ReplyFields)
-        if isinstance(told, interface.Gone | PeerRefusal):
-            return told
-        fields = told.fields
-        composed_at = asked_at + fields.get("held_ms", 0) / 1000
+        failing = self.failing()
+        if failing:
+            target += f"&failing={parse.quote(','.join(failing))}"
+        target += self._limits_parameter()
+        sent_at = _now()
+        reply = await self._query(target, wait_s, peer_messages.ReplyFields)
+        if isinstance(reply, interface.Gone | PeerRefusal):
+            return reply
+        fields = reply.fields
+        composed_at = sent_at + fields.get("held_ms", 0) / 1000
         fresh_at = composed_at - fields["age_ms"] / 1000
         too_old = fresh_at < _now() - self.max_age_s
         # A change is one, however old the answer is.
         if too_old and not fields["events"]:
             return PeerRefusal(RefusalKind.NOT_READY)
         self.on_failing_servers(fields.get("doubted", []))
-        self._note_turns(fields, composed_at)
+        self._record_turn_info(fields, composed_at)
         self.fresh_at = fresh_at
-        changes = tuple(_event(kind, item) for item in fields["events"])
+        changes = tuple(
+            _decode_change(object_kind, item) for item in fields["events"]
+        )
         return interface.Changes(changes, fields["version"], second_hand=True)
 
     def position(self, relay_count: int) -> turns.FleetPosition:
@@ -161,15 +165,15 @@
             self.rank, self.sharers, relay_count, self.ahead_s
         )
 
-    def _limits_to_tell(self) -> str:
+    def _limits_parameter(self) -> str:
         if self.server_limits is None:
             return ""
-        found = self.server_limits.unreported(self.peer_limits)
-        if not found:
+        limits = self.server_limits.unreported(self.peer_limits)
+        if not limits:
             return ""
-        return f"&limits={parse.quote(msgspec.json.encode(found))}"
+        return f"&limits={parse.quote(msgspec.json.encode(limits))}"
 
-    def _note_turns(
+    def _record_turn_info(
         self, fields: peer_messages.ReplyFields, composed_at: float
     ) -> None:
         """Notes who shares with this daemon, and the limits that were told.
@@ -185,50 +189,54 @@
         if self.server_limits is not None:
             self.server_limits.merge_report(self.peer_limits, composed_at)
 
-    async def list(self, kind: str) -> PeerList | PeerRefusal:
+    async def list(self, object_kind: str) -> PeerList | PeerRefusal:
         """Asks for all objects, however old what is known there may be."""
-        asked_at = _now()
-        told = await self._ask(
-            f"{mirror.PATH}{kind}", 0, peer_messages.ListFields
+        sent_at = _now()
+        reply = await self._query(
+            f"{mirror.PATH}{object_kind}", 0, peer_messages.ListFields
         )
-        if isinstance(told, interface.Gone):
+        if isinstance(reply, interface.Gone):
             return PeerRefusal(RefusalKind.NOT_READY)
-        if isinstance(told, PeerRefusal):
-            return told
-        age = told.response.header(mirror.AGE_FIELD)
+        if isinstance(reply, PeerRefusal):
+            return reply
+        age = reply.response.header(mirror.AGE_FIELD)
         if not age.isdigit():
             return PeerRefusal(RefusalKind.UNRESPONSIVE)
-        items = tuple(_stored(kind, item) for item in told.fields["items"])
-        version = told.fields["version"]
+        items = tuple(
+            _decode_object(object_kind, item) for item in reply.fields["items"]
+        )
+        version = reply.fields["version"]
         listed = interface.Listed(items, version, second_hand=True)
-        return PeerList(listed, asked_at - int(age) / 1000, self.address)
+        return PeerList(listed, sent_at - int(age) / 1000, self.address)
 
-    async def _ask(
-        self, target: str, wait_s: float, kind: Any
+    async def _query(
+        self, target: str, wait_s: float, body_type: Any
     ) -> PeerReply | interface.Gone | PeerRefusal:
         outcome = await self.client.request(
             "GET", target, wait_s + QUERY_MARGIN_S
         )
         if not isinstance(outcome, outcomes.Answered):
             return PeerRefusal(RefusalKind.UNRESPONSIVE)
-        self._note_mark(outcome.response)
+        self._record_mark(outcome.response)
         status = outcome.response.status
         if status == mirror.GONE_STATUS:
             return interface.Gone()
         if status != 200:
-            return PeerRefusal(REFUSALS.get(status, RefusalKind.UNRESPONSIVE))
+            return PeerRefusal(
+                REFUSALS_BY_STATUS.get(status, RefusalKind.UNRESPONSIVE)
+            )
         try:
             body = outcome.body
             if outcome.response.header("content-encoding"):
                 body = zlib.decompress(body)
-            fields = msgspec.json.decode(body, type=kind)
+            fields = msgspec.json.decode(body, type=body_type)
             int(fields["version"])
         except (ValueError, msgspec.DecodeError, zlib.error) as error:
             events.emit(events.PeerUnreadable(self.address, str(error)))
             return PeerRefusal(RefusalKind.UNRESPONSIVE)
         return PeerReply(outcome.response, fields)
 
-    def _note_mark(self, response: messages.Response) -> None:
+    def _record_mark(self, response: messages.Response) -> None:
         mark = response.header(mirror.MARK_FIELD)
         self.mark = mark if MARK.fullmatch(mark) else ""
         self.on_mark(self, self.mark)
@@ -238,18 +246,18 @@
     return asyncio.get_running_loop().time()
 
 
-def _event(
-    kind: str, fields: peer_messages.EventFields
+def _decode_change(
+    object_kind: str, fields: peer_messages.EventFields
 ) -> interface.Changed | interface.Deleted:
-    item = _stored(kind, fields)
+    item = _decode_object(object_kind, fields)
     if fields["removed"]:
         return interface.Deleted(item)
     return interface.Changed(item)
 
 
-def _stored(
-    kind: str, fields: peer_messages.EventFields
+def _decode_object(
+    object_kind: str, fields: peer_messages.EventFields
 ) -> interface.StoredObject:
     return interface.StoredObject(
-        kind, fields["name"], fields["version"], fields["value"]
+        object_kind, fields["name"], fields["version"], fields["value"]
     )
--- a/banyantiller/gateway/shared_reading.py
+++ b/banyantiller/gateway/shared_reading.py
@@ -11,7 +11,7 @@
 # Longest wait of a call for the kind that shows whether the store answers,
 # while others are told: with the timeout of a call, 0.8 s, a lost store is
 # noticed within 1.4 s.
-READER_WAIT_S = 0.6
+RELAY_READ_WAIT_S = 0.6
 # Longest wait of one question to another daemon; with its margin a daemon that
 # froze is noticed within 0.9 s.
 QUERY_WAIT_S = 0.5
@@ -23,16 +23,16 @@
 MAX_UNRESPONSIVE_PEERS = 2
 # One that is asked after others took longer than this is not to wait for a
 # change.
-PROMPT_S = 0.05
+LONG_POLL_WINDOW_S = 0.05
 # Time for a question to others where the store should be read already: one that
 # lives answers within it, which spares the store a call of each daemon that
 # stood still.
-BRIEF_S = 0.1
+MIN_QUERY_S = 0.1
 # Age at which the store is read for a kind that may be known later.
 DELAY_TOLERANT_MAX_AGE_S = 3.5
 
-LOST_WITH_OTHERS = "the daemons that are asked hear nothing of the store"
-NOBODY_REACHES = "no daemon reaches the store"
+RELAYS_LOST_STORE = "the daemons that are asked hear nothing of the store"
+STORE_UNREACHABLE = "no daemon reaches the store"
 # Stands for the store where the address of another daemon would stand.
 STORE = "store"
 
@@ -81,26 +81,28 @@
     def __init__(
         self,
         store: interface.ObjectReader,
-        own: mirror.Mirror,
+        local_mirror: mirror.Mirror,
         sentinel: str,
         relays: list[peers.Peer],
-        own_address: str,
+        local_address: str,
         rng: random.Random,
         read_policy: store_reads.StoreReadPolicy,
         delay_tolerant: frozenset[str] = frozenset(),
     ) -> None:
         self.store = store
         self.delay_tolerant = delay_tolerant
-        self.mirror = own
+        self.mirror = local_mirror
         self.sentinel = sentinel
         self.relays = list(relays)
         rng.shuffle(self.relays)
-        self.is_relay = bool(own_address)
+        self.is_relay = bool(local_address)
         self.upstream_relays = self.relays
         if self.is_relay:
             # In one order for all, so that no two wait for each other.
-            before = [p for p in relays if p.address < own_address]
-            self.upstream_relays = sorted(before, key=lambda peer: peer.address)
+            earlier = [p for p in relays if p.address < local_address]
+            self.upstream_relays = sorted(
+                earlier, key=lambda peer: peer.address
+            )
         self.relay_count = max(1, len(self.relays) + self.is_relay)
         self.budget_share: float | None = None
         self.position: turns.FleetPosition | None = None
@@ -130,34 +132,36 @@
         A daemon that starts while the store is away is told by another one
         what was in force, and serves within a second.
         """
-        told = await self.peer_lists.fetch(kind)
-        if told is not None and self.peer_lists.is_fresh(told):
-            self._heard(kind, told.fresh_at, told.address)
-            return self._listed(kind, told.listed)
-        asked_at = self.loop.time()
-        found = await self.store.list(kind, labels)
-        if isinstance(found, interface.Listed):
-            self._heard(kind, asked_at)
-            return self._listed(kind, found)
+        peer_list = await self.peer_lists.fetch(kind)
+        if peer_list is not None and self.peer_lists.is_fresh(peer_list):
+            self._record_confirmation(
+                kind, peer_list.fresh_at, peer_list.address
+            )
+            return self._record_list(kind, peer_list.listed)
+        sent_at = self.loop.time()
+        outcome = await self.store.list(kind, labels)
+        if isinstance(outcome, interface.Listed):
+            self._record_confirmation(kind, sent_at)
+            return self._record_list(kind, outcome)
         self.read_policy.end_settling()
-        told = told or await self.peer_lists.fetch(kind)
-        if told is None:
-            return found
-        self.mirror.freshness.record(kind, told.fresh_at)
-        return self._listed(kind, told.listed)
+        peer_list = peer_list or await self.peer_lists.fetch(kind)
+        if peer_list is None:
+            return outcome
+        self.mirror.freshness.record(kind, peer_list.fresh_at)
+        return self._record_list(kind, peer_list.listed)
 
     async def changes(
         self, kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
         """Reads changes from another daemon, or from the store."""
         if wait_s <= 0:
-            found = await self._try_lost_store(kind, version)
+            outcome = await self._retry_lost_store(kind, version)
         else:
-            found = await self._changes(kind, version, wait_s)
-        if isinstance(found, interface.Changes):
-            self.mirror.record_changes(kind, found)
+            outcome = await self._read_changes(kind, version, wait_s)
+        if isinstance(outcome, interface.Changes):
+            self.mirror.record_changes(kind, outcome)
             self.min_versions[kind] = self.mirror.histories[kind].version
-        return found
+        return outcome
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -169,89 +173,98 @@
         """Notes that a caller waits for what is to be read at the start."""
         self.peer_lists.start_pause_skipped.set()
 
-    def _listed(
-        self, kind: str, found: interface.Listed
+    def _record_list(
+        self, object_kind: str, outcome: interface.Listed
     ) -> interface.ListOutcome:
-        self.mirror.record_list(kind, found)
-        self.min_versions[kind] = int(found.version)
-        return found
+        self.mirror.record_list(object_kind, outcome)
+        self.min_versions[object_kind] = int(outcome.version)
+        return outcome
 
     # Changes.
 
-    async def _changes(
-        self, kind: str, version: str, wait_s: float
+    async def _read_changes(
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
-        demanded = self.mirror.has_subscribers()
-        counts = self.is_relay and self.loop.time() >= self.counts_sharers_from
-        if demanded or counts:
+        has_subscribers = self.mirror.has_subscribers()
+        counts_sharers = (
+            self.is_relay and self.loop.time() >= self.counts_sharers_from
+        )
+        if has_subscribers or counts_sharers:
             sharers = self.mirror.count_sharers()
-            self._divide(sharers)
+            self._update_budget_share(sharers)
             self.position = turns.FleetPosition(
                 sharers - 1, sharers, self.relay_count
             )
-        found = await self._ask_others_in_time(kind, version, wait_s)
-        while found is None and self._may_settle(kind):
+        outcome = await self._query_relays_in_time(object_kind, version, wait_s)
+        while outcome is None and self._may_await_relays(object_kind):
             await asyncio.sleep(peer_lists.START_PAUSE_S)
             for peer in self.upstream_relays:
                 peer.skipped_until = 0.0
-            found = await self._ask_others_in_time(kind, version, wait_s)
-        if found is not None:
-            return found
-        if demanded and kind == self.sentinel:
-            wait_s = min(wait_s, READER_WAIT_S)
-        if self.upstream_relays and not demanded:
-            await self._space_reads(kind)
-        return await self._read_store(kind, version, wait_s)
-
-    async def _space_reads(self, kind: str) -> None:
+            outcome = await self._query_relays_in_time(
+                object_kind, version, wait_s
+            )
+        if outcome is not None:
+            return outcome
+        if has_subscribers and object_kind == self.sentinel:
+            wait_s = min(wait_s, RELAY_READ_WAIT_S)
+        if self.upstream_relays and not has_subscribers:
+            await self._space_reads(object_kind)
+        return await self._read_store(object_kind, version, wait_s)
+
+    async def _space_reads(self, object_kind: str) -> None:
         """Waits so that changes in series don't cost a call each.
 
         Where all that are asked have lost the store, each daemon reads it.
         """
-        due = self.read_at.get(kind, 0.0) + self.read_policy.max_peer_age_s
+        due = (
+            self.read_at.get(object_kind, 0.0) + self.read_policy.max_peer_age_s
+        )
         await asyncio.sleep(due - self.loop.time())
 
-    def _may_settle(self, kind: str) -> bool:
+    def _may_await_relays(self, object_kind: str) -> bool:
         """Tells whether others that are about to listen may be waited for."""
         now = self.loop.time()
-        if not self.upstream_relays or now >= self._read_by(kind):
+        if not self.upstream_relays or now >= self._store_read_due(object_kind):
             return False
         return self.read_policy.is_settling(now, listed=True)
 
-    async def _try_lost_store(
-        self, kind: str, version: str
+    async def _retry_lost_store(
+        self, object_kind: str, version: str
     ) -> interface.ChangesOutcome:
         """Asks the store now and then, and one of the others in between."""
         now = self.loop.time()
-        fit = [
+        available = [
             peer for peer in self.upstream_relays if peer.skipped_until <= now
         ]
-        alone = not fit or self.mirror.has_subscribers()
-        if alone or self.read_policy.should_retry_store(now):
-            return await self._read_store(kind, version, 0.0)
-        peer = self.random.choice(fit)
-        found = await self._ask(peer, kind, version, 0.0)
-        if isinstance(found, peers.PeerRefusal):
-            again_s = self.read_policy.next_store_retry - self.loop.time()
-            return interface.Unavailable(NOBODY_REACHES, max(0.0, again_s))
-        return found
+        must_read_store = not available or self.mirror.has_subscribers()
+        if must_read_store or self.read_policy.should_retry_store(now):
+            return await self._read_store(object_kind, version, 0.0)
+        peer = self.random.choice(available)
+        outcome = await self._query(peer, object_kind, version, 0.0)
+        if isinstance(outcome, peers.PeerRefusal):
+            retry_s = self.read_policy.next_store_retry - self.loop.time()
+            return interface.Unavailable(STORE_UNREACHABLE, max(0.0, retry_s))
+        return outcome
 
     async def _read_store(
-        self, kind: str, version: str, wait_s: float
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
-        asked_at = self.loop.time()
-        self.read_at[kind] = asked_at
-        found = await self.store.changes(kind, version, wait_s)
-        if isinstance(found, interface.Changes):
-            self._heard(kind, self._composed_at(found, asked_at, wait_s))
-        self.reaches_store = not isinstance(found, interface.Unavailable)
-        if isinstance(found, interface.Gone):
+        sent_at = self.loop.time()
+        self.read_at[object_kind] = sent_at
+        outcome = await self.store.changes(object_kind, version, wait_s)
+        if isinstance(outcome, interface.Changes):
+            self._record_confirmation(
+                object_kind,
+                self._earliest_response_time(outcome, sent_at, wait_s),
+            )
+        self.reaches_store = not isinstance(outcome, interface.Unavailable)
+        if isinstance(outcome, interface.Gone):
             # A list from before would lead here again.
-            self.min_versions[kind] = int(version) + 1
-        return found
+            self.min_versions[object_kind] = int(version) + 1
+        return outcome
 
-    def _composed_at(
-        self, found: interface.Changes, asked_at: float, wait_s: float
+    def _earliest_response_time(
+        self, outcome: interface.Changes, sent_at: float, wait_s: float
     ) -> float:
         """Returns the earliest loop time at which the store said something.
 
@@ -259,36 +272,36 @@
         for long, or lie in the socket of a process that stood still. Without a
         change the store waits for as long as it was asked to.
         """
-        waited_until = asked_at + wait_s
-        if found.events or self.loop.time() < waited_until:
-            return asked_at
+        waited_until = sent_at + wait_s
+        if outcome.events or self.loop.time() < waited_until:
+            return sent_at
         return waited_until
 
-    async def _ask_others_in_time(
-        self, kind: str, version: str, wait_s: float
+    async def _query_relays_in_time(
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome | None:
         """Asks others until the store has to be read; see `_ask_others`."""
         now = self.loop.time()
-        left_s = self._read_by(kind) - now
-        until = now + max(left_s, BRIEF_S)
+        remaining_s = self._store_read_due(object_kind) - now
+        until = now + max(remaining_s, MIN_QUERY_S)
         # An answer that was waited for needs time to arrive.
-        wait_s = max(0.0, min(wait_s, left_s - BRIEF_S))
+        wait_s = max(0.0, min(wait_s, remaining_s - MIN_QUERY_S))
         try:
             async with asyncio.timeout_at(until):
-                return await self._ask_others(kind, version, wait_s)
+                return await self._query_relays(object_kind, version, wait_s)
         except TimeoutError:
             self.query_outcomes["given_up"] += 1
             return None
 
-    def _read_by(self, kind: str) -> float:
+    def _store_read_due(self, object_kind: str) -> float:
         """Returns the loop time at which the store has to be read."""
-        most_age_s = self.read_policy.max_age_s
-        if kind in self.delay_tolerant:
-            most_age_s = DELAY_TOLERANT_MAX_AGE_S
-        return self.mirror.freshness.times.get(kind, 0.0) + most_age_s
+        max_age_s = self.read_policy.max_age_s
+        if object_kind in self.delay_tolerant:
+            max_age_s = DELAY_TOLERANT_MAX_AGE_S
+        return self.mirror.freshness.times.get(object_kind, 0.0) + max_age_s
 
-    async def _ask_others(
-        self, kind: str, version: str, wait_s: float
+    async def _query_relays(
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome | None:
         """Asks one daemon after the other.
 
@@ -297,74 +310,84 @@
             either; None if it has to be read.
         """
         store_lost = False
-        silent = 0
-        prompt_until = self.loop.time() + PROMPT_S
+        unresponsive_count = 0
+        long_poll_until = self.loop.time() + LONG_POLL_WINDOW_S
         for peer in self.upstream_relays:
             now = self.loop.time()
             if peer.skipped_until > now:
                 continue
             # One that was waited for in vain leaves no time to wait again.
-            left_s = wait_s if now < prompt_until else 0.0
-            found = await self._ask(peer, kind, version, left_s)
-            if not isinstance(found, peers.PeerRefusal):
-                return found
-            store_lost |= found.kind is peers.RefusalKind.STORE_LOST
-            silent += found.kind is peers.RefusalKind.UNRESPONSIVE
-            if silent == MAX_UNRESPONSIVE_PEERS:
+            remaining_s = wait_s if now < long_poll_until else 0.0
+            outcome = await self._query(peer, object_kind, version, remaining_s)
+            if not isinstance(outcome, peers.PeerRefusal):
+                return outcome
+            store_lost |= outcome.refusal_kind is peers.RefusalKind.STORE_LOST
+            unresponsive_count += (
+                outcome.refusal_kind is peers.RefusalKind.UNRESPONSIVE
+            )
+            if unresponsive_count == MAX_UNRESPONSIVE_PEERS:
                 break
-        if store_lost and self._may_wait():
-            again_s = self._read_by(kind) - self.loop.time()
-            return interface.Unavailable(LOST_WITH_OTHERS, max(0.0, again_s))
+        if store_lost and self._may_rely_on_relays():
+            retry_s = self._store_read_due(object_kind) - self.loop.time()
+            return interface.Unavailable(RELAYS_LOST_STORE, max(0.0, retry_s))
         return None
 
-    def _may_wait(self) -> bool:
+    def _may_rely_on_relays(self) -> bool:
         """Tells whether a lost store may be left to those that are asked."""
         if self.is_relay or self.reaches_store:
             return False
         return self.read_policy.may_rely_on_peers(self.loop.time())
 
-    async def _ask(
-        self, peer: peers.Peer, kind: str, version: str, wait_s: float
+    async def _query(
+        self, peer: peers.Peer, object_kind: str, version: str, wait_s: float
     ) -> interface.Changes | interface.Gone | peers.PeerRefusal:
         """Asks a daemon, and notes whether it can be relied on."""
-        patient = kind in self.delay_tolerant
-        most_s = DELAY_TOLERANT_QUERY_WAIT_S if patient else QUERY_WAIT_S
-        found = await peer.changes(kind, version, min(wait_s, most_s))
-        if not isinstance(found, peers.PeerRefusal):
+        tolerant = object_kind in self.delay_tolerant
+        max_wait_s = DELAY_TOLERANT_QUERY_WAIT_S if tolerant else QUERY_WAIT_S
+        outcome = await peer.changes(
+            object_kind, version, min(wait_s, max_wait_s)
+        )
+        if not isinstance(outcome, peers.PeerRefusal):
             self.query_outcomes["answered"] += 1
             self.reaches_store = False
             peer.skipped_until = 0.0
-            if isinstance(found, interface.Changes):
-                self._heard(kind, peer.fresh_at, peer.address)
-                self._rely_on(peer)
-            return found
+            if isinstance(outcome, interface.Changes):
+                self._record_confirmation(
+                    object_kind, peer.fresh_at, peer.address
+                )
+                self._record_relay(peer)
+            return outcome
         self.query_outcomes["unanswered"] += 1
         now = self.loop.time()
-        if found.kind is not peers.RefusalKind.STORE_LOST:
+        if outcome.refusal_kind is not peers.RefusalKind.STORE_LOST:
             if peer.skipped_until <= now:
-                events.emit(events.PeerLost(peer.address, found.kind.value))
+                events.emit(
+                    events.PeerLost(peer.address, outcome.refusal_kind.value)
+                )
             peer.skipped_until = now + peers.SKIP_S
         self.current_relay = None
-        return found
+        return outcome
 
-    def _heard(self, kind: str, fresh_at: float, through: str = STORE) -> None:
+    def _record_confirmation(
+        self, object_kind: str, fresh_at: float, source: str = STORE
+    ) -> None:
         """Notes when the store said what is known now."""
-        self.mirror.freshness.record(kind, fresh_at)
-        if kind == self.sentinel:
-            self.confirmed_by = through
+        self.mirror.freshness.record(object_kind, fresh_at)
+        if object_kind == self.sentinel:
+            self.confirmed_by = source
             self.unconfirmed_s = self.loop.time() - self.read_policy.fresh_at
             self.read_policy.record_confirmation(fresh_at)
 
-    def _rely_on(self, peer: peers.Peer) -> None:
+    def _record_relay(self, peer: peers.Peer) -> None:
         """Notes that another daemon told changes."""
         if peer is not self.current_relay:
             self.current_relay = peer
             events.emit(events.ReadsThroughRelay(peer.address, peer.sharers))
         if not self.is_relay:
-            self._divide(peer.sharers)
+            self._update_budget_share(peer.sharers)
             self.position = peer.position(self.relay_count)
 
-    def _divide(self, sharers: int) -> None:
+    def _update_budget_share(self, sharers: int) -> None:
         """Takes this daemon's part of what a group of daemons may use.
 
         Each group gets the same, and shares it among those that it counts, so
--- a/banyantiller/gateway/store_view.py
+++ b/banyantiller/gateway/store_view.py
@@ -34,9 +34,9 @@
 # the store that ended with a change, 0.1 s for other daemons, 3 s for the next
 # call, and 0.8 s for its answer. With less, callers of routes that do not exist
 # are told to come back although the store answers.
-CURRENT_S = 7.0
+MAX_CURRENT_AGE_S = 7.0
 # Stands for this daemon among those that reported servers to it.
-OWN_REPORT = ""
+LOCAL_REPORTER = ""
 
 
 class StoreView:
@@ -85,7 +85,7 @@
         self.routes: routes.RouteTable | None = None
         self.table = servers.ServerTable()
         self.evacuations = evacuations.Evacuations(
-            self.table, self._note_complete
+            self.table, self._update_complete
         )
         self.servers_listed = False
         self.complete = asyncio.Event()
@@ -94,24 +94,24 @@
         self.store_health = store_watching.StoreHealth()
         self.mirror = mirror.Mirror(self._status, adapter.document_kind)
         self.store_health.on_lost = self.mirror.wake
-        self.mirror.on_first_subscriber = self._begin_anew
-        reliance = store_reads.StoreReadPolicy(
+        self.mirror.on_first_subscriber = self._restart_watchers
+        read_policy = store_reads.StoreReadPolicy(
             min(settings.apply_s, settings.leave_s), self.loop.time()
         )
         self.reader = shared_reading.SharedReader(
             adapter.store,
             self.mirror,
             adapter.document_kind,
-            _others(settings, reliance.max_peer_age_s),
+            _remote_relays(settings, read_policy.max_peer_age_s),
             settings.control if settings.control in settings.seeds else "",
             rng,
-            reliance,
+            read_policy,
             frozenset((adapter.evacuation_kind,)),
         )
         for peer in self.reader.relays:
-            peer.failing = self._failing
-            peer.on_failing_servers = self._doubted
-        self.mirror.failing_servers = self._told_doubted
+            peer.failing = self._servers_to_report
+            peer.on_failing_servers = self._mark_failing
+        self.mirror.failing_servers = self._failing_servers
 
     @property
     def version(self) -> int:
@@ -134,21 +134,25 @@
         """Tells whether the document counts as the newest."""
         if self.store_health.lost_at is not None or self.newest_unreadable:
             return False
-        return self.document_age_s() <= CURRENT_S
+        return self.document_age_s() <= MAX_CURRENT_AGE_S
 
-    def refusal_of(self, kind: ErrorKind) -> Failure:
+    def refusal_of(self, error_kind: ErrorKind) -> Failure:
         """Returns the refusal of a request that the document does not allow.
 
         Callers take 404, 413 and 431 for final. If a newer document may allow
         the request, they are told that it was not run and when to come back.
 
         Args:
-            kind: Why the document does not allow it.
+            error_kind: Why the document does not allow it.
         """
         if self.is_current():
-            return Failure(kind)
-        unsure = ErrorKind.FENCED if self.routes else ErrorKind.NO_BUNDLE
-        return Failure(unsure, retry_after=retry_after.START_RETRY_AFTER_S)
+            return Failure(error_kind)
+        retryable_kind = (
+            ErrorKind.FENCED if self.routes else ErrorKind.NO_BUNDLE
+        )
+        return Failure(
+            retryable_kind, retry_after=retry_after.START_RETRY_AFTER_S
+        )
 
     def service(self, name: str) -> types.Service | None:
         """Returns a service of the document in force, or None."""
@@ -158,16 +162,26 @@
 
     def store_watchers(self) -> list[store_watching.StoreWatcher]:
         """Returns the tasks that follow the store."""
-        document = store_watching.Handlers(
-            self._documents_listed, self._document_changed, self._ignore
+        document_handlers = store_watching.Handlers(
+            self._documents_listed,
+            self._document_changed,
+            self._document_deleted,
         )
-        registrations = store_watching.Handlers(
-            self._servers_listed, self._server_changed, self._server_removed
+        server_handlers = store_watching.Handlers(
+            self._servers_listed, self._server_changed, self._server_deleted
         )
         adapter = self.adapter
-        wanted = (
-            (adapter.document_kind, document, store_watching.DOCUMENT_TIMING),
-            (adapter.server_kind, registrations, store_watching.SERVER_TIMING),
+        watched_kinds = (
+            (
+                adapter.document_kind,
+                document_handlers,
+                store_watching.DOCUMENT_TIMING,
+            ),
+            (
+                adapter.server_kind,
+                server_handlers,
+                store_watching.SERVER_TIMING,
+            ),
             (
                 adapter.evacuation_kind,
                 self.evacuations.handlers(),
@@ -177,25 +191,25 @@
         return [
             store_watching.StoreWatcher(
                 self.reader,
-                kind,
+                object_kind,
                 handlers,
-                pace,
+                timing,
                 self.store_health,
                 self.random,
             )
-            for kind, handlers, pace in wanted
+            for object_kind, handlers, timing in watched_kinds
         ]
 
     async def wait_for_first_read(self) -> None:
         """Waits for what a daemon that just started is about to know."""
-        left_s = self.started_at + FIRST_READ_S - self.loop.time()
+        remaining_s = self.started_at + FIRST_READ_S - self.loop.time()
         if self.complete.is_set():
             return
         self.reader.skip_start_pause()
-        if left_s <= 0:
+        if remaining_s <= 0:
             return
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 await self.complete.wait()
         except TimeoutError:
             return
@@ -239,23 +253,23 @@
             events.emit(events.DocumentUnreadable(str(error)))
             return
         self.newest_unreadable = False
-        held = self.version
-        if document.version <= held:
+        previous_version = self.version
+        if document.version <= previous_version:
             return
         self.routes = routes.RouteTable(document, self.random)
         self.caller_limits = document.limits
-        self._note_complete()
+        self._update_complete()
         self.tallies.documents["in_force"] += 1
         events.emit(
             events.DocumentInForce(
                 version=document.version,
-                before=held,
+                before=previous_version,
                 routes=len(document.routes),
                 through=self.reader.confirmed_by,
                 unconfirmed_ms=round(self.reader.unconfirmed_s * 1000, 1),
             )
         )
-        if not held:
+        if not previous_version:
             self.on_first_document()
 
     def _servers_listed(
@@ -266,28 +280,28 @@
         for instance in self.table.instances_missing_from(
             item.name for item in items
         ):
-            self._server_deleted(instance)
+            self._remove_registration(instance)
         self.servers_listed = True
-        self._note_complete()
+        self._update_complete()
 
-    def _note_complete(self) -> None:
-        known = self.servers_listed and self.evacuations.listed
-        if known and self.routes is not None:
+    def _update_complete(self) -> None:
+        lists_read = self.servers_listed and self.evacuations.listed
+        if lists_read and self.routes is not None:
             self.complete.set()
 
     def _server_changed(self, item: interface.StoredObject) -> None:
         try:
             server = self.adapter.read_server(item.name, item.value)
         except ValueError as error:
-            self._registration_unreadable(item.name, str(error))
+            self._reject_registration(item.name, str(error))
             return
         self.unreadable.pop(item.name, None)
         self.tallies.registrations["read"] += 1
-        before = self.table.put(server, self.loop.time())
-        if before is not None:
-            self.on_server_removed(before)
+        replaced = self.table.put(server, self.loop.time())
+        if replaced is not None:
+            self.on_server_removed(replaced)
 
-    def _registration_unreadable(self, instance: str, error: str) -> None:
+    def _reject_registration(self, instance: str, error: str) -> None:
         """Takes out a server whose registration another writer spoilt.
 
         One line is logged as long as the same is wrong with it.
@@ -300,10 +314,10 @@
         if server is not None:
             self.on_server_removed(server)
 
-    def _server_removed(self, item: interface.StoredObject) -> None:
-        self._server_deleted(item.name)
+    def _server_deleted(self, item: interface.StoredObject) -> None:
+        self._remove_registration(item.name)
 
-    def _server_deleted(self, instance: str) -> None:
+    def _remove_registration(self, instance: str) -> None:
         now = self.loop.time()
         self.unreadable.pop(instance, None)
         if self.store_health.may_have_lapsed(now):
@@ -315,28 +329,28 @@
 
     # Servers that fail.
 
-    def _failing(self) -> list[str]:
+    def _servers_to_report(self) -> list[str]:
         """Returns the servers that this daemon tells others of."""
         now = self.loop.time()
         reported = self.mirror.failure_reports.failing_servers(now)
         return sorted({*self.local_failures.recent(now), *reported})
 
-    def _told_doubted(self) -> list[str]:
+    def _failing_servers(self) -> list[str]:
         """Returns the servers that those who ask this daemon should doubt."""
         now = self.loop.time()
-        own = self.local_failures.recent(now)
-        self.mirror.failure_reports.receive(OWN_REPORT, own, now)
-        doubted = self.mirror.failure_reports.failing_servers(now)
-        self._doubted(doubted)
-        return doubted
+        local = self.local_failures.recent(now)
+        self.mirror.failure_reports.receive(LOCAL_REPORTER, local, now)
+        failing = self.mirror.failure_reports.failing_servers(now)
+        self._mark_failing(failing)
+        return failing
 
-    def _doubted(self, instances: list[str]) -> None:
+    def _mark_failing(self, instances: list[str]) -> None:
         now = self.loop.time()
         self.table.mark_failing(
             instances, now + failure_reports.REPORT_VALID_S, now
         )
 
-    def _ignore(self, item: interface.StoredObject) -> None:
+    def _document_deleted(self, item: interface.StoredObject) -> None:
         events.emit(events.DocumentRemoved(item.name))
 
     # Within.
@@ -349,17 +363,19 @@
             return mirror.STORE_LOST_STATUS
         return 200
 
-    def _begin_anew(self) -> None:
+    def _restart_watchers(self) -> None:
         # What waits for seconds would notice the store's loss too late.
-        for follower in self.store_health.watchers:
-            follower.restart.set()
+        for watcher in self.store_health.watchers:
+            watcher.restart.set()
 
 
-def _others(settings: options.Settings, patience_s: float) -> list[peers.Peer]:
+def _remote_relays(
+    settings: options.Settings, max_age_s: float
+) -> list[peers.Peer]:
     """Returns the daemons that can be asked, without this one."""
     shares = settings.control not in settings.seeds
     return [
-        peers.Peer(options.endpoint(text), settings.daemon, shares, patience_s)
+        peers.Peer(options.endpoint(text), settings.daemon, shares, max_age_s)
         for text in settings.seeds
         if text != settings.control
     ]
--- a/banyantiller/gateway/store_watching.py
+++ b/banyantiller/gateway/store_watching.py
@@ -15,7 +15,7 @@
 # Registrations lapse after three heartbeats; a shorter outage loses none.
 LAPSE_OUTAGE_S = 1.0
 # How long after its return the store may still be short of registrations.
-RETURN_S = 2.5
+RETURN_GRACE_S = 2.5
 
 
 class WatchTiming(NamedTuple):
@@ -82,12 +82,12 @@
             return
         away_s = now - self.lost_at
         if away_s >= LAPSE_OUTAGE_S:
-            self.lapsed_until = now + RETURN_S
+            self.lapsed_until = now + RETURN_GRACE_S
         events.emit(events.StoreBack(round(away_s, 3)))
         self.lost_at = None
         self.available.set()
 
-    def record_failure(self, kind: str, reason: str, now: float) -> None:
+    def record_failure(self, object_kind: str, reason: str, now: float) -> None:
         """Notes a call without an answer; other waiting calls begin anew.
 
         A call that waits on a connection gone silent would notice much later.
@@ -95,11 +95,11 @@
         if self.lost_at is not None:
             return
         self.lost_at = now
-        events.emit(events.StoreLost(kind, reason))
+        events.emit(events.StoreLost(object_kind, reason))
         self.available.clear()
         self.on_lost()
         for watcher in self.watchers:
-            if watcher.object_kind != kind:
+            if watcher.object_kind != object_kind:
                 watcher.restart.set()
 
     def may_have_lapsed(self, now: float) -> bool:
@@ -138,79 +138,81 @@
         self.version = ""
         self.restart = asyncio.Event()
         self.pause_s = FIRST_PAUSE_S
-        self.leads = not store_health.watchers
+        self.retries_lost_store = not store_health.watchers
         store_health.watchers.append(self)
 
     async def run(self) -> None:
         """Follows until cancelled."""
         while True:
             self.restart.clear()
-            step = asyncio.ensure_future(self._step())
-            ended = asyncio.ensure_future(self.restart.wait())
-            both = {step, ended}
+            watching = asyncio.ensure_future(self._watch_until_lost())
+            restarted = asyncio.ensure_future(self.restart.wait())
+            tasks = {watching, restarted}
             try:
-                await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             finally:
-                for task in both:
+                for task in tasks:
                     task.cancel()
-                await asyncio.gather(*both, return_exceptions=True)
-            if not step.cancelled() and step.exception() is not None:
-                raise step.exception()
+                await asyncio.gather(*tasks, return_exceptions=True)
+            if not watching.cancelled() and watching.exception() is not None:
+                raise watching.exception()
 
-    async def _step(self) -> None:
+    async def _watch_until_lost(self) -> None:
         """Lists if need be, then reads changes until the store is lost."""
         if not self.version and not await self._list():
             return
         while True:
-            began = self.loop.time()
+            started_at = self.loop.time()
             lost = self.store_health.lost_at is not None
             wait_s = 0.0 if lost else self.timing.wait_s
-            found = await self.store.changes(
+            outcome = await self.store.changes(
                 self.object_kind, self.version, wait_s
             )
-            if isinstance(found, interface.Unavailable):
-                await self._failed(found)
+            if isinstance(outcome, interface.Unavailable):
+                await self._handle_outage(outcome)
                 return
-            self._answered()
-            if isinstance(found, interface.Gone):
+            self._record_response()
+            if isinstance(outcome, interface.Gone):
                 events.emit(events.HistoryLost(self.object_kind))
                 self.version = ""
                 return
-            self.version = found.version
-            for event in found.events:
-                self._take(event)
-            if found.events and not found.second_hand:
+            self.version = outcome.version
+            for event in outcome.events:
+                self._dispatch_change(event)
+            if outcome.events and not outcome.second_hand:
                 await asyncio.sleep(
-                    began + self.timing.period_s - self.loop.time()
+                    started_at + self.timing.period_s - self.loop.time()
                 )
 
     async def _list(self) -> bool:
-        found = await self.store.list(self.object_kind)
-        if isinstance(found, interface.Unavailable):
-            await self._failed(found)
+        outcome = await self.store.list(self.object_kind)
+        if isinstance(outcome, interface.Unavailable):
+            await self._handle_outage(outcome)
             return False
-        if not found.second_hand:
-            self._answered()
-        self.handlers.on_listed(found.items)
-        self.version = found.version
+        if not outcome.second_hand:
+            self._record_response()
+        self.handlers.on_listed(outcome.items)
+        self.version = outcome.version
         return True
 
-    def _take(self, event: interface.Changed | interface.Deleted) -> None:
+    def _dispatch_change(
+        self, event: interface.Changed | interface.Deleted
+    ) -> None:
         if isinstance(event, interface.Changed):
             self.handlers.on_changed(event.item)
         else:
             self.handlers.on_deleted(event.item)
 
-    def _answered(self) -> None:
+    def _record_response(self) -> None:
         self.pause_s = FIRST_PAUSE_S
         self.store_health.record_response(self.loop.time())
 
-    async def _failed(self, found: interface.Unavailable) -> None:
+    async def _handle_outage(self, outcome: interface.Unavailable) -> None:
         self.store_health.record_failure(
-            self.object_kind, found.reason, self.loop.time()
+            self.object_kind, outcome.reason, self.loop.time()
         )
         pause_s = self.pause_s * self.random.uniform(0.5, 1.0)
         self.pause_s = min(self.pause_s * 2, MAX_PAUSE_S)
-        await asyncio.sleep(min(pause_s, found.again_s))
-        if not self.leads:
+        await asyncio.sleep(min(pause_s, outcome.again_s))
+        if not self.retries_lost_store:
             await self.store_health.available.wait()
--- a/banyantiller/tests/gateway/test_store_calls.py
+++ b/banyantiller/tests/gateway/test_store_calls.py
@@ -298,7 +298,7 @@
             asked[index].store_view.begin_shutdown()
             ending = await peer.changes("config", "1", 0.0)
             place.store.faults.down = False
-            return lost.kind, ending.kind
+            return lost.refusal_kind, ending.refusal_kind
 
         kinds = peers.RefusalKind
         wanted = (kinds.STORE_LOST, kinds.NOT_READY)
