--- a/banyantiller/gateway/change_history.py
+++ b/banyantiller/gateway/change_history.py
@@ -1,4 +1,4 @@
-"""Changes of one kind of objects, kept for daemons that ask for them late."""
+"""Recent changes of one kind of objects, kept for late queries."""
 
 import asyncio
 import collections
@@ -8,8 +8,8 @@
 from banyantiller.http import messages
 from banyantiller.store import interface
 
-# Batches of changes that are kept for daemons that ask late; the store itself
-# has some 20 s, in which no more than 40 come.
+# Number of batches that are kept for late queries; the store itself keeps some
+# 20 s, in which no more than 40 come.
 MAX_BATCHES = 100
 
 
@@ -19,8 +19,8 @@
     Attributes:
         version: Version of the store after them.
         events: The changes.
-        bridges: Version before them, if they were found by comparing lists;
-            what came and went in between is missing then.
+        compared_with: Version before them, if they are the difference of two
+            lists; objects that were created and removed in between are missing.
     """
 
     version: int
@@ -36,8 +36,8 @@
         oldest_version: Version from which changes are known.
         version: Version up to which they are known.
         batches: The changes.
-        changed: Set at each change; replaced after it.
-        packed: Answer with all objects, or None after a change.
+        changed: Set at each change, then replaced by a new event.
+        cached_list: Response with all objects, or None after a change.
     """
 
     def __init__(self, listed: interface.Listed) -> None:
@@ -49,14 +49,14 @@
         self.changed = asyncio.Event()
 
     def add_changes(self, changes: interface.Changes) -> None:
-        """Adds what was read."""
+        """Appends changes that were read."""
         self._append_batch(Batch(int(changes.version), changes.events))
 
     def apply_list(self, listed: interface.Listed) -> None:
-        """Takes a newer list as the changes that lead to it.
+        """Appends the difference between a newer list and the known objects.
 
-        Those who ask go on from what they know: after a lost history one list
-        is read for the whole fleet.
+        Subscribers continue from their own version: after the store lost its
+        history one list is read for the whole fleet.
         """
         new_items = {item.name: item for item in listed.items}
         deleted = [
@@ -73,7 +73,7 @@
         self._append_batch(Batch(version, (*deleted, *changed), self.version))
 
     def is_complete_since(self, version: int) -> bool:
-        """Tells whether all changes after a version are known."""
+        """Returns whether all changes after a version are known."""
         if version < self.oldest_version:
             return False
         return not any(
@@ -98,7 +98,7 @@
         self.wake()
 
     def pack_list(self) -> messages.Response:
-        """Returns an answer with all objects."""
+        """Returns a response with all objects."""
         if self.cached_list is None:
             items = [
                 peer_messages.encode_object(item, False)
@@ -122,6 +122,6 @@
         ]
 
     def wake(self) -> None:
-        """Lets those who wait look again."""
+        """Wakes the queries that wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
--- a/banyantiller/gateway/mirror.py
+++ b/banyantiller/gateway/mirror.py
@@ -1,8 +1,9 @@
-"""Passes on what one daemon reads of the store to all others.
+"""Serves what this daemon reads of the store to other daemons.
 
-Who reads follows from who is asked, and nothing has to be agreed: a daemon
-that is asked asks only those before it in the order of their addresses, so the
-first of them reads the store, and whoever gets no answer does.
+Which daemons read the store follows from which ones are queried, without any
+agreement: a relay queries only the relays before it in the order of their
+addresses, so the first relay reads the store, and so does every daemon that
+gets no response.
 """
 
 import asyncio
@@ -22,32 +23,34 @@
 from banyantiller.store import interface
 
 PATH = "/mirror/"
-# Value of the query parameter `shares` of a daemon that does.
+# Value of the query parameter `shares` of a daemon that shares the budget of
+# this relay's group.
 SHARES = "1"
-# A daemon that was not asked for so long stops reading for others.
+# A subscriber that sent no query for so long is dropped; a relay without
+# subscribers stops reading for them.
 SUBSCRIBER_TIMEOUT_S = 3.0
-# Longest wait of one question.
+# Maximum wait of one query.
 MAX_WAIT_S = 5.0
-# Header field of a list: how long ago the store said so, in milliseconds. The
-# body is packed once for all that ask.
+# Header field of a list: age of the list, in milliseconds. It is no field of
+# the body, as the body is encoded once for all subscribers.
 AGE_FIELD = "age-ms"
-# Header field of every answer: stands for what this daemon knows of requests
-# that end servers; whoever asks fetches it when the mark is a new one.
+# Header field of every response: identifies the relay's state of requests that
+# crash servers; a subscriber fetches that state when the mark changes.
 MARK_FIELD = "quarantine-mark"
-# What is answered in place of objects. A daemon that lost the store tells so,
-# which spares those that ask the same experience.
+# Statuses of responses without objects. A relay that lost the store says so,
+# which saves its subscribers a call that times out.
 NOT_READY_STATUS = 503
 STORE_LOST_STATUS = 504
 GONE_STATUS = 410
 
 
 class Subscriber(NamedTuple):
-    """A daemon that relies on this one.
+    """A daemon that reads the store through this one.
 
     Attributes:
-        queried_at: Loop time of its last question.
-        shares: Whether it takes its part of the fleet's budgets from what
-            this one divides; a daemon that is asked itself divides its own.
+        queried_at: Loop time of its last query.
+        shares: Whether it takes its share of the fleet's budgets from this
+            relay's group; a daemon that is a relay itself has its own group.
     """
 
     queried_at: float
@@ -55,17 +58,17 @@
 
 
 class Freshness:
-    """When the store last answered about each kind.
+    """When the store last confirmed the cached state of each kind.
 
     Calls for documents, the sentinel, end every few seconds, and calls for
-    other kinds much later, so that an answer about documents confirms the
-    others as well. The reverse does not hold: a daemon that hears only of
-    servers may hold an outdated document, and whoever takes its word would see
-    no change of documents for as long as that lasts.
+    other kinds much later, so a response about documents confirms the other
+    kinds as well. The reverse does not hold: a daemon that receives only
+    changes of servers may hold an outdated document, and a subscriber that
+    relied on it would miss changes of documents for as long as that lasts.
 
     Attributes:
-        sentinel: Kind whose calls show whether the store answers.
-        times: Loop time of the last answer by kind.
+        sentinel: Kind whose calls show whether the store responds.
+        times: Loop time of the last confirmation by kind.
     """
 
     def __init__(self, sentinel: str) -> None:
@@ -73,30 +76,31 @@
         self.times: dict[str, float] = {}
 
     def record(self, object_kind: str, at: float) -> None:
-        """Notes that the store said at a loop time what is known of a kind."""
+        """Records the loop time at which the store confirmed a kind."""
         self.times[object_kind] = max(self.times.get(object_kind, at), at)
 
     def confirmed_at(self, object_kind: str) -> float:
-        """Returns the loop time of what is known of a kind; 0 if nothing is."""
+        """Returns the loop time of the last confirmation, or 0."""
         return max(
             self.times.get(object_kind, 0.0), self.times.get(self.sentinel, 0.0)
         )
 
 
 class Mirror:
-    """Answers other daemons from what this one has read.
+    """Answers queries of subscribers from what this daemon has read.
 
     Attributes:
         histories: Changes by kind.
-        status: Returns the HTTP status of answers: 200 while what was read
+        status: Returns the HTTP status of responses: 200 while the cached state
             is up to date.
-        subscribers: Last question of each daemon that asks, by its name.
-        freshness: When the store said what is known here.
-        on_first_subscriber: Called when the first other daemon asks.
-        mark: Returns the mark that answers carry; empty for none.
-        failure_reports: What daemons that ask said of servers that failed them.
-        failing_servers: Returns the servers that are told to be doubted.
-        server_limits: Limits that servers name, or None if nobody follows them.
+        subscribers: Last query of each subscriber, by its name.
+        freshness: When the store confirmed the cached state.
+        on_first_subscriber: Called at a query while there are no subscribers.
+        mark: Returns the quarantine mark of responses; empty for none.
+        failure_reports: Failing servers that subscribers reported.
+        failing_servers: Returns the failing servers to report to subscribers.
+        server_limits: Limits that servers name, or None if they are not
+            tracked.
     """
 
     def __init__(self, status: Callable[[], int], sentinel: str) -> None:
@@ -112,11 +116,11 @@
         self.loop = asyncio.get_running_loop()
 
     def has_subscribers(self) -> bool:
-        """Tells whether other daemons rely on this one."""
+        """Returns whether other daemons read through this one."""
         return bool(self._active_subscribers())
 
     def count_sharers(self) -> int:
-        """Counts the daemons that share with this one, and itself."""
+        """Counts the daemons that share the group's budget, with itself."""
         return (
             sum(subscriber.shares for subscriber in self._active_subscribers())
             + 1
@@ -133,7 +137,7 @@
         return list(self.subscribers.values())
 
     def record_list(self, object_kind: str, listed: interface.Listed) -> None:
-        """Notes that a kind was read whole."""
+        """Records a list of all objects of a kind."""
         history = self.histories.get(object_kind)
         if history is None:
             self.histories[object_kind] = change_history.ChangeHistory(listed)
@@ -143,16 +147,16 @@
     def record_changes(
         self, object_kind: str, changes: interface.Changes
     ) -> None:
-        """Notes changes that were read."""
+        """Records changes of a kind."""
         self.histories[object_kind].add_changes(changes)
 
     def wake(self) -> None:
-        """Lets those who wait look again whether this daemon is fit."""
+        """Makes waiting queries check this daemon's status again."""
         for history in self.histories.values():
             history.wake()
 
     async def handle(self, request: messages.Request) -> messages.Response:
-        """Answers another daemon's question."""
+        """Answers a query of another daemon."""
         response = await self._handle_query(request)
         mark = self.mark()
         if not mark:
@@ -196,7 +200,7 @@
         )
 
     def _list_response(self, object_kind: str) -> messages.Response:
-        """Tells all objects of a kind, also while the store is away."""
+        """Returns all objects of a kind, also while the store is down."""
         history = self.histories.get(object_kind)
         if history is None:
             return messages.Response(NOT_READY_STATUS)
@@ -207,7 +211,7 @@
     async def _wait_for_changes(
         self, object_kind: str, since: int, wait_s: float, mark: str, name: str
     ) -> messages.Response:
-        """Answers once there are changes, a new mark, or the time is over."""
+        """Responds once there are changes, a new mark, or the wait is over."""
         received_at = self.loop.time()
         deadline = received_at + wait_s
         while True:
@@ -243,16 +247,16 @@
     def _add_turn_fields(
         self, fields: peer_messages.ReplyFields, name: str
     ) -> None:
-        """Adds what a daemon needs to take its turns at servers."""
+        """Adds the fields by which a daemon computes its turns at servers."""
         fields["rank"] = self.rank(name)
         fields["clock_ms"] = int(self.loop.time() * 1000)
         if self.server_limits is not None and self.server_limits.by_incarnation:
             fields["limits"] = self.server_limits.to_report()
 
     def rank(self, name: str) -> int:
-        """Returns a daemon's number among those that share with this one.
+        """Returns a daemon's position among those that share the budget.
 
-        This one is the last.
+        This daemon is the last.
         """
         sharing = [
             n for n, subscriber in self.subscribers.items() if subscriber.shares
@@ -263,5 +267,5 @@
         return self.failure_reports.failing_servers(self.loop.time())
 
     def _age_s(self, object_kind: str) -> float:
-        """Returns how long ago the store said what is known, in seconds."""
+        """Returns the age of the cached state of a kind, in seconds."""
         return self.loop.time() - self.freshness.confirmed_at(object_kind)
--- a/banyantiller/gateway/peer_lists.py
+++ b/banyantiller/gateway/peer_lists.py
@@ -1,30 +1,31 @@
-"""Lists that other daemons tell in place of the store."""
+"""Reads lists of objects from relays in place of the store."""
 
 import asyncio
 
 from banyantiller.gateway import events, peers
 from banyantiller.gateway.decisions import store_reads
 
-# Pause before those that are not ready are asked again at a start.
+# Pause between queries of relays that are not ready at a start.
 START_PAUSE_S = 0.1
-# Another daemon that lives tells a list within this time, also a slow one. A
-# daemon that knows nothing asks the store then if a caller waits, or if other
-# daemons wait for it: when all start at once after a power cut nobody can tell.
+# Time for a list from relays: a healthy relay, also a slow one, responds within
+# it. A daemon without any list reads the store after it, counted from when a
+# caller waits or, on a relay, from the start: when all daemons start at once
+# after a power cut no relay has a list.
 STARTUP_QUERY_S = 0.05
-# The same for a daemon that knows something already.
+# The same for a daemon that already has a list.
 LIST_QUERY_S = 0.4
 
 
 class PeerListReader:
-    """Asks other daemons for lists.
+    """Queries relays for lists.
 
     Attributes:
-        relays: Daemons to ask, in this order.
-        is_relay: Whether others ask this daemon.
-        read_policy: How long others are relied on.
-        min_versions: Least version that a list must have, by kind.
-        start_pause_skipped: Set once a caller waits for what is to be read at
-            the start.
+        relays: Relays to query, in this order.
+        is_relay: Whether this daemon is a relay.
+        read_policy: How long relays are relied on.
+        min_versions: Minimum version of a list, by kind.
+        start_pause_skipped: Set once a caller waits for the first read at the
+            start.
     """
 
     def __init__(
@@ -42,10 +43,11 @@
         self.loop = asyncio.get_running_loop()
 
     async def fetch(self, object_kind: str) -> peers.PeerList | None:
-        """Asks for a list, as long as nobody waits for what is known then.
+        """Queries relays for a list until the store should be read instead.
 
-        A machine without power gives no answer at all, so that asking all in
-        vain takes a second; callers have no time for that after a power cut.
+        A machine without power gives no response at all, so that querying all
+        relays in vain takes a second; after a power cut callers can't wait for
+        that.
         """
         query_task = asyncio.ensure_future(self._query_until_found(object_kind))
         timeout_task = asyncio.ensure_future(
@@ -64,7 +66,7 @@
             )
 
     async def _wait_until_store_due(self, object_kind: str) -> None:
-        """Returns when the store should be asked in place of others."""
+        """Returns when the store should be read in place of relays."""
         if object_kind in self.min_versions:
             await asyncio.sleep(LIST_QUERY_S)
             return
@@ -75,7 +77,7 @@
     async def _query_until_found(
         self, object_kind: str
     ) -> peers.PeerList | None:
-        """Asks again while others may be about to have a list."""
+        """Queries again while relays may be about to have a list."""
         while True:
             peer_list = await self._query_relays(object_kind)
             now = self.loop.time()
@@ -87,7 +89,7 @@
     async def _query_relays(self, object_kind: str) -> peers.PeerList | None:
         """Returns the first fresh list, else the freshest.
 
-        None that is older than what is known.
+        Lists that are older than the cached state are passed over.
         """
         best = None
         for peer in self.relays:
@@ -106,6 +108,6 @@
         return best
 
     def is_fresh(self, peer_list: peers.PeerList) -> bool:
-        """Tells whether a list is young enough to rely on."""
+        """Returns whether a list is fresh enough to rely on."""
         age_s = self.loop.time() - peer_list.fresh_at
         return age_s <= self.read_policy.max_peer_age_s
--- a/banyantiller/gateway/peer_messages.py
+++ b/banyantiller/gateway/peer_messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of the store, as it is sent."""
+"""Messages by which daemons send each other the state of the store."""
 
 import math
 import zlib
@@ -10,15 +10,15 @@
 from banyantiller.http import messages
 from banyantiller.store import interface
 
-# A document of 480 routes has 100 KB, of which the fastest level leaves a
-# tenth; below 1 KB there is nothing to gain.
+# A document of 480 routes has 100 KB, which level 1 deflates to a tenth. Below
+# 1 KB deflating saves nothing.
 DEFLATE_LEVEL = 1
 MIN_DEFLATED_BYTES = 1024
 DEFLATE_HEADERS = (("content-encoding", "deflate"),)
 
 
 class EventFields(TypedDict):
-    """One change on its way between daemons."""
+    """One object, or one change of an object, in a message."""
 
     name: str
     version: str
@@ -27,15 +27,15 @@
 
 
 class ReplyFields(TypedDict):
-    """Changes on their way between daemons.
-
-    `sharers` counts the daemons that ask the one that answers, and that one;
-    `age_ms` tells how long ago the store answered whoever read it, and
-    `held_ms` for how long the question waited for this answer: the one who
-    asks knows when it asked, and not how long the answer was under way.
-    `doubted` names servers that failed several daemons. Answers about
-    documents have besides the rank of the one who asks among the sharers, the
-    clock of the one who answers, and the limits that servers name.
+    """Reply to a query for changes.
+
+    `sharers` counts the daemons that share the relay's group, the relay
+    included. `age_ms` is the time since the store last confirmed the relay's
+    state, and `held_ms` how long the relay held the query: a subscriber knows
+    when it sent the query, but not how long the reply was under way. `doubted`
+    names servers that several daemons reported failing. Replies about documents
+    also carry the subscriber's `rank` among the sharers, the relay's clock, and
+    the limits that servers name.
     """
 
     events: list[EventFields]
@@ -50,7 +50,7 @@
 
 
 class ListFields(TypedDict):
-    """All objects of a kind on their way between daemons."""
+    """Reply to a query for all objects of a kind."""
 
     items: list[EventFields]
     version: str
@@ -67,7 +67,7 @@
     sharers: int,
     age_s: float,
 ) -> ReplyFields:
-    """Returns changes as they are sent."""
+    """Returns the reply that carries these changes."""
     fields = [
         encode_object(event.item, isinstance(event, interface.Deleted))
         for event in events
@@ -81,14 +81,14 @@
 
 
 def encode_object(item: interface.StoredObject, removed: bool) -> EventFields:
-    """Returns an object as it is sent."""
+    """Returns the fields of an object or of its change."""
     return EventFields(
         name=item.name, version=item.version, value=item.value, removed=removed
     )
 
 
 def build_response(fields: ReplyFields | ListFields) -> messages.Response:
-    """Returns an answer with these fields, deflated if it is long."""
+    """Returns a response with these fields, deflated if it is long."""
     body = msgspec.json.encode(fields)
     if len(body) < MIN_DEFLATED_BYTES:
         return messages.Response(200, (), body)
--- a/banyantiller/gateway/peers.py
+++ b/banyantiller/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Asks another daemon what it knows of the store."""
+"""Queries the mirror of another daemon."""
 
 import asyncio
 import dataclasses
@@ -17,22 +17,22 @@
 from banyantiller.http import client, messages, outcomes
 from banyantiller.store import interface
 
-# How much longer than it was asked to wait another daemon may take.
+# Time that a relay may take beyond the requested wait.
 QUERY_MARGIN_S = 0.4
-# A daemon that refuses for a reason that lasts is not asked again so long.
+# How long a relay is skipped that is unresponsive or not ready.
 SKIP_S = 2.0
 HTTP_LIMITS = messages.Limits(connections=4, silence_s=3)
-# A process and a revision; see `gateway.quarantine_sync`.
+# Identifier of a process and a revision; see `gateway.quarantine_sync`.
 MARK = re.compile("[0-9a-f]{8}-[0-9]{1,18}")
 
 
 class RefusalKind(enum.Enum):
-    """Why another daemon told nothing.
+    """Why a query to a peer failed.
 
     Attributes:
-        UNRESPONSIVE: It gave no answer, or none that can be read.
-        NOT_READY: It starts or ends, or what it knows is too old.
-        STORE_LOST: It lives, and hears nothing of the store.
+        UNRESPONSIVE: The peer gave no response, or none that can be read.
+        NOT_READY: The peer starts or shuts down, or its state is too old.
+        STORE_LOST: The peer is alive, and gets no response from the store.
     """
 
     UNRESPONSIVE = "silent"
@@ -42,17 +42,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerRefusal:
-    """Another daemon told nothing."""
+    """A query to a peer that failed."""
 
     refusal_kind: RefusalKind
 
 
 class PeerReply(NamedTuple):
-    """A whole answer of another daemon.
+    """A complete response of a peer.
 
     Attributes:
-        response: Head of the answer.
-        fields: What it tells.
+        response: Head of the response.
+        fields: Decoded body.
     """
 
     response: messages.Response
@@ -60,12 +60,12 @@
 
 
 class PeerList(NamedTuple):
-    """All objects of a kind, as another daemon knows them.
+    """All objects of a kind, as a peer has cached them.
 
     Attributes:
         listed: The objects.
-        fresh_at: Loop time at which the store said so.
-        address: IP number and port of the other daemon.
+        fresh_at: Loop time at which the store confirmed them.
+        address: IP number and port of the peer.
     """
 
     listed: interface.Listed
@@ -80,25 +80,28 @@
 
 
 class Peer:
-    """Another daemon that can be asked.
+    """A relay that this daemon queries.
 
     Attributes:
-        client: Client of it.
-        name: Name of this daemon, by which the other counts it.
-        shares: Whether this daemon shares what the other one divides.
-        address: IP number and port of the other daemon.
-        max_age_s: Age up to which what it tells is relied on, in seconds.
-        sharers: Daemons that the other one told for, itself included.
-        rank: Number of this daemon among these.
-        ahead_s: How far the other one's clock is ahead, in seconds.
-        fresh_at: Loop time at which the store said what the other one told.
-        skipped_until: Loop time until which it is not asked.
-        mark: Mark of the last answer; see `gateway.quarantine_sync`.
-        on_mark: Called with each answer's mark.
+        client: HTTP client of the relay.
+        name: Name of this daemon, by which the relay counts it.
+        shares: Query parameter: whether this daemon shares the budget of the
+            relay's group.
+        address: IP number and port of the relay.
+        max_age_s: Age up to which the relay's state is relied on, in seconds.
+        sharers: Daemons that share the relay's group, the relay included.
+        rank: Position of this daemon among these.
+        ahead_s: How far the relay's clock is ahead, in seconds.
+        fresh_at: Loop time at which the store confirmed the relay's last reply.
+        skipped_until: Loop time until which the relay is not queried.
+        mark: Mark of the last response; see `gateway.quarantine_sync`.
+        on_mark: Called with the mark of each response.
         failing: Returns the servers that failed this daemon lately.
-        on_failing_servers: Called with the servers that the other doubts.
-        server_limits: Limits that servers name, or None if nobody follows them.
-        peer_limits: What the other one knew of limits when it answered last.
+        on_failing_servers: Called with the failing servers that the relay
+            reports.
+        server_limits: Limits that servers name, or None if they are not
+            tracked.
+        peer_limits: Limits that the relay reported last.
     """
 
     def __init__(
@@ -126,7 +129,7 @@
     async def changes(
         self, object_kind: str, version: str, wait_s: float
     ) -> interface.Changes | interface.Gone | PeerRefusal:
-        """Asks for the changes after a version."""
+        """Queries the changes after a version."""
         target = (
             f"{mirror.PATH}{object_kind}?since={version}"
             f"&wait_ms={wait_s * 1000:.0f}&name={self.name}"
@@ -144,7 +147,7 @@
         composed_at = sent_at + fields.get("held_ms", 0) / 1000
         fresh_at = composed_at - fields["age_ms"] / 1000
         too_old = fresh_at < _now() - self.max_age_s
-        # A change is one, however old the answer is.
+        # Changes are valid however old the reply is.
         if too_old and not fields["events"]:
             return PeerRefusal(RefusalKind.NOT_READY)
         self.on_failing_servers(fields.get("doubted", []))
@@ -156,10 +159,10 @@
         return interface.Changes(changes, fields["version"], second_hand=True)
 
     def position(self, relay_count: int) -> turns.FleetPosition:
-        """Returns this daemon's place among those that share with the other.
+        """Returns this daemon's position in the relay's group.
 
         Args:
-            relay_count: Number of daemons that others may ask.
+            relay_count: Number of relays of the fleet.
         """
         return turns.FleetPosition(
             self.rank, self.sharers, relay_count, self.ahead_s
@@ -176,9 +179,10 @@
     def _record_turn_info(
         self, fields: peer_messages.ReplyFields, composed_at: float
     ) -> None:
-        """Notes who shares with this daemon, and the limits that were told.
+        """Records the size of the relay's group and the reported limits.
 
-        Answers about other kinds than documents tell the sharers only.
+        Replies about other kinds than documents carry the number of sharers
+        only.
         """
         self.sharers = fields["sharers"]
         if "clock_ms" not in fields:
@@ -190,7 +194,7 @@
             self.server_limits.merge_report(self.peer_limits, composed_at)
 
     async def list(self, object_kind: str) -> PeerList | PeerRefusal:
-        """Asks for all objects, however old what is known there may be."""
+        """Queries all objects of a kind, however old the relay's state is."""
         sent_at = _now()
         reply = await self._query(
             f"{mirror.PATH}{object_kind}", 0, peer_messages.ListFields
--- a/banyantiller/gateway/shared_reading.py
+++ b/banyantiller/gateway/shared_reading.py
@@ -1,4 +1,4 @@
-"""Reads the store through other daemons where that is as fresh."""
+"""Reads the store through relays where their data is fresh enough."""
 
 import asyncio
 import collections
@@ -8,74 +8,69 @@
 from banyantiller.gateway.decisions import store_reads, turns
 from banyantiller.store import interface
 
-# Longest wait of a call for the kind that shows whether the store answers,
-# while others are told: with the timeout of a call, 0.8 s, a lost store is
-# noticed within 1.4 s.
+# Maximum wait of a relay's call for the sentinel while it has subscribers: with
+# the timeout of a call, 0.8 s, a lost store is noticed within 1.4 s.
 RELAY_READ_WAIT_S = 0.6
-# Longest wait of one question to another daemon; with its margin a daemon that
-# froze is noticed within 0.9 s.
+# Maximum wait of one query to a relay; with its margin a frozen relay is
+# noticed within 0.9 s.
 QUERY_WAIT_S = 0.5
-# The same for a kind that may be known later: what is known is confirmed by
-# fewer questions, and a daemon that froze is noticed within 1.9 s.
+# The same for a delay-tolerant kind: the cached state is confirmed by fewer
+# queries, and a frozen relay is noticed within 1.9 s.
 DELAY_TOLERANT_QUERY_WAIT_S = 1.5
-# Others that gave no answer before the store is read: a second one that is
-# asked without a wait takes 0.4 s, and a change is known within 1.4 s.
+# Unresponsive relays before the store is read: a second one, queried without a
+# wait, takes 0.4 s, and a change is known within 1.4 s.
 MAX_UNRESPONSIVE_PEERS = 2
-# One that is asked after others took longer than this is not to wait for a
-# change.
+# A relay that is queried later than this, after others failed to respond, is
+# not asked to wait for a change.
 LONG_POLL_WINDOW_S = 0.05
-# Time for a question to others where the store should be read already: one that
-# lives answers within it, which spares the store a call of each daemon that
-# stood still.
+# Time for a query to relays where the store is already due to be read: a
+# healthy relay responds within it, which saves the store a call of each daemon
+# that was frozen itself.
 MIN_QUERY_S = 0.1
-# Age at which the store is read for a kind that may be known later.
+# Age of the cached state at which the store is read for such a kind.
 DELAY_TOLERANT_MAX_AGE_S = 3.5
 
-RELAYS_LOST_STORE = "the daemons that are asked hear nothing of the store"
+RELAYS_LOST_STORE = "relays get no response from the store"
 STORE_UNREACHABLE = "no daemon reaches the store"
-# Stands for the store where the address of another daemon would stand.
+# Value of `confirmed_by` for the store itself.
 STORE = "store"
 
 
 class SharedReader:
-    """Reads the store through other daemons where that is as fresh.
+    """Reads the store through relays where their data is fresh enough.
 
-    If no other daemon can tell, the store is read at once in its place. If one
-    can tell that the store is lost, it is read when what is known gets too old.
-    See `store.interface.ObjectReader`.
+    If no relay can serve a read, the store is read at once. If a relay reports
+    that the store is lost, the store is read when the cached state gets too
+    old. See `store.interface.ObjectReader`.
 
     Attributes:
         store: The store.
-        mirror: What this daemon tells others.
-        sentinel: Kind whose calls show whether the store answers.
-        delay_tolerant: Kinds whose changes may be known later than others.
-        upstream_relays: Daemons to ask for changes; of a daemon that is asked
-            itself, those before it in the order of their addresses.
-        relays: Daemons to ask for what was in force, without this one.
-        is_relay: Whether others ask this daemon.
-        read_policy: How long others are relied on.
-        min_versions: Least version that a list told by others must have, by
-            kind.
-        peer_lists: Asks others for lists.
-        counts_sharers_from: Loop time from which a daemon that is asked knows
-            who shares with it.
-        current_relay: Daemon that told changes last, or None.
+        mirror: Serves the state of the store to subscribers.
+        sentinel: Kind whose calls show whether the store responds.
+        delay_tolerant: Kinds whose changes may be learned later than others.
+        upstream_relays: Relays to query for changes; of a daemon that is a
+            relay itself, those before it in the order of their addresses.
+        relays: All relays except this daemon, to query for lists.
+        is_relay: Whether this daemon is a relay.
+        read_policy: How long relays are relied on.
+        min_versions: Minimum version of a list from a relay, by kind.
+        peer_lists: Queries relays for lists.
+        counts_sharers_from: Loop time from which a relay knows its sharers.
+        current_relay: Relay that sent changes last, or None.
         read_at: Loop time of the last read of the store, by kind.
-        reaches_store: Whether the store answered this daemon since another one
-            told changes. Those that are asked may be the only ones that have
-            lost it.
-        confirmed_by: Where what is known of the sentinel came from last:
-            `store`, or the address of another daemon.
-        unconfirmed_s: How old the store's last word on the sentinel had become
-            when the latest one came, in seconds.
-        relay_count: Daemons that others may ask; each tells a part of the
-            fleet.
-        position: This daemon's place among those that take turns, or None while
+        reaches_store: Whether the store responded to this daemon since a relay
+            last sent changes. The relays may be the only ones that lost it.
+        confirmed_by: Source of the last confirmation of the sentinel: `store`,
+            or the address of a relay.
+        unconfirmed_s: Age of the previous confirmation of the sentinel when the
+            latest one came, in seconds.
+        relay_count: Number of relays; each serves a group of the fleet.
+        position: Position of this daemon among those that take turns, or None
+            while the others can't be counted.
+        budget_share: This daemon's share of the fleet's budgets, or None while
             the others can't be counted.
-        budget_share: Part of the fleet's budgets that this daemon may use, or
-            None while the others can't be counted.
         calls: Calls to the store by verb.
-        query_outcomes: Questions to other daemons by outcome.
+        query_outcomes: Queries to relays by outcome.
     """
 
     def __init__(
@@ -98,7 +93,7 @@
         self.is_relay = bool(local_address)
         self.upstream_relays = self.relays
         if self.is_relay:
-            # In one order for all, so that no two wait for each other.
+            # All relays use the same order, so that no two wait for each other.
             earlier = [p for p in relays if p.address < local_address]
             self.upstream_relays = sorted(
                 earlier, key=lambda peer: peer.address
@@ -127,10 +122,10 @@
     async def list(
         self, kind: str, labels: dict[str, str] | None = None
     ) -> interface.ListOutcome:
-        """Reads all objects of a kind, told by others if that is fresh.
+        """Reads all objects of a kind, from a relay if its list is fresh.
 
-        A daemon that starts while the store is away is told by another one
-        what was in force, and serves within a second.
+        A daemon that starts while the store is down takes an older list from a
+        relay, and serves within a second.
         """
         peer_list = await self.peer_lists.fetch(kind)
         if peer_list is not None and self.peer_lists.is_fresh(peer_list):
@@ -153,7 +148,7 @@
     async def changes(
         self, kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
-        """Reads changes from another daemon, or from the store."""
+        """Reads changes from a relay, or from the store."""
         if wait_s <= 0:
             outcome = await self._retry_lost_store(kind, version)
         else:
@@ -170,7 +165,7 @@
             await peer.client.close()
 
     def skip_start_pause(self) -> None:
-        """Notes that a caller waits for what is to be read at the start."""
+        """Stops waiting for relays at the start, as a caller waits."""
         self.peer_lists.start_pause_skipped.set()
 
     def _record_list(
@@ -180,8 +175,6 @@
         self.min_versions[object_kind] = int(outcome.version)
         return outcome
 
-    # Changes.
-
     async def _read_changes(
         self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
@@ -212,9 +205,9 @@
         return await self._read_store(object_kind, version, wait_s)
 
     async def _space_reads(self, object_kind: str) -> None:
-        """Waits so that changes in series don't cost a call each.
+        """Delays a read so that a series of changes takes fewer calls.
 
-        Where all that are asked have lost the store, each daemon reads it.
+        Where all relays have lost the store, each daemon reads it.
         """
         due = (
             self.read_at.get(object_kind, 0.0) + self.read_policy.max_peer_age_s
@@ -222,7 +215,7 @@
         await asyncio.sleep(due - self.loop.time())
 
     def _may_await_relays(self, object_kind: str) -> bool:
-        """Tells whether others that are about to listen may be waited for."""
+        """Returns whether to wait for relays that may be starting."""
         now = self.loop.time()
         if not self.upstream_relays or now >= self._store_read_due(object_kind):
             return False
@@ -231,7 +224,7 @@
     async def _retry_lost_store(
         self, object_kind: str, version: str
     ) -> interface.ChangesOutcome:
-        """Asks the store now and then, and one of the others in between."""
+        """Calls a lost store at intervals, and a random relay in between."""
         now = self.loop.time()
         available = [
             peer for peer in self.upstream_relays if peer.skipped_until <= now
@@ -259,18 +252,18 @@
             )
         self.reaches_store = not isinstance(outcome, interface.Unavailable)
         if isinstance(outcome, interface.Gone):
-            # A list from before would lead here again.
+            # An older list would lead to `Gone` again.
             self.min_versions[object_kind] = int(version) + 1
         return outcome
 
     def _earliest_response_time(
         self, outcome: interface.Changes, sent_at: float, wait_s: float
     ) -> float:
-        """Returns the earliest loop time at which the store said something.
+        """Returns the earliest loop time at which the store responded.
 
-        When it was received tells nothing: an answer may have been under way
-        for long, or lie in the socket of a process that stood still. Without a
-        change the store waits for as long as it was asked to.
+        The time of receipt is no measure: a response may have been delayed, or
+        have waited in the socket of a process that was frozen. Without a change
+        the store holds the call for the whole wait.
         """
         waited_until = sent_at + wait_s
         if outcome.events or self.loop.time() < waited_until:
@@ -280,11 +273,11 @@
     async def _query_relays_in_time(
         self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome | None:
-        """Asks others until the store has to be read; see `_ask_others`."""
+        """Queries relays until the store has to be read."""
         now = self.loop.time()
         remaining_s = self._store_read_due(object_kind) - now
         until = now + max(remaining_s, MIN_QUERY_S)
-        # An answer that was waited for needs time to arrive.
+        # Leaves time for the response to arrive after the wait.
         wait_s = max(0.0, min(wait_s, remaining_s - MIN_QUERY_S))
         try:
             async with asyncio.timeout_at(until):
@@ -303,11 +296,11 @@
     async def _query_relays(
         self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome | None:
-        """Asks one daemon after the other.
+        """Queries one relay after the other.
 
         Returns:
-            What one told; `Unavailable` if the store needn't be read yet
-            either; None if it has to be read.
+            The outcome of the first that served changes; `Unavailable` if the
+            store needn't be read yet either; None if it has to be read.
         """
         store_lost = False
         unresponsive_count = 0
@@ -316,7 +309,7 @@
             now = self.loop.time()
             if peer.skipped_until > now:
                 continue
-            # One that was waited for in vain leaves no time to wait again.
+            # No time is left for a second wait once one was in vain.
             remaining_s = wait_s if now < long_poll_until else 0.0
             outcome = await self._query(peer, object_kind, version, remaining_s)
             if not isinstance(outcome, peers.PeerRefusal):
@@ -333,7 +326,7 @@
         return None
 
     def _may_rely_on_relays(self) -> bool:
-        """Tells whether a lost store may be left to those that are asked."""
+        """Returns whether a lost store may be left to the relays."""
         if self.is_relay or self.reaches_store:
             return False
         return self.read_policy.may_rely_on_peers(self.loop.time())
@@ -341,7 +334,7 @@
     async def _query(
         self, peer: peers.Peer, object_kind: str, version: str, wait_s: float
     ) -> interface.Changes | interface.Gone | peers.PeerRefusal:
-        """Asks a daemon, and notes whether it can be relied on."""
+        """Queries a relay, and records whether it can be relied on."""
         tolerant = object_kind in self.delay_tolerant
         max_wait_s = DELAY_TOLERANT_QUERY_WAIT_S if tolerant else QUERY_WAIT_S
         outcome = await peer.changes(
@@ -371,7 +364,7 @@
     def _record_confirmation(
         self, object_kind: str, fresh_at: float, source: str = STORE
     ) -> None:
-        """Notes when the store said what is known now."""
+        """Records when the store confirmed the cached state."""
         self.mirror.freshness.record(object_kind, fresh_at)
         if object_kind == self.sentinel:
             self.confirmed_by = source
@@ -379,7 +372,7 @@
             self.read_policy.record_confirmation(fresh_at)
 
     def _record_relay(self, peer: peers.Peer) -> None:
-        """Notes that another daemon told changes."""
+        """Records that a relay sent changes."""
         if peer is not self.current_relay:
             self.current_relay = peer
             events.emit(events.ReadsThroughRelay(peer.address, peer.sharers))
@@ -388,9 +381,10 @@
             self.position = peer.position(self.relay_count)
 
     def _update_budget_share(self, sharers: int) -> None:
-        """Takes this daemon's part of what a group of daemons may use.
+        """Updates this daemon's share of the fleet's budgets.
 
-        Each group gets the same, and shares it among those that it counts, so
-        the parts add up to one whatever a daemon believes of other groups.
+        Each relay's group gets the same part and divides it among the daemons
+        that the relay counts, so the shares add up to one whatever a daemon
+        knows of other groups.
         """
         self.budget_share = 1 / (self.relay_count * max(1, sharers))
--- a/banyantiller/gateway/store_view.py
+++ b/banyantiller/gateway/store_view.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of its store: the document in force and the servers."""
+"""The daemon's view of the store: document, servers, evacuated zones."""
 
 import asyncio
 import math
@@ -27,41 +27,40 @@
 from banyantiller.store import interface
 
 # How long callers of a daemon that starts wait for the first document and list
-# of servers: both are read within 0.02 s if anybody answers, and ten times as
-# long is within the objective of a short request.
+# of servers: both are read within 0.02 s if the store or a relay responds, and
+# ten times as long is within the objective of a short request.
 FIRST_READ_S = 0.2
 # Age up to which a document counts as the newest, in seconds: 3 s for a call to
-# the store that ended with a change, 0.1 s for other daemons, 3 s for the next
-# call, and 0.8 s for its answer. With less, callers of routes that do not exist
-# are told to come back although the store answers.
+# the store that ended with a change, 0.1 s for relays, 3 s for the next call,
+# and 0.8 s for its response. With less, callers of routes that do not exist are
+# told to retry although the store responds.
 MAX_CURRENT_AGE_S = 7.0
-# Stands for this daemon among those that reported servers to it.
+# Name of this daemon among the reporters of failing servers.
 LOCAL_REPORTER = ""
 
 
 class StoreView:
-    """Takes what the followers of the store read.
+    """Holds the state that the store watchers have read.
 
     Attributes:
-        adapter: What is known of the surroundings.
+        adapter: Access to the platform's store and formats.
         routes: Routes of the document in force, or None before the first.
         table: Servers that registered.
         evacuations: Availability zones that are evacuated.
         servers_listed: Whether the registered servers were read once.
-        complete: Set once there is a document, and the servers and the
+        complete: Set once a document is in force, and the servers and the
             evacuated zones are listed.
         started_at: Loop time at which reading began.
         caller_limits: Limits for callers in force.
-        store_health: Whether the store answers.
-        mirror: What other daemons are told of the store.
-        reader: Reads the store, also through other daemons.
-        on_server_removed: Called with each server that was taken out.
+        store_health: Whether the store responds.
+        mirror: Serves the state of the store to subscribers.
+        reader: Reads the store directly or through relays.
+        on_server_removed: Called with each server that was removed.
         on_first_document: Called when the first document is in force.
-        shutting_down: Whether this daemon was told to end.
+        shutting_down: Whether this daemon is shutting down.
         newest_unreadable: Whether the newest document can't be read.
-        local_failures: Servers that failed this daemon.
-        unreadable: What is wrong with registrations that can't be read, by
-            instance.
+        local_failures: Servers that failed requests of this daemon.
+        unreadable: Errors of registrations that can't be read, by instance.
     """
 
     def __init__(
@@ -119,7 +118,7 @@
         return self.routes.document.version if self.routes else 0
 
     def document_age_s(self) -> float:
-        """Returns how long ago the store said which document is the newest.
+        """Returns the time since the store last confirmed the document.
 
         Infinite, in seconds, before the first document.
         """
@@ -131,16 +130,17 @@
         return self.loop.time() - confirmed
 
     def is_current(self) -> bool:
-        """Tells whether the document counts as the newest."""
+        """Returns whether the document counts as the newest."""
         if self.store_health.lost_at is not None or self.newest_unreadable:
             return False
         return self.document_age_s() <= MAX_CURRENT_AGE_S
 
     def refusal_of(self, error_kind: ErrorKind) -> Failure:
-        """Returns the refusal of a request that the document does not allow.
+        """Returns the failure for a request that the document does not allow.
 
-        Callers take 404, 413 and 431 for final. If a newer document may allow
-        the request, they are told that it was not run and when to come back.
+        Callers treat 404, 413 and 431 as final. If a newer document may allow
+        the request, the failure says that it was not run and when to retry
+        instead.
 
         Args:
             error_kind: Why the document does not allow it.
@@ -161,7 +161,7 @@
         return self.routes.document.services.get(name)
 
     def store_watchers(self) -> list[store_watching.StoreWatcher]:
-        """Returns the tasks that follow the store."""
+        """Returns the watchers of the store, one per object kind."""
         document_handlers = store_watching.Handlers(
             self._documents_listed,
             self._document_changed,
@@ -201,7 +201,7 @@
         ]
 
     async def wait_for_first_read(self) -> None:
-        """Waits for what a daemon that just started is about to know."""
+        """Waits a limited time for the first document and lists."""
         remaining_s = self.started_at + FIRST_READ_S - self.loop.time()
         if self.complete.is_set():
             return
@@ -215,26 +215,27 @@
             return
 
     def begin_shutdown(self) -> None:
-        """Lets other daemons ask somebody else."""
+        """Makes the mirror reject queries, so that subscribers switch relay."""
         self.shutting_down = True
         self.mirror.wake()
 
     def remove_moved(self, server: types.Server) -> None:
-        """Takes out a server whose address another instance has.
+        """Removes a server whose address now belongs to another instance.
 
-        One that registered anew since it was asked stays: the store tells a
-        registration only when it changes, so it would stay out.
+        A server that registered again since the request was sent is kept: the
+        store reports a registration only when it changes, so a removed server
+        would not be added again.
         """
         if self.table.is_registered(server):
             self.table.remove(server.instance, "address_reused")
             self.on_server_removed(server)
 
     def expire(self, now: float) -> None:
-        """Takes out servers whose registration did not come back."""
+        """Removes servers whose lapsed registration did not come back."""
         for server in self.table.expire(now):
             self.on_server_removed(server)
 
-    # Called by the followers.
+    # Handlers of the store watchers.
 
     def _documents_listed(
         self, items: tuple[interface.StoredObject, ...]
@@ -302,9 +303,9 @@
             self.on_server_removed(replaced)
 
     def _reject_registration(self, instance: str, error: str) -> None:
-        """Takes out a server whose registration another writer spoilt.
+        """Removes a server whose registration was overwritten with bad data.
 
-        One line is logged as long as the same is wrong with it.
+        Each error of a registration is logged once until it changes.
         """
         self.tallies.registrations["unreadable"] += 1
         if self.unreadable.get(instance) != error:
@@ -327,16 +328,16 @@
         if server is not None:
             self.on_server_removed(server)
 
-    # Servers that fail.
+    # Failing servers.
 
     def _servers_to_report(self) -> list[str]:
-        """Returns the servers that this daemon tells others of."""
+        """Returns the failing servers that this daemon reports to relays."""
         now = self.loop.time()
         reported = self.mirror.failure_reports.failing_servers(now)
         return sorted({*self.local_failures.recent(now), *reported})
 
     def _failing_servers(self) -> list[str]:
-        """Returns the servers that those who ask this daemon should doubt."""
+        """Returns the failing servers that subscribers are told of."""
         now = self.loop.time()
         local = self.local_failures.recent(now)
         self.mirror.failure_reports.receive(LOCAL_REPORTER, local, now)
@@ -353,10 +354,10 @@
     def _document_deleted(self, item: interface.StoredObject) -> None:
         events.emit(events.DocumentRemoved(item.name))
 
-    # Within.
+    # Mirror and watchers.
 
     def _status(self) -> int:
-        """Returns the status with which other daemons are answered."""
+        """Returns the HTTP status of the mirror's responses."""
         if self.shutting_down:
             return mirror.NOT_READY_STATUS
         if self.store_health.lost_at is not None:
@@ -364,7 +365,8 @@
         return 200
 
     def _restart_watchers(self) -> None:
-        # What waits for seconds would notice the store's loss too late.
+        # Calls that already wait for seconds would notice a lost store too late
+        # for the subscribers.
         for watcher in self.store_health.watchers:
             watcher.restart.set()
 
@@ -372,7 +374,7 @@
 def _remote_relays(
     settings: options.Settings, max_age_s: float
 ) -> list[peers.Peer]:
-    """Returns the daemons that can be asked, without this one."""
+    """Returns the relays of the settings, without this daemon."""
     shares = settings.control not in settings.seeds
     return [
         peers.Peer(options.endpoint(text), settings.daemon, shares, max_age_s)
--- a/banyantiller/gateway/store_watching.py
+++ b/banyantiller/gateway/store_watching.py
@@ -1,4 +1,4 @@
-"""Follows the objects of a kind in the store, through outages of it."""
+"""Watches the objects of a kind in the store, through outages of it."""
 
 import asyncio
 import random
@@ -8,13 +8,13 @@
 from banyantiller.gateway import events
 from banyantiller.store import interface
 
-# Pauses between tries while the store gives no answer: with the timeout of a
-# call, 1 s, its return is seen within 1.8 s.
+# Pauses between retries while the store is unresponsive: with the timeout of a
+# call, 1 s, its return is noticed within 1.8 s.
 FIRST_PAUSE_S = 0.1
 MAX_PAUSE_S = 0.8
 # Registrations lapse after three heartbeats; a shorter outage loses none.
 LAPSE_OUTAGE_S = 1.0
-# How long after its return the store may still be short of registrations.
+# How long after its return the store may still lack registrations.
 RETURN_GRACE_S = 2.5
 
 
@@ -22,8 +22,8 @@
     """How often a kind is read.
 
     Attributes:
-        wait_s: Longest wait of one call, in seconds.
-        period_s: Least time between two calls to the store while changes
+        wait_s: Maximum wait of one call, in seconds.
+        period_s: Minimum time between two calls to the store while changes
             come, in seconds.
     """
 
@@ -31,25 +31,25 @@
     period_s: float
 
 
-# A connection that went silent at the store hides a change for as long as a
-# call waits. A document must be in force 2 s after its acceptance, with 3 s of
-# undisturbed store before.
+# An unresponsive connection to the store hides a change for as long as a call
+# waits. A document must be in force 2 s after its acceptance, provided that the
+# store was undisturbed for 3 s before.
 DOCUMENT_TIMING = WatchTiming(wait_s=3.0, period_s=0.0)
-# Registrations come in series; a leaving server may get requests for 2 s, so
-# one call brings what changed within 0.8 s. A lost store is noticed by the
-# kind of the documents.
+# Registrations change in series, and a draining server may get requests for 2
+# s, so one call collects the changes of 0.8 s. The watcher of the documents
+# notices a lost store.
 SERVER_TIMING = WatchTiming(wait_s=10.0, period_s=0.8)
-# Zones are evacuated rarely, and each evacuation has to be known at once.
+# Evacuations are rare, and each one has to be known at once.
 EVACUATION_TIMING = WatchTiming(wait_s=10.0, period_s=0.0)
 
 
 class Handlers(NamedTuple):
-    """What is called with the objects of a kind.
+    """Callbacks for the objects of a kind.
 
     Attributes:
-        on_listed: Takes all objects that exist.
-        on_changed: Takes an object that was created or changed.
-        on_deleted: Takes an object that was removed, as it was.
+        on_listed: Receives all objects that exist.
+        on_changed: Receives an object that was created or changed.
+        on_deleted: Receives the last state of an object that was removed.
     """
 
     on_listed: Callable[[tuple[interface.StoredObject, ...]], None]
@@ -58,14 +58,14 @@
 
 
 class StoreHealth:
-    """Whether the store answers this daemon, over all that it follows.
+    """Whether the store responds to this daemon, over all watched kinds.
 
     Attributes:
-        lost_at: Loop time since which it gives no answer, or None.
+        lost_at: Loop time since which it is unresponsive, or None.
         lapsed_until: Loop time until which missing objects may come back.
-        watchers: Followers that are told when the store is lost.
+        watchers: Watchers that restart when the store is lost.
         on_lost: Called when the store is lost.
-        available: Set while the store answers.
+        available: Set while the store responds.
     """
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
         self.available.set()
 
     def record_response(self, now: float) -> None:
-        """Notes an answer of the store."""
+        """Records a response of the store."""
         if self.lost_at is None:
             return
         away_s = now - self.lost_at
@@ -88,9 +88,9 @@
         self.available.set()
 
     def record_failure(self, object_kind: str, reason: str, now: float) -> None:
-        """Notes a call without an answer; other waiting calls begin anew.
+        """Records a call without a response, and restarts the other watchers.
 
-        A call that waits on a connection gone silent would notice much later.
+        A call that waits on an unresponsive connection would notice much later.
         """
         if self.lost_at is not None:
             return
@@ -103,7 +103,7 @@
                 watcher.restart.set()
 
     def may_have_lapsed(self, now: float) -> bool:
-        """Tells whether an object may be missing because of an outage."""
+        """Returns whether an object may be missing because of an outage."""
         return self.lost_at is not None or now < self.lapsed_until
 
 
@@ -112,11 +112,12 @@
 
     Attributes:
         object_kind: Kind of the objects.
-        timing: How often it is read. The first follower tries a lost store; the
-            others wait for its return, since each call is paid for.
+        timing: How often it is read.
         version: Version up to which all changes were seen, or empty.
         restart: Set to end a call that waits.
         pause_s: Pause after the next failure, in seconds.
+        retries_lost_store: Whether this watcher, the first one, retries a lost
+            store; the others wait for its return, since each call is paid for.
     """
 
     def __init__(
@@ -142,7 +143,7 @@
         store_health.watchers.append(self)
 
     async def run(self) -> None:
-        """Follows until cancelled."""
+        """Watches until cancelled."""
         while True:
             self.restart.clear()
             watching = asyncio.ensure_future(self._watch_until_lost())
--- a/banyantiller/gateway/types.py
+++ b/banyantiller/gateway/types.py
@@ -1,4 +1,4 @@
-"""What the gateway is told: routes, services, servers and wire names."""
+"""Types of the gateway: routes, services, servers and wire names."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -12,7 +12,7 @@
 
     Attributes:
         service: Name of the service.
-        weight: Its share, relative to the other parts.
+        weight: Its share, relative to the other services of the route.
     """
 
     service: str
@@ -27,10 +27,10 @@
         host: Value of Host in lower case, without a port.
         prefix: Path prefix; begins and ends with a slash.
         idempotent: Whether a request may be executed more than once.
-        timeout_s: Longest time a caller is kept waiting, in seconds.
+        timeout_s: Maximum time that a caller waits, in seconds.
         objective_s: Latency objective, in seconds.
-        priority: Rank; 0 is the most urgent.
-        max_attempts: Most servers that one request may be sent to.
+        priority: Priority; 0 is the most urgent.
+        max_attempts: Maximum number of attempts of one request.
         weighted_services: Services and their shares; at least one.
     """
 
@@ -46,14 +46,14 @@
 
 
 class Service(NamedTuple):
-    """A group of servers that are alike.
+    """A group of interchangeable servers.
 
     Attributes:
         name: Name of the service.
-        health_path: Path at which a server tells its health and load.
-        max_connections: Connections that a server takes from all callers.
-        cold_per_s: Requests a second that a cold server bears from all callers,
-            or infinite if that is not stated.
+        health_path: Path at which a server reports its health and load.
+        max_connections: Maximum connections of a server from all callers.
+        cold_per_s: Requests a second that a cold server can take from all
+            callers, or infinite if that is not stated.
     """
 
     name: str
@@ -63,13 +63,13 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take.
+    """Limits on the requests and connections of a caller.
 
     Attributes:
-        head_bytes: Largest request head.
-        body_bytes: Largest request body.
-        head_timeout_s: Longest time for a request head, in seconds.
-        idle_timeout_s: Longest idle time of a connection, in seconds.
+        head_bytes: Maximum size of a request head.
+        body_bytes: Maximum size of a request body.
+        head_timeout_s: Maximum time for a request head, in seconds.
+        idle_timeout_s: Maximum idle time of a connection, in seconds.
     """
 
     head_bytes: int = 16384
@@ -79,7 +79,7 @@
 
 
 class Document(NamedTuple):
-    """Everything that operators state, in force as a whole.
+    """The operators' configuration, in force as a whole.
 
     Attributes:
         version: Rises with each accepted change.
@@ -95,19 +95,20 @@
 
 
 class Server(NamedTuple):
-    """One start of a backend server, as it registered itself.
+    """One incarnation of a backend server, as it registered itself.
 
     Attributes:
-        instance: Identity, which a server may keep when it starts again.
+        instance: Identity, which a server may keep when it restarts.
         service: Service that it belongs to.
         host: IP number.
         port: TCP port.
         zone: Availability zone.
         slots: Requests that it executes at once.
-        leaving: Whether it asked for no new requests.
-        warmup_s: How much longer it is slow after its start, in seconds.
-        started_ms: When it started, in Unix milliseconds; tells the starts of
-            one identity apart. 0 if it does not say.
+        leaving: Whether it drains and takes no new requests.
+        warmup_s: Remaining time for which it is slow after its start, in
+            seconds.
+        started_ms: Start time in Unix milliseconds, which distinguishes the
+            incarnations of one identity; 0 if the server does not report it.
     """
 
     instance: str
@@ -122,13 +123,14 @@
 
 
 class Load(NamedTuple):
-    """What a server tells of its load.
+    """The load that a server reports.
 
     Attributes:
         running: Requests that it executes.
         waiting: Requests in its queue.
         slots: Requests that it can execute at once.
-        slowness: How long work takes now; 1.0 is as usual.
+        slowness: Current duration of work relative to the usual; 1.0 is as
+            usual.
     """
 
     running: int
@@ -143,14 +145,15 @@
     Attributes:
         request_id: Identity of one sending of a request by its caller.
         deadline_ms: Milliseconds that the caller waits from now on.
-        signature: Mark of a server on its own answer.
+        signature: Marks a response as written by the server itself.
         expected_instance: Instance that a request is meant for.
-        instance: Instance that answers.
-        load: Load that a server tells.
+        instance: Instance that responds.
+        load: Load that a server reports.
         not_run: Present if the server did not execute the request.
         warmup_ms: Milliseconds for which a server is still cold.
-        limit: Requests a second that a server in need takes from all daemons.
-        caller: Says who calls, the same with each sending.
+        limit: Requests a second that an overloaded server takes from all
+            daemons.
+        caller: Identifies the caller, the same with each sending.
     """
 
     request_id: bytes
@@ -166,10 +169,10 @@
 
 
 class Adapter(NamedTuple):
-    """What the gateway needs to know of its surroundings.
+    """Access to the platform's store and formats.
 
     Attributes:
-        store: Where documents and servers are read.
+        store: Store from which documents and servers are read.
         document_kind: Kind of the object that holds the document.
         document_name: Name of that object.
         server_kind: Kind of the objects that servers register.
@@ -177,8 +180,7 @@
         read_document: Decodes a document; raises `ValueError` with the place.
         read_server: Decodes a registration; raises `ValueError`.
         read_load: Decodes the load header; None if it can't be read.
-        read_limit: Decodes the values of the limit header; raises
-            `ValueError`.
+        read_limit: Decodes the values of the limit header; raises `ValueError`.
         wire: Names of header fields.
     """
 
