--- a/banyantiller/gateway/shared_reading.py
+++ b/banyantiller/gateway/shared_reading.py
@@ -18,7 +18,7 @@
 # queries, and a frozen relay is noticed within 1.9 s.
 DELAY_TOLERANT_QUERY_WAIT_S = 1.5
 # Unresponsive relays before the store is read: a second one, queried without a
-# wait, takes 0.4 s, and a change is known within 1.4 s.
+# wait, takes 0.4 s, and a change is learned within 1.4 s.
 MAX_UNRESPONSIVE_PEERS = 2
 # A relay that is queried later than this, after others failed to respond, is
 # not asked to wait for a change.
--- a/banyantiller/gateway/store_view.py
+++ b/banyantiller/gateway/store_view.py
@@ -337,7 +337,7 @@
         return sorted({*self.local_failures.recent(now), *reported})
 
     def _failing_servers(self) -> list[str]:
-        """Returns the failing servers that subscribers are told of."""
+        """Returns the failing servers to report to subscribers."""
         now = self.loop.time()
         local = self.local_failures.recent(now)
         self.mirror.failure_reports.receive(LOCAL_REPORTER, local, now)
--- a/banyantiller/tests/gateway/change_harness.py
+++ b/banyantiller/tests/gateway/change_harness.py
@@ -1,4 +1,4 @@
-"""A fleet in which the way of a change from the store is disturbed."""
+"""Measures how long changes take to reach daemons while relays fail."""
 
 import asyncio
 import random
@@ -9,21 +9,21 @@
 
 PORTS = (7001, 7002, 7003)
 SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
-OTHERS = 4
+SUBSCRIBERS = 4
 SETTLE_S = 4.0
-# A change each of these, for the time that a play lasts.
+# Time between changes, and number of changes in a run.
 CHANGE_GAP_S = 0.25
 CHANGES = 30
 STEP_S = 0.02
 
 
 class FaultyDaemon:
-    """A daemon that others ask, disturbed by one fault.
+    """Injects one fault into a relay.
 
     Attributes:
         name: Name of the fault.
         until: Loop time at which it ends.
-        late_s: How late an answer is.
+        late_s: Delay of late responses, in seconds.
     """
 
     def __init__(self, daemon, name, until, late_s):
@@ -31,29 +31,30 @@
         self.until = until
         self.late_s = late_s
         self.loop = asyncio.get_running_loop()
-        self.handler = daemon.store_view.mirror.handle
+        self.wrapped_handler = daemon.store_view.mirror.handle
         store = daemon.store_view.reader.store
         self.read_changes = store.changes
         self.read_list = store.list
-        # Connections that are open already keep their server's handler.
-        daemon.store_view.mirror.handle = self.answer
+        # Open connections keep the handler of their server, so the mirror's own
+        # method is replaced.
+        daemon.store_view.mirror.handle = self.handle
         store.changes = self.changes
         store.list = self.list
 
-    async def answer(self, request):
-        """Answers another daemon."""
-        if self._is("silent"):
+    async def handle(self, request):
+        """Answers a query of another daemon."""
+        if self._has_fault("unresponsive"):
             await asyncio.sleep(harness.NEVER_S)
-        if self._is("refusing"):
+        if self._has_fault("refusing"):
             raise OSError
-        if self._is("frozen"):
-            await self._end()
-        found = await self.handler(request)
-        if self._is("late_answers"):
+        if self._has_fault("frozen"):
+            await self._wait_for_end()
+        result = await self.wrapped_handler(request)
+        if self._has_fault("late_answers"):
             await asyncio.sleep(self.late_s)
-        if self._is("frozen"):
-            await self._end()
-        return found
+        if self._has_fault("frozen"):
+            await self._wait_for_end()
+        return result
 
     async def changes(self, kind, version, wait_s):
         """Reads the store's changes."""
@@ -65,39 +66,39 @@
         """Reads a list of the store."""
         return await self._read(self.read_list(kind, labels), 0.0)
 
-    async def _read(self, reading, wait_s):
-        if self._is("cut_from_store"):
-            reading.close()
+    async def _read(self, pending_read, wait_s):
+        if self._has_fault("cut_from_store"):
+            pending_read.close()
             await asyncio.sleep(wait_s + 0.8)
             return interface.Unavailable("no answer")
-        if self._is("turned_away"):
-            reading.close()
+        if self._has_fault("rejected_by_store"):
+            pending_read.close()
             return interface.Unavailable("status 429")
-        found = await reading
-        if self._is("store_is_late"):
+        result = await pending_read
+        if self._has_fault("store_is_late"):
             await asyncio.sleep(min(self.late_s, 0.7))
-        if self._is("frozen"):
-            await self._end()
-        if self._is("cut_from_store"):
-            # It was cut off while the answer was awaited.
+        if self._has_fault("frozen"):
+            await self._wait_for_end()
+        if self._has_fault("cut_from_store"):
+            # The connection was cut while the response was awaited.
             await asyncio.sleep(0.8)
             return interface.Unavailable("no answer")
-        return found
+        return result
 
-    def _is(self, name):
+    def _has_fault(self, name):
         return self.name == name and self.loop.time() < self.until
 
-    async def _end(self):
+    async def _wait_for_end(self):
         await asyncio.sleep(self.until - self.loop.time())
 
 
 FAULTS = (
-    "silent",
+    "unresponsive",
     "refusing",
     "frozen",
     "late_answers",
     "cut_from_store",
-    "turned_away",
+    "rejected_by_store",
     "store_is_late",
     "none",
 )
@@ -108,8 +109,8 @@
 
     Attributes:
         lag_s: That time, in seconds.
-        daemon: Its name.
-        faults: Faults of the daemons that are asked.
+        daemon: Name of the daemon.
+        faults: Faults of the relays.
     """
 
     lag_s: float
@@ -117,61 +118,71 @@
     faults: tuple[str, ...]
 
 
-async def play(seed, faults=None, duration_s=(1.0, 6.0)):
-    """Returns the longest lag of daemons that are not disturbed."""
+async def measure_lag(seed, faults=None, duration_s=(1.0, 6.0)):
+    """Returns the longest lag of daemons without a fault."""
     rng = random.Random(seed)
-    async with harness.GatewayHarness(seed) as place:
-        alone = place.gateway
-        asked, others = [], []
+    async with harness.GatewayHarness(seed) as env:
+        initial_gateway = env.gateway
+        relays, subscribers = [], []
         for number, port in enumerate(PORTS):
-            place.seed += 1
-            await place.start_gateway(SEEDS, f"seed{number}", port)
-            asked.append(place.gateway)
-        for number in range(OTHERS):
-            place.seed += 1
-            await place.start_gateway(SEEDS, f"more{number}")
-            others.append(place.gateway)
+            env.seed += 1
+            await env.start_gateway(SEEDS, f"seed{number}", port)
+            relays.append(env.gateway)
+        for number in range(SUBSCRIBERS):
+            env.seed += 1
+            await env.start_gateway(SEEDS, f"more{number}")
+            subscribers.append(env.gateway)
         await asyncio.sleep(SETTLE_S)
         try:
-            return await _disturb(place, asked, others, rng, faults, duration_s)
+            return await _apply_faults(
+                env, relays, subscribers, rng, faults, duration_s
+            )
         finally:
-            place.gateway = alone
-            for one in asked + others:
-                one.listener.close()
-                await one.close()
+            env.gateway = initial_gateway
+            for daemon in relays + subscribers:
+                daemon.listener.close()
+                await daemon.close()
 
 
-async def _disturb(place, asked, others, rng, faults, duration_s):
+async def _apply_faults(env, relays, subscribers, rng, faults, duration_s):
     loop = asyncio.get_running_loop()
-    begins = loop.time()
-    chosen = faults or tuple(rng.choice(FAULTS) for _ in PORTS)
-    starts = []
-    for daemon, name in zip(asked, chosen, strict=True):
-        at = begins + rng.uniform(0, 3)
-        ends = at + rng.uniform(*duration_s)
-        starts.append((at, daemon, name, ends, rng.uniform(0.2, 1.0)))
-    calm = others + [
-        one for one, name in zip(asked, chosen, strict=True) if name == "none"
+    started_at = loop.time()
+    fault_names = faults or tuple(rng.choice(FAULTS) for _ in PORTS)
+    pending_faults = []
+    for daemon, name in zip(relays, fault_names, strict=True):
+        starts_at = started_at + rng.uniform(0, 3)
+        until = starts_at + rng.uniform(*duration_s)
+        pending_faults.append(
+            (starts_at, daemon, name, until, rng.uniform(0.2, 1.0))
+        )
+    healthy = subscribers + [
+        daemon
+        for daemon, name in zip(relays, fault_names, strict=True)
+        if name == "none"
     ]
-    puts = []
-    worst = Lag(0.0, "", chosen)
-    next_put = begins + rng.uniform(0, CHANGE_GAP_S)
-    while loop.time() < begins + CHANGES * CHANGE_GAP_S:
+    updates = []
+    longest = Lag(0.0, "", fault_names)
+    next_update = started_at + rng.uniform(0, CHANGE_GAP_S)
+    while loop.time() < started_at + CHANGES * CHANGE_GAP_S:
         now = loop.time()
-        for one in [one for one in starts if one[0] <= now]:
-            starts.remove(one)
-            _, daemon, name, ends, late_s = one
+        for fault in [fault for fault in pending_faults if fault[0] <= now]:
+            pending_faults.remove(fault)
+            _, daemon, name, until, late_s = fault
             if name != "none":
-                FaultyDaemon(daemon, name, ends, late_s)
-        if now >= next_put:
-            next_put += CHANGE_GAP_S
-            place.put_document()
-            puts.append((now, place.version))
-        for one in calm:
-            missing = [
-                at for at, version in puts if version > one.store_view.version
+                FaultyDaemon(daemon, name, until, late_s)
+        if now >= next_update:
+            next_update += CHANGE_GAP_S
+            env.put_document()
+            updates.append((now, env.version))
+        for daemon in healthy:
+            missed = [
+                at
+                for at, version in updates
+                if version > daemon.store_view.version
             ]
-            if missing and now - missing[0] > worst.lag_s:
-                worst = Lag(now - missing[0], one.settings.daemon, chosen)
+            if missed and now - missed[0] > longest.lag_s:
+                longest = Lag(
+                    now - missed[0], daemon.settings.daemon, fault_names
+                )
         await asyncio.sleep(STEP_S)
-    return worst
+    return longest
--- a/banyantiller/tests/gateway/test_change_history.py
+++ b/banyantiller/tests/gateway/test_change_history.py
@@ -1,4 +1,4 @@
-"""Tests that no change is missed by those that ask another daemon."""
+"""Tests that subscribers of a relay miss no change."""
 
 import random
 
@@ -11,12 +11,12 @@
 CHANGES = 60
 
 
-def stored(name, revision):
+def stored_object(name, revision):
     return interface.StoredObject("kind", name, str(revision), {"r": revision})
 
 
-class Store:
-    """All changes, and what existed after each."""
+class FakeStore:
+    """All changes, and the objects that existed after each."""
 
     def __init__(self, rng):
         self.random = rng
@@ -29,26 +29,28 @@
         revision = len(self.events) + 1
         after = dict(self.contents[-1])
         if name in after and self.random.random() < 0.3:
-            self.events.append(interface.Deleted(stored(name, after.pop(name))))
+            self.events.append(
+                interface.Deleted(stored_object(name, after.pop(name)))
+            )
         else:
             after[name] = revision
-            self.events.append(interface.Changed(stored(name, revision)))
+            self.events.append(interface.Changed(stored_object(name, revision)))
         self.contents.append(after)
 
     def since(self, version):
-        """Returns the changes after a version, as the store's answer."""
+        """Returns the changes after a version, as the store's response."""
         return interface.Changes(
             tuple(self.events[version:]), str(len(self.events))
         )
 
     def listed(self):
         """Returns all objects."""
-        items = tuple(stored(n, r) for n, r in self.contents[-1].items())
+        items = tuple(stored_object(n, r) for n, r in self.contents[-1].items())
         return interface.Listed(items, str(len(self.events)))
 
 
-def apply(view, events):
-    """Applies changes to what a daemon believes to exist."""
+def apply_changes(view, events):
+    """Returns a daemon's view of the objects after changes."""
     view = dict(view)
     for event in events:
         if isinstance(event, interface.Deleted):
@@ -58,19 +60,22 @@
     return view
 
 
-class HistoryTest(base.TestCase):
-    def test_kept_batches_bring_everybody_to_what_the_store_holds(self):
+class ChangeHistoryTest(base.TestCase):
+    def test_kept_batches_lead_to_the_state_of_the_store(self):
         async def body():
-            return [self.follow(random.Random(seed)) for seed in range(SEEDS)]
+            return [
+                self.read_at_random_times(random.Random(seed))
+                for seed in range(SEEDS)
+            ]
 
-        answers = self.run_paused(body())
-        self.assertGreater(sum(answers), SEEDS * 5)
+        reply_counts = self.run_paused(body())
+        self.assertGreater(sum(reply_counts), SEEDS * 5)
 
-    def follow(self, rng):
-        """Reads at random moments; returns how often another was asked."""
-        store = Store(rng)
+    def read_at_random_times(self, rng):
+        """Reads at random moments; returns the number of queries served."""
+        store = FakeStore(rng)
         history = change_history.ChangeHistory(store.listed())
-        version, view, answers = 0, {}, 0
+        version, view, reply_count = 0, {}, 0
         for _ in range(CHANGES):
             store.change()
             chance = rng.random()
@@ -88,15 +93,15 @@
                 version = len(store.events)
                 view = dict(store.contents[version])
             if rng.random() < 0.3 and history.is_complete_since(version):
-                view = apply(view, history.changes_after(version))
+                view = apply_changes(view, history.changes_after(version))
                 version = max(version, history.version)
-                answers += 1
+                reply_count += 1
                 self.assertEqual(store.contents[version], view)
-        return answers
+        return reply_count
 
-    def test_difference_of_lists_is_told_to_those_that_know_no_part_of_it(self):
+    def test_difference_of_lists_is_complete_only_for_versions_outside_it(self):
         async def body():
-            store = Store(random.Random(1))
+            store = FakeStore(random.Random(1))
             history = change_history.ChangeHistory(store.listed())
             for _ in range(3):
                 store.change()
@@ -108,12 +113,12 @@
                 empty.is_complete_since(3),
             )
 
-        wanted = ([True, False, False, True, True], True)
-        self.assertEqual(wanted, self.run_paused(body()))
+        expected = ([True, False, False, True, True], True)
+        self.assertEqual(expected, self.run_paused(body()))
 
-    def test_dropped_batches_are_not_told_as_known(self):
+    def test_dropped_batches_raise_the_oldest_version(self):
         async def body():
-            store = Store(random.Random(1))
+            store = FakeStore(random.Random(1))
             history = change_history.ChangeHistory(store.listed())
             for _ in range(change_history.MAX_BATCHES + 5):
                 store.change()
@@ -125,14 +130,13 @@
         )
 
 
-class Follower:
-    """A daemon that follows a kind, from the store or from another one.
+class SimulatedDaemon:
+    """A daemon that watches a kind in the store or through a relay.
 
     Attributes:
-        history: What it keeps for daemons that ask it, or None before it has
-            listed.
+        history: Changes kept for subscribers, or None before the first list.
         version: Version up to which it has seen all changes.
-        view: Objects that it believes to exist.
+        view: Revision of each known object, by name.
     """
 
     def __init__(self):
@@ -140,44 +144,47 @@
         self.version = 0
         self.view = {}
 
-    def take_list(self, listed):
-        """Takes a list of the store, or one that another daemon told."""
+    def receive_list(self, listed):
+        """Receives a list from the store or from a relay."""
         if int(listed.version) < self.version:
             return
-        self.view = {one.name: int(one.version) for one in listed.items}
+        self.view = {item.name: int(item.version) for item in listed.items}
         self.version = int(listed.version)
         if self.history is None:
             self.history = change_history.ChangeHistory(listed)
         else:
             self.history.apply_list(listed)
 
-    def take_changes(self, events, version):
-        """Takes what the store or another daemon told."""
-        self.view = apply(self.view, events)
+    def receive_changes(self, events, version):
+        """Receives changes from the store or from a relay."""
+        self.view = apply_changes(self.view, events)
         self.version = version
         found = interface.Changes(tuple(events), str(version))
         self.history.add_changes(found)
 
-    def tell_list(self):
-        """Returns all objects, as another daemon is told them."""
+    def to_list(self):
+        """Returns all objects, as subscribers receive them."""
         items = tuple(self.history.items.values())
         return interface.Listed(items, str(self.history.version))
 
 
-class ChainTest(base.TestCase):
-    """Two daemons that are asked, by turns ahead of each other, and a third."""
+class RelayChainTest(base.TestCase):
+    """Two relays, either of which may be ahead, and a subscriber."""
 
-    def test_nobody_ever_misses_a_change(self):
+    def test_no_daemon_misses_a_change(self):
         async def body():
-            return sum(self.play(random.Random(seed)) for seed in range(SEEDS))
+            return sum(
+                self.run_random_steps(random.Random(seed))
+                for seed in range(SEEDS)
+            )
 
         self.assertGreater(self.run_paused(body()), SEEDS * 20)
 
-    def play(self, rng):
-        """Plays random steps; returns how often a daemon told another."""
-        store = Store(rng)
-        daemons = [Follower() for _ in range(3)]
-        oldest, told = 0, 0
+    def run_random_steps(self, rng):
+        """Runs random steps; returns the number of queries served."""
+        store = FakeStore(rng)
+        daemons = [SimulatedDaemon() for _ in range(3)]
+        oldest, reply_count = 0, 0
         for _ in range(CHANGES * 3):
             chance = rng.random()
             if chance < 0.3:
@@ -185,37 +192,39 @@
             elif chance < 0.35:
                 oldest = len(store.events)
             elif chance < 0.4:
-                daemons[rng.randrange(3)] = Follower()
+                daemons[rng.randrange(3)] = SimulatedDaemon()
             else:
                 number = rng.randrange(3)
-                # The first reads the store, the second may ask the first.
-                before = daemons[: min(number, 2)]
-                one = daemons[number]
-                if before and rng.random() < 0.8:
-                    told += self.ask(one, rng.choice(before))
+                # The first daemon reads the store, and the second may query it.
+                upstream = daemons[: min(number, 2)]
+                daemon = daemons[number]
+                if upstream and rng.random() < 0.8:
+                    reply_count += self.query(daemon, rng.choice(upstream))
                 else:
-                    self.read(one, store, oldest)
-            for one in daemons:
-                self.assertEqual(store.contents[one.version], one.view)
-        return told
-
-    def read(self, one, store, oldest):
-        """Lets a daemon read the store."""
-        if one.history is None or one.version < oldest:
-            one.take_list(store.listed())
+                    self.read_store(daemon, store, oldest)
+            for daemon in daemons:
+                self.assertEqual(store.contents[daemon.version], daemon.view)
+        return reply_count
+
+    def read_store(self, daemon, store, oldest):
+        """Makes a daemon read the store."""
+        if daemon.history is None or daemon.version < oldest:
+            daemon.receive_list(store.listed())
         else:
-            found = store.since(one.version)
-            one.take_changes(found.events, int(found.version))
+            found = store.since(daemon.version)
+            daemon.receive_changes(found.events, int(found.version))
 
-    def ask(self, one, other):
-        """Lets a daemon ask another; tells whether it was told something."""
-        if other.history is None:
+    def query(self, daemon, peer):
+        """Makes a daemon query a peer; returns whether it was served."""
+        if peer.history is None:
             return False
-        if one.history is None or not other.history.is_complete_since(
-            one.version
+        if daemon.history is None or not peer.history.is_complete_since(
+            daemon.version
         ):
-            one.take_list(other.tell_list())
+            daemon.receive_list(peer.to_list())
             return True
-        version = max(one.version, other.history.version)
-        one.take_changes(other.history.changes_after(one.version), version)
+        version = max(daemon.version, peer.history.version)
+        daemon.receive_changes(
+            peer.history.changes_after(daemon.version), version
+        )
         return True
--- a/banyantiller/tests/gateway/test_read_order.py
+++ b/banyantiller/tests/gateway/test_read_order.py
@@ -1,4 +1,4 @@
-"""Tests of daemons that are asked and ask each other in one order."""
+"""Tests of relays that query each other in the order of addresses."""
 
 import asyncio
 
@@ -11,127 +11,133 @@
 NEW = [harness.route("new", "safe", "/new/")]
 
 
-class OrderOfReadingTest(base.TestCase):
+class ReadOrderTest(base.TestCase):
     def play(self, body):
-        """Runs `body(world, daemons)`: three that are asked, and four more."""
+        """Runs `body(env, daemons)` with three relays and four subscribers."""
 
         async def whole():
-            async with harness.GatewayHarness() as place:
-                daemons = [place.gateway]
+            async with harness.GatewayHarness() as env:
+                daemons = [env.gateway]
                 for number, port in enumerate(PORTS):
-                    # Settings may list them in any order.
-                    turned = SEEDS[number:] + SEEDS[:number]
-                    await place.start_gateway(turned, f"seed{number}", port)
-                    daemons.append(place.gateway)
+                    # Settings may list the relays in any order.
+                    rotated_seeds = SEEDS[number:] + SEEDS[:number]
+                    await env.start_gateway(
+                        rotated_seeds, f"seed{number}", port
+                    )
+                    daemons.append(env.gateway)
                 for number in range(4):
-                    await place.start_gateway(SEEDS, f"more{number}")
-                    daemons.append(place.gateway)
+                    await env.start_gateway(SEEDS, f"more{number}")
+                    daemons.append(env.gateway)
                 await asyncio.sleep(7)
                 try:
-                    return await body(place, daemons[1:])
+                    return await body(env, daemons[1:])
                 finally:
-                    for one in daemons[:-1]:
-                        one.listener.close()
-                        await one.close()
+                    for daemon in daemons[:-1]:
+                        daemon.listener.close()
+                        await daemon.close()
 
         return self.run_paused(whole())
 
-    def test_only_the_first_reads_the_store(self):
-        async def body(place, daemons):
-            before = [one.store_view.reader.calls.total() for one in daemons]
-            place.put_document(NEW)
+    def test_only_the_first_relay_reads_the_store(self):
+        async def body(env, daemons):
+            calls_before = [
+                daemon.store_view.reader.calls.total() for daemon in daemons
+            ]
+            env.put_document(NEW)
             await asyncio.sleep(10)
             return [
-                one.store_view.reader.calls.total() - count
-                for one, count in zip(daemons, before, strict=True)
+                daemon.store_view.reader.calls.total() - count
+                for daemon, count in zip(daemons, calls_before, strict=True)
             ]
 
         calls = self.play(body)
         self.assertGreater(calls[0], 5)
         self.assertEqual([0] * 6, calls[1:])
 
-    def test_change_passes_through_all_within_a_period(self):
+    def test_change_reaches_all_daemons_within_a_period(self):
         """The bound is 2 s; a series of changes is read every 0.8 s."""
 
-        async def body(place, daemons):
+        async def body(env, daemons):
             for number in range(40):
-                place.register("s1", state=("ready", "draining")[number == 39])
-                place.register("s2", port=5000 + number)
+                env.register("s1", state=("ready", "draining")[number == 39])
+                env.register("s2", port=5000 + number)
                 await asyncio.sleep(0.13)
             await asyncio.sleep(0.9 - 0.13)
-            tables = [one.store_view.table for one in daemons]
+            tables = [daemon.store_view.table for daemon in daemons]
             return [table.entries["s1"].server.leaving for table in tables]
 
         self.assertEqual([True] * 7, self.play(body))
 
-    def test_change_is_in_force_although_the_first_is_frozen(self):
-        async def body(place, daemons):
+    def test_change_is_in_force_although_the_first_relay_is_frozen(self):
+        async def body(env, daemons):
             async def frozen(request):
                 await asyncio.sleep(3600)
 
-            place.controls[1].handler = frozen
-            place.put_document(NEW)
+            env.controls[1].handler = frozen
+            env.put_document(NEW)
             await asyncio.sleep(1.6)
-            return [one.store_view.version for one in daemons[1:]]
+            return [daemon.store_view.version for daemon in daemons[1:]]
 
         self.assertEqual([4] * 6, self.play(body))
 
-    def test_change_is_in_force_although_the_first_lost_the_store(self):
-        async def body(place, daemons):
-            user = daemons[0].adapter.store.user
-            original = user.request
+    def test_change_is_in_force_although_the_first_relay_lost_the_store(self):
+        async def body(env, daemons):
+            http_client = daemons[0].adapter.store.user
+            original = http_client.request
 
-            async def silent(*arguments):
+            async def delayed_request(*arguments):
                 await asyncio.sleep(arguments[2])
                 return await original(*arguments)
 
-            user.port = 1
-            for link in list(user.idle):
-                link.close()
-            user.request = silent
-            place.put_document(NEW)
+            http_client.port = 1
+            for connection in list(http_client.idle):
+                connection.close()
+            http_client.request = delayed_request
+            env.put_document(NEW)
             await asyncio.sleep(1.9)
-            return [one.store_view.version for one in daemons[1:]]
+            return [daemon.store_view.version for daemon in daemons[1:]]
 
         self.assertEqual([4] * 6, self.play(body))
 
-    def test_parts_of_the_budget_add_up(self):
-        async def body(place, daemons):
-            return [one.store_view.reader.budget_share for one in daemons]
+    def test_budget_shares_add_up_to_one(self):
+        async def body(env, daemons):
+            return [daemon.store_view.reader.budget_share for daemon in daemons]
 
         shares = self.play(body)
         self.assertAlmostEqual(1.0, sum(shares))
         self.assertGreater(min(shares), 0.0)
 
-    def test_start_a_moment_before_the_others_takes_no_call(self):
-        async def body(place, daemons):
+    def test_start_shortly_before_the_relay_takes_no_call(self):
+        async def body(env, daemons):
             seed = f"{harness.ADDRESS}:7101"
-            await place.start_gateway((seed,), "early")
-            early = place.gateway
+            await env.start_gateway((seed,), "early")
+            early = env.gateway
             await asyncio.sleep(0.5)
-            await place.start_gateway((seed,), "late", 7101)
-            late = place.gateway
+            await env.start_gateway((seed,), "late", 7101)
+            late = env.gateway
             await asyncio.sleep(2)
-            place.gateway = daemons[-1]
+            env.gateway = daemons[-1]
             calls = dict(early.store_view.reader.calls)
-            told = early.store_view.reader.query_outcomes["answered"] > 0
-            for one in (early, late):
-                one.listener.close()
-                await one.close()
-            return calls, told
+            answered = early.store_view.reader.query_outcomes["answered"] > 0
+            for daemon in (early, late):
+                daemon.listener.close()
+                await daemon.close()
+            return calls, answered
 
         self.assertEqual(({}, True), self.play(body))
 
-    def test_start_before_all_others_takes_two_calls_of_each_kind(self):
+    def test_start_without_relays_takes_two_calls_of_each_kind(self):
         """One call lists, and one waits for changes."""
 
-        async def body(place, daemons):
-            nobody = tuple(f"{harness.ADDRESS}:{port}" for port in (7101, 7102))
-            await place.start_gateway(nobody, "early")
-            # Zones are read again when what is known of them is 3.5 s old.
+        async def body(env, daemons):
+            absent_seeds = tuple(
+                f"{harness.ADDRESS}:{port}" for port in (7101, 7102)
+            )
+            await env.start_gateway(absent_seeds, "early")
+            # Zones are read again when their state is 3.5 s old.
             await asyncio.sleep(5)
-            early = place.gateway
-            place.gateway = daemons[-1]
+            early = env.gateway
+            env.gateway = daemons[-1]
             calls = dict(early.store_view.reader.calls)
             early.listener.close()
             await early.close()
@@ -139,32 +145,33 @@
 
         self.assertEqual({"list": 3, "watch": 3}, self.play(body))
 
-    def test_change_is_in_force_although_daemons_ask_in_a_circle(self):
-        """Each knows the other under an address before its own."""
+    def test_change_is_in_force_although_relays_query_in_a_circle(self):
+        """Each relay has the other listed with an address before its own."""
 
-        async def body(place, daemons):
+        async def body(env, daemons):
             address = harness.ADDRESS
-            first = (f"{address}:7203", f"{address}:7202")
-            await place.start_gateway(first, "x", 7203)
-            x = place.gateway
+            x_seeds = (f"{address}:7203", f"{address}:7202")
+            await env.start_gateway(x_seeds, "x", 7203)
+            x = env.gateway
             alias = server.HttpServer(x.store_view.mirror.handle)
             await alias.start(address, 7201)
-            place.controls.append(alias)
-            second = (f"{address}:7202", f"{address}:7201")
-            await place.start_gateway(second, "y", 7202)
-            y = place.gateway
-            place.gateway = daemons[-1]
-            seen = []
+            env.controls.append(alias)
+            y_seeds = (f"{address}:7202", f"{address}:7201")
+            await env.start_gateway(y_seeds, "y", 7202)
+            y = env.gateway
+            env.gateway = daemons[-1]
+            in_force = []
             for _ in range(6):
                 await asyncio.sleep(2.3)
-                place.put_document(NEW)
+                env.put_document(NEW)
                 await asyncio.sleep(1.95)
-                seen += [
-                    one.store_view.version == place.version for one in (x, y)
+                in_force += [
+                    daemon.store_view.version == env.version
+                    for daemon in (x, y)
                 ]
-            for one in (x, y):
-                one.listener.close()
-                await one.close()
-            return seen
+            for daemon in (x, y):
+                daemon.listener.close()
+                await daemon.close()
+            return in_force
 
         self.assertEqual([True] * 12, self.play(body))
--- a/banyantiller/tests/gateway/test_store_calls.py
+++ b/banyantiller/tests/gateway/test_store_calls.py
@@ -9,43 +9,43 @@
 
 PORTS = (7001, 7002, 7003)
 SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
-OTHERS = 8
-# Kinds of objects that are followed; each may call a silent store once.
+SUBSCRIBERS = 8
+# Kinds of objects that are watched; each may call an unresponsive store once.
 KINDS = ("config", "servers", "evacuations")
-# Tries of a store that is lost for 20 s, by the kind that shows its return.
-TRIES_OF_LOST_STORE = 5
-# A call of each kind each 1.4 s, the age up to which others are relied on.
+# Calls to a store that is lost for 20 s, by the watcher that retries it.
+RETRIES_OF_LOST_STORE = 5
+# One call of each kind every 1.4 s, the age up to which relays are relied on.
 CALLS_IN_9_S = 7
 NEW = [harness.route("new", "safe", "/new/")]
 
 
-def calls(daemons):
-    """Returns the calls of each daemon so far."""
-    return [one.store_view.reader.calls.total() for one in daemons]
+def count_calls(daemons):
+    """Returns the number of store calls of each daemon so far."""
+    return [daemon.store_view.reader.calls.total() for daemon in daemons]
 
 
-def cut_connections(place):
-    """Cuts all connections of the store, also those that wait."""
-    for task in place.http.connections.values():
+def close_store_connections(env):
+    """Closes all connections of the store, also those of waiting calls."""
+    for task in env.http.connections.values():
         task.cancel()
 
 
-async def silent(request):
-    """Answers nothing, as a machine without power."""
+async def never_respond(request):
+    """Gives no response, like a machine without power."""
     await asyncio.sleep(3600)
 
 
-async def silent_for(place, away_s):
-    """Lets the store lose its history and give no answer for a while."""
-    place.store.faults.silent = True
-    cut_connections(place)
-    place.store.forget()
-    await asyncio.sleep(away_s)
-    place.store.faults.silent = False
+async def make_store_unresponsive(env, outage_s):
+    """Makes the store lose its history and give no response for a while."""
+    env.store.faults.silent = True
+    close_store_connections(env)
+    env.store.forget()
+    await asyncio.sleep(outage_s)
+    env.store.faults.silent = False
 
 
-def cut_off(daemon):
-    """Lets no call of a daemon reach the store; it is told so at once."""
+def disconnect_from_store(daemon):
+    """Makes all store calls of a daemon fail at once."""
 
     async def unavailable(*arguments):
         return interface.Unavailable("cut off")
@@ -54,252 +54,276 @@
     daemon.store_view.reader.store.list = unavailable
 
 
-class CallsTest(base.TestCase):
-    def play(self, body, settle_s=7, **more):
-        """Runs `body(world, asked, others)` on a fleet that just started."""
+class StoreCallsTest(base.TestCase):
+    def play(self, body, settle_s=7, **settings):
+        """Runs `body(env, relays, subscribers)` on a fleet that starts."""
 
         async def whole():
-            async with harness.GatewayHarness() as place:
-                alone = place.gateway
-                asked, others = [], []
-                for number in range(OTHERS):
-                    await place.start_gateway(SEEDS, f"more{number}", **more)
-                    others.append(place.gateway)
-                # Those that are asked listen a moment later.
+            async with harness.GatewayHarness() as env:
+                initial_gateway = env.gateway
+                relays, subscribers = [], []
+                for number in range(SUBSCRIBERS):
+                    await env.start_gateway(SEEDS, f"more{number}", **settings)
+                    subscribers.append(env.gateway)
+                # The relays listen a moment later.
                 await asyncio.sleep(0.3)
                 for number, port in enumerate(PORTS):
-                    await place.start_gateway(
-                        SEEDS, f"seed{number}", port, **more
+                    await env.start_gateway(
+                        SEEDS, f"seed{number}", port, **settings
                     )
-                    asked.append(place.gateway)
+                    relays.append(env.gateway)
                 await asyncio.sleep(settle_s)
                 try:
-                    return await body(place, asked, others)
+                    return await body(env, relays, subscribers)
                 finally:
-                    place.gateway = alone
-                    for one in asked + others:
-                        one.listener.close()
-                        await one.close()
+                    env.gateway = initial_gateway
+                    for daemon in relays + subscribers:
+                        daemon.listener.close()
+                        await daemon.close()
 
         return self.run_paused(whole())
 
-    def test_start_of_a_fleet_is_read_by_those_that_are_asked(self):
-        async def body(place, asked, others):
-            known = [one.store_view.complete.is_set() for one in others]
-            return calls(others), all(known)
+    def test_only_relays_read_the_store_at_the_start_of_a_fleet(self):
+        async def body(env, relays, subscribers):
+            complete = [
+                daemon.store_view.complete.is_set() for daemon in subscribers
+            ]
+            return count_calls(subscribers), all(complete)
 
-        self.assertEqual(([0] * OTHERS, True), self.play(body, settle_s=1))
+        self.assertEqual(([0] * SUBSCRIBERS, True), self.play(body, settle_s=1))
 
-    def test_caller_that_waits_is_not_kept_waiting_for_other_daemons(self):
-        async def body(place, asked, others):
-            nobody = tuple(f"{harness.ADDRESS}:{port}" for port in (7101, 7102))
-            await place.start_gateway(nobody, "alone")
-            answer = await place.request("a")
-            asked.append(place.gateway)
+    def test_caller_does_not_wait_for_absent_relays(self):
+        async def body(env, relays, subscribers):
+            absent_seeds = tuple(
+                f"{harness.ADDRESS}:{port}" for port in (7101, 7102)
+            )
+            await env.start_gateway(absent_seeds, "alone")
+            answer = await env.request("a")
+            relays.append(env.gateway)
             return answer.status, answer.took_s < 0.25
 
         self.assertEqual((200, True), self.play(body))
 
-    def test_caller_is_served_at_once_if_others_are_silent(self):
-        """After a power cut each of them is waited for in vain for 0.4 s."""
+    def test_caller_is_served_at_once_if_relays_are_unresponsive(self):
+        """After a power cut a query to each of them takes 0.4 s in vain."""
 
-        async def body(place, asked, others):
-            for control in place.controls[-len(PORTS) :]:
-                control.handler = silent
-            began = asyncio.get_running_loop().time()
-            await place.start_gateway(SEEDS, "again")
-            asked.append(place.gateway)
-            status = (await place.request("a")).status
-            return status, asyncio.get_running_loop().time() - began < 0.25
+        async def body(env, relays, subscribers):
+            for control in env.controls[-len(PORTS) :]:
+                control.handler = never_respond
+            started_at = asyncio.get_running_loop().time()
+            await env.start_gateway(SEEDS, "again")
+            relays.append(env.gateway)
+            status = (await env.request("a")).status
+            return status, asyncio.get_running_loop().time() - started_at < 0.25
 
         self.assertEqual((200, True), self.play(body))
 
-    def test_daemon_that_is_asked_reads_at_once_if_others_are_silent(self):
-        async def body(place, asked, others):
-            for control in place.controls[-len(PORTS) :]:
-                control.handler = silent
-            own = f"{harness.ADDRESS}:7101"
-            await place.start_gateway((*SEEDS, own), "seed", 7101)
-            asked.append(place.gateway)
+    def test_relay_reads_the_store_at_once_if_others_are_unresponsive(self):
+        async def body(env, relays, subscribers):
+            for control in env.controls[-len(PORTS) :]:
+                control.handler = never_respond
+            local_address = f"{harness.ADDRESS}:7101"
+            await env.start_gateway((*SEEDS, local_address), "seed", 7101)
+            relays.append(env.gateway)
             await asyncio.sleep(0.1)
-            return place.gateway.not_ready()
+            return env.gateway.not_ready()
 
         self.assertEqual("", self.play(body))
 
-    def test_calm_fleet_is_read_for_by_one_daemon(self):
-        async def body(place, asked, others):
+    def test_subscribers_of_a_healthy_fleet_make_no_calls(self):
+        async def body(env, relays, subscribers):
             await asyncio.sleep(40)
             given_up = [
-                one.store_view.reader.query_outcomes["given_up"]
-                for one in others
+                daemon.store_view.reader.query_outcomes["given_up"]
+                for daemon in subscribers
             ]
-            return calls(others), given_up
+            return count_calls(subscribers), given_up
 
-        nothing = [0] * OTHERS
+        nothing = [0] * SUBSCRIBERS
         self.assertEqual((nothing, nothing), self.play(body))
 
-    def test_lost_history_is_listed_once_for_all(self):
-        async def body(place, asked, others):
-            before = (
-                calls(others),
-                sum(one.store_view.reader.calls["list"] for one in asked),
+    def test_lost_history_is_listed_by_relays_only(self):
+        async def body(env, relays, subscribers):
+            calls_before = (
+                count_calls(subscribers),
+                sum(
+                    daemon.store_view.reader.calls["list"] for daemon in relays
+                ),
             )
-            await silent_for(place, 0.9)
-            place.put_document(NEW)
-            place.store.remove("servers", "s0")
+            await make_store_unresponsive(env, 0.9)
+            env.put_document(NEW)
+            env.store.remove("servers", "s0")
             await asyncio.sleep(2)
-            lists = sum(one.store_view.reader.calls["list"] for one in asked)
-            versions = {one.store_view.version for one in asked + others}
-            tables = {tuple(one.store_view.table.entries) for one in others}
+            lists = sum(
+                daemon.store_view.reader.calls["list"] for daemon in relays
+            )
+            versions = {
+                daemon.store_view.version for daemon in relays + subscribers
+            }
+            tables = {
+                tuple(daemon.store_view.table.entries) for daemon in subscribers
+            }
             return (
-                calls(others) == before[0],
-                lists - before[1],
+                count_calls(subscribers) == calls_before[0],
+                lists - calls_before[1],
                 versions,
                 tables,
             )
 
-        same, lists, versions, tables = self.play(
+        no_calls, lists, versions, tables = self.play(
             body, apply_s=3.0, leave_s=3.0
         )
-        self.assertTrue(same)
-        # Two kinds, by each that is asked and read the store meanwhile.
+        self.assertTrue(no_calls)
+        # Two kinds, by each relay that read the store meanwhile.
         self.assertLessEqual(lists, 6)
         self.assertEqual(({4}, {("s1", "s2")}), (versions, tables))
 
-    def test_daemon_that_starts_again_is_told_by_others(self):
-        async def body(place, asked, others):
-            await place.start_gateway(SEEDS, "again")
-            again = place.gateway
-            asked.append(again)
+    def test_restarted_daemon_reads_through_relays(self):
+        async def body(env, relays, subscribers):
+            await env.start_gateway(SEEDS, "again")
+            restarted = env.gateway
+            relays.append(restarted)
             await asyncio.sleep(0.1)
-            return calls([again]), again.not_ready()
+            return count_calls([restarted]), restarted.not_ready()
 
         self.assertEqual(([0], ""), self.play(body))
 
-    def test_daemon_that_is_asked_and_dies_costs_the_others_no_calls(self):
-        async def body(place, asked, others):
+    def test_frozen_relay_costs_subscribers_no_calls(self):
+        async def body(env, relays, subscribers):
             async def frozen(request):
                 await asyncio.sleep(3600)
 
-            before = calls(others)
-            place.controls[-2].handler = frozen
+            calls_before = count_calls(subscribers)
+            env.controls[-2].handler = frozen
             await asyncio.sleep(1)
-            place.put_document(NEW)
+            env.put_document(NEW)
             await asyncio.sleep(1.9)
-            known = {one.store_view.version for one in others}
-            return calls(others) == before, known
+            versions = {daemon.store_view.version for daemon in subscribers}
+            return count_calls(subscribers) == calls_before, versions
 
         self.assertEqual((True, {4}), self.play(body))
 
-    def test_change_is_known_although_all_that_are_asked_are_cut_off(self):
+    def test_change_is_in_force_although_all_relays_lost_the_store(self):
         for bound_s in (2.0, 3.0):
 
-            async def body(place, asked, others, bound_s=bound_s):
-                for one in asked:
-                    cut_off(one)
-                cut_connections(place)
-                place.put_document(NEW)
+            async def body(env, relays, subscribers, bound_s=bound_s):
+                for daemon in relays:
+                    disconnect_from_store(daemon)
+                close_store_connections(env)
+                env.put_document(NEW)
                 await asyncio.sleep(bound_s - 0.05)
-                return {one.store_view.version for one in others}
+                return {daemon.store_view.version for daemon in subscribers}
 
-            found = self.play(body, apply_s=bound_s, leave_s=bound_s)
-            self.assertEqual({4}, found, bound_s)
+            versions = self.play(body, apply_s=bound_s, leave_s=bound_s)
+            self.assertEqual({4}, versions, bound_s)
 
-    def test_all_kinds_are_known_although_all_that_are_asked_are_cut_off(self):
-        async def body(place, asked, others):
-            for one in asked:
-                cut_off(one)
-            cut_connections(place)
-            # What was known is not known for fresh any more.
+    def test_all_kinds_are_read_although_all_relays_lost_the_store(self):
+        async def body(env, relays, subscribers):
+            for daemon in relays:
+                disconnect_from_store(daemon)
+            close_store_connections(env)
+            # The cached state is no longer fresh after that.
             await asyncio.sleep(6)
-            place.register("s0", state="draining")
-            place.store.put("evacuations", "zone-b", {})
+            env.register("s0", state="draining")
+            env.store.put("evacuations", "zone-b", {})
             await asyncio.sleep(1.95)
             now = asyncio.get_running_loop().time()
             left = [
-                one.store_view.table.entries["s0"].usable(now) for one in others
+                daemon.store_view.table.entries["s0"].usable(now)
+                for daemon in subscribers
             ]
             await asyncio.sleep(3)
-            zones = {one.store_view.evacuations.evacuated for one in others}
+            zones = {
+                daemon.store_view.evacuations.evacuated
+                for daemon in subscribers
+            }
             return left, zones
 
-        wanted = ([False] * OTHERS, {frozenset({"zone-b"})})
-        self.assertEqual(wanted, self.play(body))
-
-    def test_changes_in_series_cost_few_calls_if_all_asked_are_cut_off(self):
-        async def body(place, asked, others):
-            for one in asked:
-                cut_off(one)
-            cut_connections(place)
-            before = calls(others)
+        expected = ([False] * SUBSCRIBERS, {frozenset({"zone-b"})})
+        self.assertEqual(expected, self.play(body))
+
+    def test_series_of_changes_takes_few_calls_if_all_relays_lost_the_store(
+        self,
+    ):
+        async def body(env, relays, subscribers):
+            for daemon in relays:
+                disconnect_from_store(daemon)
+            close_store_connections(env)
+            calls_before = count_calls(subscribers)
             for number in range(36):
-                place.put_document()
-                place.register("s0", sequence=number, zone=f"z{number}")
+                env.put_document()
+                env.register("s0", sequence=number, zone=f"z{number}")
                 await asyncio.sleep(0.25)
             return max(
                 now - then
-                for now, then in zip(calls(others), before, strict=True)
+                for now, then in zip(
+                    count_calls(subscribers), calls_before, strict=True
+                )
             )
 
         self.assertLessEqual(self.play(body), len(KINDS) * CALLS_IN_9_S)
 
-    def test_long_outage_takes_few_calls_and_its_end_is_seen(self):
-        async def body(place, asked, others):
-            before = calls(others)
-            place.store.faults.silent = True
-            cut_connections(place)
+    def test_long_outage_takes_few_calls_and_its_end_is_noticed(self):
+        async def body(env, relays, subscribers):
+            calls_before = count_calls(subscribers)
+            env.store.faults.silent = True
+            close_store_connections(env)
             await asyncio.sleep(20)
             spent = [
                 now - then
-                for now, then in zip(calls(others), before, strict=True)
+                for now, then in zip(
+                    count_calls(subscribers), calls_before, strict=True
+                )
             ]
-            place.store.faults.silent = False
-            place.put_document(NEW)
+            env.store.faults.silent = False
+            env.put_document(NEW)
             await asyncio.sleep(2.6)
-            return max(spent), {one.store_view.version for one in others}
+            return max(spent), {
+                daemon.store_view.version for daemon in subscribers
+            }
 
-        most, known = self.play(body)
-        self.assertLessEqual(most, len(KINDS) + TRIES_OF_LOST_STORE)
-        self.assertEqual({4}, known)
+        max_calls, versions = self.play(body)
+        self.assertLessEqual(max_calls, len(KINDS) + RETRIES_OF_LOST_STORE)
+        self.assertEqual({4}, versions)
 
-    def test_list_of_another_daemon_never_goes_back(self):
-        async def body(place, asked, others):
-            reader = others[0].store_view.reader
+    def test_older_list_of_a_relay_is_not_used(self):
+        async def body(env, relays, subscribers):
+            reader = subscribers[0].store_view.reader
             listed = await reader.list("config")
             reader.min_versions["config"] = int(listed.version) + 1
-            for one in asked:
-                one.store_view.mirror.fresh_at = 1e9
-            before = calls(others)[0]
-            again = await reader.list("config")
-            return again.second_hand, calls(others)[0] - before
+            for daemon in relays:
+                daemon.store_view.mirror.fresh_at = 1e9
+            before = count_calls(subscribers)[0]
+            reread = await reader.list("config")
+            return reread.second_hand, count_calls(subscribers)[0] - before
 
         self.assertEqual((False, 1), self.play(body))
 
-    def test_list_that_is_too_old_is_taken_only_if_the_store_is_away(self):
-        async def body(place, asked, others):
-            reader = others[0].store_view.reader
-            place.store.faults.down = True
+    def test_stale_list_is_used_only_if_the_store_is_down(self):
+        async def body(env, relays, subscribers):
+            reader = subscribers[0].store_view.reader
+            env.store.faults.down = True
             await asyncio.sleep(4)
             old = await reader.list("config")
-            place.store.faults.down = False
-            for one in asked:
-                one.store_view.mirror.fresh_at = -100.0
+            env.store.faults.down = False
+            for daemon in relays:
+                daemon.store_view.mirror.fresh_at = -100.0
             return old.second_hand, (await reader.list("config")).second_hand
 
         self.assertEqual((True, False), self.play(body))
 
-    def test_refusals_tell_a_lost_store_from_a_daemon_that_ends(self):
-        async def body(place, asked, others):
-            peer = others[0].store_view.reader.relays[0]
+    def test_refusals_distinguish_a_lost_store_from_a_shutdown(self):
+        async def body(env, relays, subscribers):
+            peer = subscribers[0].store_view.reader.relays[0]
             index = SEEDS.index(peer.address)
-            place.store.faults.down = True
+            env.store.faults.down = True
             await asyncio.sleep(3)
-            lost = await peer.changes("config", "1", 0.0)
-            asked[index].store_view.begin_shutdown()
-            ending = await peer.changes("config", "1", 0.0)
-            place.store.faults.down = False
-            return lost.refusal_kind, ending.refusal_kind
+            store_lost = await peer.changes("config", "1", 0.0)
+            relays[index].store_view.begin_shutdown()
+            shutting_down = await peer.changes("config", "1", 0.0)
+            env.store.faults.down = False
+            return store_lost.refusal_kind, shutting_down.refusal_kind
 
         kinds = peers.RefusalKind
-        wanted = (kinds.STORE_LOST, kinds.NOT_READY)
-        self.assertEqual(wanted, self.play(body))
+        expected = (kinds.STORE_LOST, kinds.NOT_READY)
+        self.assertEqual(expected, self.play(body))
--- a/banyantiller/tests/gateway/test_store_watching.py
+++ b/banyantiller/tests/gateway/test_store_watching.py
@@ -6,164 +6,167 @@
 from banyantiller.tests.gateway import harness
 
 
-class FollowingTest(base.TestCase):
+class StoreWatchingTest(base.TestCase):
     def play(self, body):
-        """Runs `body(world)` in a world on the paused clock."""
+        """Runs `body(env)` on the paused clock."""
 
         async def whole():
-            async with harness.GatewayHarness() as place:
-                return await body(place)
+            async with harness.GatewayHarness() as env:
+                return await body(env)
 
         return self.run_paused(whole())
 
     def test_new_document_is_in_force_at_once(self):
-        async def body(place):
-            place.put_document([harness.route("new", "safe", "/new/")])
+        async def body(env):
+            env.put_document([harness.route("new", "safe", "/new/")])
             await asyncio.sleep(0.05)
             return [
-                (await place.request("a", path)).status
+                (await env.request("a", path)).status
                 for path in ("/new/x", "/read/x")
             ]
 
         self.assertEqual([200, 404], self.play(body))
 
-    def test_older_document_is_never_taken(self):
-        async def body(place):
-            place.version = -2
-            place.put_document([harness.route("old", "safe", "/old/")])
+    def test_older_document_is_ignored(self):
+        async def body(env):
+            env.version = -2
+            env.put_document([harness.route("old", "safe", "/old/")])
             await asyncio.sleep(0.05)
-            return (await place.request("a", "/read/x")).status
+            return (await env.request("a", "/read/x")).status
 
         self.assertEqual(200, self.play(body))
 
     def test_unreadable_document_changes_nothing(self):
-        async def body(place):
-            place.put_document([{"name": "half", "routeType": "safe"}])
+        async def body(env):
+            env.put_document([{"name": "half", "routeType": "safe"}])
             await asyncio.sleep(0.05)
-            counted = place.gateway.tallies.documents["unreadable"]
-            return (await place.request("a")).status, counted
+            unreadable_count = env.gateway.tallies.documents["unreadable"]
+            return (await env.request("a")).status, unreadable_count
 
         self.assertEqual((200, 1), self.play(body))
 
-    def test_document_is_in_force_soon_after_each_kind_of_outage(self):
+    def test_document_is_in_force_soon_after_each_type_of_outage(self):
         for fault in ("down", "busy", "silent", "reset"):
 
-            async def body(place, fault=fault):
-                setattr(place.store.faults, fault, True)
+            async def body(env, fault=fault):
+                setattr(env.store.faults, fault, True)
                 await asyncio.sleep(7)
-                setattr(place.store.faults, fault, False)
-                place.put_document([harness.route("new", "safe", "/new/")])
-                # A change has 3 s of calm store and 2 s more; half of it.
+                setattr(env.store.faults, fault, False)
+                env.put_document([harness.route("new", "safe", "/new/")])
+                # A change may take 2 s after 3 s of undisturbed store; half of
+                # that is used.
                 await asyncio.sleep(2.5)
-                return (await place.request("a", "/new/x")).status
+                return (await env.request("a", "/new/x")).status
 
             self.assertEqual(200, self.play(body), fault)
 
-    def test_return_of_a_silent_store_is_seen_whenever_it_comes(self):
-        # A watch that waited on the silent store once hid a document until
+    def test_return_of_an_unresponsive_store_is_noticed_at_any_time(self):
+        # A watch that waits on the unresponsive store may hide a document until
         # 3.1 s after the return.
         for tenths in range(50, 80, 3):
 
-            async def body(place, away_s=tenths / 10):
-                place.store.faults.silent = True
-                await asyncio.sleep(away_s)
-                place.store.faults.silent = False
-                place.put_document([harness.route("new", "safe", "/new/")])
+            async def body(env, outage_s=tenths / 10):
+                env.store.faults.silent = True
+                await asyncio.sleep(outage_s)
+                env.store.faults.silent = False
+                env.put_document([harness.route("new", "safe", "/new/")])
                 await asyncio.sleep(2.2)
-                return (await place.request("a", "/new/x")).status
+                return (await env.request("a", "/new/x")).status
 
             self.assertEqual(200, self.play(body), tenths)
 
-    def test_lost_history_is_read_anew(self):
-        async def body(place):
-            place.store.faults.down = True
+    def test_lost_history_is_followed_by_a_new_list(self):
+        async def body(env):
+            env.store.faults.down = True
             await asyncio.sleep(0.5)
-            place.put_document([harness.route("new", "safe", "/new/")])
-            place.store.remove("servers", "s0")
-            place.store.forget()
-            place.store.faults.down = False
+            env.put_document([harness.route("new", "safe", "/new/")])
+            env.store.remove("servers", "s0")
+            env.store.forget()
+            env.store.faults.down = False
             await asyncio.sleep(6)
-            return (await place.request("a", "/new/x")).status, sorted(
-                place.gateway.store_view.table.entries
+            return (await env.request("a", "/new/x")).status, sorted(
+                env.gateway.store_view.table.entries
             )
 
         self.assertEqual((200, ["s1", "s2"]), self.play(body))
 
-    def test_list_in_pages_is_whole(self):
-        async def body(place):
-            place.store.faults.page = 2
-            await place.add_server("s3")
-            place.store.forget()
+    def test_list_in_pages_is_complete(self):
+        async def body(env):
+            env.store.faults.page = 2
+            await env.add_server("s3")
+            env.store.forget()
             await asyncio.sleep(4)
-            return sorted(place.gateway.store_view.table.entries)
+            return sorted(env.gateway.store_view.table.entries)
 
         self.assertEqual(["s0", "s1", "s2", "s3"], self.play(body))
 
-    def test_leaving_server_gets_nothing_new_and_never_comes_back(self):
-        async def body(place):
-            place.register("s0", state="draining")
+    def test_draining_server_gets_no_requests_and_does_not_come_back(self):
+        async def body(env):
+            env.register("s0", state="draining")
             await asyncio.sleep(1)
-            place.register("s0", state="ready")
+            env.register("s0", state="ready")
             await asyncio.sleep(1)
-            before = len(place.servers["s0"].seen)
+            requests_before = len(env.servers["s0"].seen)
             for number in range(12):
-                await place.request(f"a{number}")
-            return len(place.servers["s0"].seen) - before
+                await env.request(f"a{number}")
+            return len(env.servers["s0"].seen) - requests_before
 
         self.assertEqual(0, self.play(body))
 
-    def test_removed_server_gets_nothing_new(self):
-        async def body(place):
-            place.store.remove("servers", "s0")
+    def test_removed_server_gets_no_requests(self):
+        async def body(env):
+            env.store.remove("servers", "s0")
             await asyncio.sleep(1)
             for number in range(12):
-                await place.request(f"a{number}")
-            return len(place.servers["s0"].seen)
+                await env.request(f"a{number}")
+            return len(env.servers["s0"].seen)
 
         self.assertEqual(0, self.play(body))
 
-    def test_registrations_that_lapse_in_an_outage_serve_until_they_return(
+    def test_registrations_that_lapse_in_an_outage_stay_in_use(
         self,
     ):
-        async def body(place):
-            place.store.faults.down = True
+        async def body(env):
+            env.store.faults.down = True
             await asyncio.sleep(6)
             for name in ("s0", "s1", "s2"):
-                place.store.remove("servers", name)
-            place.store.faults.down = False
+                env.store.remove("servers", name)
+            env.store.faults.down = False
             await asyncio.sleep(1.5)
-            first = (await place.request("a")).status
-            place.register("s0")
+            status_after_outage = (await env.request("a")).status
+            env.register("s0")
             await asyncio.sleep(3)
-            return first, sorted(place.gateway.store_view.table.entries)
+            return status_after_outage, sorted(
+                env.gateway.store_view.table.entries
+            )
 
         self.assertEqual((200, ["s0"]), self.play(body))
 
-    def test_reused_address_is_noticed_and_the_request_goes_elsewhere(self):
-        async def body(place):
-            stranger = await place.add_server("x9", "other")
-            place.servers["s0"].stop()
-            place.gateway.store_view.table.entries[
+    def test_reused_address_is_detected_and_the_request_is_retried(self):
+        async def body(env):
+            other_server = await env.add_server("x9", "other")
+            env.servers["s0"].stop()
+            env.gateway.store_view.table.entries[
                 "s0"
-            ].server = place.gateway.store_view.table.entries[
+            ].server = env.gateway.store_view.table.entries[
                 "s0"
-            ].server._replace(port=stranger.port)
-            found = [await place.request(f"a{n}") for n in range(8)]
-            ran = [stranger.ran[f"a{n}"] for n in range(8)]
-            known = "s0" in place.gateway.store_view.table.entries
-            return [answer.status for answer in found], sum(ran), known
+            ].server._replace(port=other_server.port)
+            responses = [await env.request(f"a{n}") for n in range(8)]
+            ran = [other_server.ran[f"a{n}"] for n in range(8)]
+            registered = "s0" in env.gateway.store_view.table.entries
+            return [answer.status for answer in responses], sum(ran), registered
 
         self.assertEqual(([200] * 8, 0, False), self.play(body))
 
-    def test_daemon_that_knows_nothing_yet_says_when_to_come_back(self):
-        async def body(place):
-            place.store.faults.down = True
-            await place.start_gateway()
-            answer = await place.request("a")
+    def test_daemon_without_a_document_rejects_with_retry_advice(self):
+        async def body(env):
+            env.store.faults.down = True
+            await env.start_gateway()
+            answer = await env.request("a")
             return (
                 answer.status,
                 answer.headers["request-ran"],
-                (place.gateway.not_ready()),
+                (env.gateway.not_ready()),
             )
 
         status, ran, reason = self.play(body)
