--- a/banyantiller/proxy/matching.py
+++ b/banyantiller/proxy/matching.py
@@ -1,4 +1,4 @@
-"""Which service a request belongs to, and whether it may be repeated."""
+"""Matches requests to services, and decides whether they may be repeated."""
 
 from typing import Generic, NamedTuple, TypeVar
 from urllib.parse import urlsplit
@@ -12,7 +12,7 @@
 
 
 class Target(NamedTuple):
-    """A request target, split.
+    """A parsed request target.
 
     Attributes:
         path: Path without the query.
@@ -43,25 +43,25 @@
             found.sort(key=lambda item: -len(item[0]))
 
     def find(self, host: str, path: str) -> T | None:
-        """Returns the value of the service that matches, or None.
+        """Returns the value of the matching service, or None.
 
         Args:
-            host: Value of the Host header; a port in it is ignored.
+            host: Value of the Host header; its port is ignored.
             path: Path of the request target.
         """
         found = self.by_host.get(host)
         if found is None:
-            found = self.by_host.get(plain_host(host), ())
+            found = self.by_host.get(normalize_host(host), ())
         for prefix, value in found:
-            if under(prefix, path):
+            if is_under(prefix, path):
                 return value
         for prefix, value in self.by_host[ANY_HOST]:
-            if under(prefix, path):
+            if is_under(prefix, path):
                 return value
         return None
 
 
-def plain_host(host: str) -> str:
+def normalize_host(host: str) -> str:
     """Returns a host in lower case and without its port."""
     host = host.lower()
     name, colon, port = host.rpartition(":")
@@ -70,8 +70,8 @@
     return host
 
 
-def under(prefix: str, path: str) -> bool:
-    """Tells whether a path lies under a prefix, by whole segments."""
+def is_under(prefix: str, path: str) -> bool:
+    """Returns whether a path is under a prefix, by whole segments."""
     if prefix == ROOT:
         return True
     if not path.startswith(prefix):
@@ -112,26 +112,26 @@
 
 
 def is_idempotent(service: options.Service, method: str, path: str) -> bool:
-    """Tells whether the bundle states that a request may run twice.
+    """Returns whether the bundle allows a request to run twice.
 
-    The first rule that matches decides. Without a rule, and for a path that a
-    backend server may read as another one, the request may not be repeated.
+    The first matching rule decides. Without a rule, and for a path that a
+    backend server may interpret as another one, a repeat is not allowed.
     """
     if is_ambiguous(path):
         return False
     for rule in service.requests:
         if rule.methods and method not in rule.methods:
             continue
-        if under(rule.path, path):
+        if is_under(rule.path, path):
             return rule.idempotent
     return False
 
 
 def is_ambiguous(path: str) -> bool:
-    """Tells whether a backend server may read the path as another one.
+    """Returns whether a backend server may interpret the path as another one.
 
-    Dot segments, empty segments, escapes, segment parameters after a semicolon
-    and fragments are read, dropped or resolved by some servers only.
+    Some servers read, drop or resolve dot segments, empty segments, escapes,
+    segment parameters after a semicolon and fragments; others do not.
     """
     return (
         "%" in path
--- a/banyantiller/proxy/proxy.py
+++ b/banyantiller/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""The data path of one daemon: listener, services, drain."""
+"""The data path of a daemon: listener, services and drain."""
 
 import asyncio
 import random
@@ -20,13 +20,13 @@
     ServerReturned,
 )
 from banyantiller.proxy import (
-    answers,
+    admission,
     caller,
+    crashes,
     driver,
-    endings,
     headers,
-    intake,
     load,
+    responses,
     services,
 )
 from banyantiller.proxy import call as calls
@@ -36,7 +36,7 @@
 log = structlog.get_logger("banyantiller.proxy")
 
 BACKLOG = 1024
-SETTLE_S = 2.0
+CLAIM_SETTLE_TIMEOUT_S = 2.0
 
 DispatcherFactory = Callable[..., Dispatcher]
 Charge = Callable[[float], bool]
@@ -47,18 +47,19 @@
 
 
 class Proxy:
-    """Takes calls from callers and relays the answers of backend servers.
+    """Accepts calls from callers and relays the responses of backend servers.
 
     Attributes:
-        fenced: Whether every call is refused as not run.
-        in_flight: Calls that have begun and not ended.
-        draining: Whether answers say `Connection: close`.
-        refusing: Whether new calls are refused, at the end of a drain.
-        version: Version of the bundle in force, 0 for none.
-        is_outdated: Tells whether a newer bundle may have been accepted;
-            asked before a request is refused for good by the bundle.
+        fenced: Whether every call is rejected as not run.
+        in_flight: Number of calls that have begun and not ended.
+        draining: Whether responses carry `Connection: close`.
+        refusing: Whether new calls are rejected, at the end of a drain.
+        version: Version of the bundle in force, or 0.
+        is_outdated: Returns whether a newer bundle may have been accepted;
+            called before the bundle in force leads to a final rejection.
         services: The services of the bundle in force.
-        endings: Which requests were on servers that ended.
+        crash_tracker: Tracks requests that crash servers.
+        all_closed: Set once no caller's connection and no claim is left.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         charge: Callable[[str], Charge],
         wall: Callable[[], float],
         seed: int,
-        loads: load.LoadReader = load.ORCA,
+        load_reader: load.LoadReader = load.ORCA,
     ) -> None:
         self.settings = settings
         self.kernel = kernel
@@ -78,7 +79,7 @@
         self.claims = claims
         self.charge = charge
         self.wall = wall
-        self.loads = loads
+        self.load_reader = load_reader
         self.random = random.Random(seed)
         self.loop = asyncio.get_running_loop()
         self.fenced = False
@@ -88,12 +89,12 @@
         self.version = 0
         self.is_outdated: Callable[[], bool] = _never_outdated
         self.services = services.Services(self._new_driver, wall)
-        self.endings = endings.Endings.from_settings(
+        self.crash_tracker = crashes.CrashTracker.from_settings(
             settings, kernel, wall, seed
         )
         self.callers: set[caller.CallerConnection] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.emptied = asyncio.Event()
+        self.all_closed = asyncio.Event()
         self.server: asyncio.Server | None = None
         via = f"1.1 {settings.daemon}".encode("ascii")
         self.via = headers.field(b"Via", via)
@@ -111,20 +112,20 @@
         charge: Callable[[str], Charge],
         wall: Callable[[], float],
         seed: int,
-        loads: load.LoadReader = load.ORCA,
+        load_reader: load.LoadReader = load.ORCA,
     ) -> "Proxy":
-        """Makes a proxy that does not listen yet; needs a running loop.
+        """Creates a proxy that does not listen yet; needs a running loop.
 
         Args:
             settings: Settings of the daemon.
-            kernel: Gets the events.
-            routing_factory: Makes a dispatcher; see `routing.types`.
-            claims: Arbitrates idempotency keys.
-            charge: Returns, for a service, the function that takes one probe
-                out of the measuring budget.
+            kernel: Receives the events.
+            routing_factory: Creates a dispatcher; see `routing.types`.
+            claims: Grants idempotency keys.
+            charge: Returns, for a service, the function that charges a probe
+                to the measuring budget.
             wall: Returns wall-clock seconds, for events and stages.
             seed: Seed of identifiers and of the dispatchers.
-            loads: Reads the load that servers tell.
+            load_reader: Reads load reports from response headers.
         """
         return cls(
             settings,
@@ -134,12 +135,12 @@
             charge,
             wall,
             seed,
-            loads,
+            load_reader,
         )
 
     @property
     def drivers(self) -> dict[str, driver.ServiceDriver]:
-        """Drivers by service name."""
+        """The drivers by service name."""
         return self.services.drivers
 
     # Called by the daemon.
@@ -149,30 +150,32 @@
     ) -> None:
         """Puts a bundle in force for new calls.
 
-        Running calls end on the bundle under which they began. Servers and
-        services that were taken out drain.
+        Running calls end under the bundle with which they began. Removed
+        servers and services drain.
         """
         self.services.apply(bundle, accepted_at)
         self.version = version
 
     def server_leaving(self, service: str, server: str, reason: str) -> None:
-        """Gives a server no new requests."""
+        """Stops sending new requests to a server."""
         if service in self.drivers:
             self.drivers[service].server_leaving(server, reason)
 
-    def server_back(self, service: str, server: str) -> None:
-        """Gives a server that left requests again."""
+    def server_returned(self, service: str, server: str) -> None:
+        """Resumes sending requests to a server that was leaving."""
         if service in self.drivers:
-            self.drivers[service].server_back(server)
+            self.drivers[service].server_returned(server)
 
-    def report(self, service: str, server: str, load: LoadReport) -> None:
-        """Takes a load report that another daemon passed on."""
+    def receive_report(
+        self, service: str, server: str, load: LoadReport
+    ) -> None:
+        """Handles a load report that a peer sent."""
         if service in self.drivers:
-            self.drivers[service].report(server, load)
+            self.drivers[service].receive_report(server, load)
 
-    def members(self, alive: int) -> None:
-        """Takes the number of daemons believed alive, this one included."""
-        self.services.members(alive)
+    def set_alive_daemons(self, alive: int) -> None:
+        """Sets the number of daemons that are alive, including this one."""
+        self.services.set_alive_daemons(alive)
 
     def own_load(self) -> dict[str, dict[str, float]]:
         """Returns this daemon's calls in flight by service and server."""
@@ -183,7 +186,7 @@
         }
 
     async def start(self) -> Endpoint:
-        """Listens for callers.
+        """Starts listening for callers.
 
         Returns:
             The address and the port that are bound.
@@ -204,16 +207,16 @@
         return Endpoint(bound[0], bound[1])
 
     async def drain(self, grace_s: float, limit_s: float) -> int:
-        """Ends without cutting a call.
+        """Shuts down after the calls in flight have ended.
 
         Args:
-            grace_s: How long to listen on, so that balancers in front see
-                that readiness fell.
-            limit_s: Longest wait for calls in flight after that.
+            grace_s: Seconds to continue listening, so that load balancers in
+                front see the failed readiness check.
+            limit_s: Maximum seconds to wait for calls in flight after that.
 
         Returns:
-            Number of calls that were cut because the limit passed, with
-            those whose caller has not taken the whole answer yet.
+            Number of calls that the limit cut, including those whose caller
+            has not read the complete response yet.
         """
         self.draining = True
         await asyncio.sleep(grace_s)
@@ -221,10 +224,10 @@
         if self.server is not None:
             self.server.close()
         for connection in list(self.callers):
-            connection.shut_if_idle()
-        self._note_emptied()
+            connection.close_if_idle()
+        self._check_all_closed()
         try:
-            await asyncio.wait_for(self.emptied.wait(), limit_s)
+            await asyncio.wait_for(self.all_closed.wait(), limit_s)
         except TimeoutError:
             pass
         cut = self.in_flight + sum(map(_has_unsent, self.callers))
@@ -232,82 +235,82 @@
         return cut
 
     async def close(self) -> None:
-        """Closes the listener and every connection at once.
+        """Closes the listener and all connections at once.
 
-        The claims of calls that this cuts get a moment to be settled.
+        Claims of calls that are cut have `CLAIM_SETTLE_TIMEOUT_S` to settle.
         """
         if self.server is not None:
             self.server.close()
         for connection in list(self.callers):
-            connection.give_up()
+            connection.close_now()
         self.services.close()
         if self.tasks:
-            await asyncio.wait(self.tasks, timeout=SETTLE_S)
+            await asyncio.wait(self.tasks, timeout=CLAIM_SETTLE_TIMEOUT_S)
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     # Called by connections and calls.
 
-    def enter(self, connection: caller.CallerConnection) -> bool:
-        """Adds a caller's connection; False if there are too many."""
+    def add_connection(self, connection: caller.CallerConnection) -> bool:
+        """Adds a caller's connection; returns False above the limit."""
         self.callers.add(connection)
         return len(self.callers) <= self.settings.callers.max_connections
 
-    def leave(self, connection: caller.CallerConnection) -> None:
+    def remove_connection(self, connection: caller.CallerConnection) -> None:
         """Removes a caller's connection."""
         self.callers.discard(connection)
         if self.refusing:
-            self._note_emptied()
+            self._check_all_closed()
 
-    def begin(
+    def start_call(
         self, connection: caller.CallerConnection, request: h11.Request
     ) -> None:
-        """Starts the call of a request head."""
+        """Starts a call for a request head."""
         head = headers.read_request(request)
         call = calls.Call(self, connection, request, head)
         connection.call = call
         self.in_flight += 1
-        failure = intake.admit(self, call)
+        failure = admission.admit(self, call)
         if failure is not None:
             call.refuse(failure)
-        elif call.claim is None and not self.endings.watches():
+        elif call.claim is None and not self.crash_tracker.has_quarantined():
             call.driver.submit(call)
         else:
-            # A claim covers the body, and so does what tells whether this is a
-            # request that ends servers.
-            call.held = call.claim is None
+            # The body is part of a claim, and of the fingerprint that
+            # identifies a request that crashes servers.
+            call.awaits_body = call.claim is None
             call.send_continue()
 
     def reject(
         self, connection: caller.CallerConnection, failure: Failure
     ) -> None:
-        """Answers where no request head could be read, and closes."""
+        """Responds where no request head could be parsed, and closes."""
         request_id = self.new_request_id()
-        answer = answers.from_failure(
+        response = responses.from_failure(
             failure, failure.answer.ran, self.settings.daemon, request_id
         )
-        connection.send_own(answer, body_missing=True)
-        connection.answer_done()
+        connection.send_local_response(response, request_incomplete=True)
+        connection.response_done()
         event = CallFinished(
             request_id=request_id.decode("ascii"),
             service="",
             idempotent=False,
             key="",
             server="",
-            status=answer.status,
+            status=response.status,
             error=failure.kind,
             attempts=0,
             cut=False,
-            duration_s=self.loop.time() - connection.head_began,
+            duration_s=self.loop.time() - connection.head_started_at,
             bundle=self.version,
             told=failure.answer.ran,
         )
         self.in_flight += 1
-        self.finished(event)
+        self.call_finished(event)
 
-    def finished(self, event: CallFinished) -> None:
-        """Counts and tells the end of a call."""
+    def call_finished(self, event: CallFinished) -> None:
+        """Counts the end of a call and emits its event."""
         self.in_flight -= 1
         self.kernel.emit(event)
         if self.settings.log.access:
@@ -316,7 +319,7 @@
             self.loop.call_soon(self.services.close_retired)
 
     def spawn(self, body: Coroutine[Any, Any, None]) -> None:
-        """Runs a claim's coroutine; a drain waits for it."""
+        """Runs a coroutine of a claim; a drain waits for it."""
         task = self.loop.create_task(body)
         self.tasks.add(task)
         task.add_done_callback(self._task_done)
@@ -331,13 +334,13 @@
         trace_id = self.random.getrandbits(128)
         return b"00-%032x-%016x-00" % (trace_id, trace_id >> 64 | 1)
 
-    # Within.
+    # Internal.
 
     def _new_driver(self, service: options.Service) -> driver.ServiceDriver:
-        take = self.charge(service.name)
+        charge_budget = self.charge(service.name)
 
         def charge(now: float) -> bool:
-            if not take(now):
+            if not charge_budget(now):
                 return False
             self.kernel.emit(ProbeCharged(service.name, self.wall()))
             return True
@@ -363,8 +366,8 @@
             self.backend_tls,
             self._announce_leaving,
             self._announce_returned,
-            self.loads,
-            self.endings,
+            self.load_reader,
+            self.crash_tracker,
         )
 
     def _announce_leaving(self, service: str, server: str) -> None:
@@ -375,16 +378,16 @@
     def _announce_returned(self, service: str, server: str) -> None:
         self.kernel.emit(ServerReturned(service, server, self.wall()))
 
-    def _note_emptied(self) -> None:
+    def _check_all_closed(self) -> None:
         if not self.callers and not self.tasks:
-            self.emptied.set()
+            self.all_closed.set()
 
     def _task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if self.refusing:
-            self._note_emptied()
+            self._check_all_closed()
         if not task.cancelled() and task.exception() is not None:
-            log.error("proxy: a claim failed.", error=repr(task.exception()))
+            log.error("proxy: claim task failed.", error=repr(task.exception()))
 
 
 def _has_unsent(connection: caller.CallerConnection) -> bool:
--- a/banyantiller/proxy/server_states.py
+++ b/banyantiller/proxy/server_states.py
@@ -1,4 +1,4 @@
-"""What the routing is told of the servers of a service."""
+"""The states of a service's servers, as passed to the routing."""
 
 from collections.abc import Container
 
@@ -6,12 +6,12 @@
 from banyantiller.routing import types
 
 
-def of(
+def of_service(
     service: options.Service, leaving: Container[str]
 ) -> tuple[types.ServerState, ...]:
     """Returns the state of each server.
 
-    Those of an evacuated zone get no new calls, as those that leave.
+    Servers of an evacuated zone get no new calls, like those that leave.
 
     Args:
         service: The service.
--- a/banyantiller/tests/proxy/test_parts.py
+++ b/banyantiller/tests/proxy/test_parts.py
@@ -1,9 +1,9 @@
-"""Tests of the parts without sockets: matching, load, stages, timer."""
+"""Tests of parts without sockets: matching, load, stages, timer."""
 
 import asyncio
 
 from banyantiller.bundle import options
-from banyantiller.proxy import load, matching, stages, watchdog
+from banyantiller.proxy import load, matching, stages, timers
 from banyantiller.routing.types import LoadReport
 from banyantiller.tests import base
 
@@ -29,14 +29,14 @@
         ):
             self.assertEqual(name, routes.find(host, path), (host, path))
 
-    def test_first_rule_that_matches_decides(self) -> None:
+    def test_first_matching_rule_decides(self) -> None:
         rules = (
             options.RequestRule(False, path="/a/pay"),
             options.RequestRule(True, ("GET",), "/a"),
             options.RequestRule(True, path="/b"),
         )
         service = options.Service("s", (), requests=rules)
-        for method, path, wanted in (
+        for method, path, expected in (
             ("GET", "/a/x", True),
             ("GET", "/a/pay/1", False),
             ("POST", "/a/x", False),
@@ -44,10 +44,10 @@
             ("GET", "/c", False),
         ):
             got = matching.is_idempotent(service, method, path)
-            self.assertEqual(wanted, got, (method, path))
+            self.assertEqual(expected, got, (method, path))
 
     def test_targets(self) -> None:
-        for target, wanted in (
+        for target, expected in (
             (b"/a?b", ("/a", b"/a?b", "")),
             (b"*", ("/", b"*", "")),
             (b"http://h:1/a?b", ("/a", b"/a?b", "h:1")),
@@ -56,12 +56,12 @@
             (b"a", None),
             (b"http://[", None),
         ):
-            self.assertEqual(wanted, matching.split_target(target), target)
+            self.assertEqual(expected, matching.split_target(target), target)
 
 
 class LoadTest(base.TestCase):
     def test_text_and_json(self) -> None:
-        for value, wanted in (
+        for value, expected in (
             (b"TEXT named_metrics.in_flight=3", LoadReport(3.0)),
             (b"TEXT cpu_utilization=0.3, in_flight=2.5", LoadReport(2.5)),
             (
@@ -76,7 +76,7 @@
             (b"BIN abc", None),
             (b"", None),
         ):
-            self.assertEqual(wanted, load.read_header(value), value)
+            self.assertEqual(expected, load.read_header(value), value)
 
 
 class StagesTest(base.TestCase):
@@ -97,34 +97,34 @@
             (89.0, 1, 1.0),
             (100.0, 2, None),
         ):
-            staged = stages.at(service, elapsed)
+            staged = stages.service_at(service, elapsed)
             self.assertEqual(shares[number], staged.service.shares)
             self.assertEqual(left, staged.next_s)
 
 
-class WatchdogTest(base.TestCase):
+class LazyTimerTest(base.TestCase):
     def test_fires_once_at_the_time_set_last(self) -> None:
         async def body() -> None:
             loop = asyncio.get_running_loop()
             fired: list[float] = []
-            watch = watchdog.Watchdog(loop, lambda: fired.append(loop.time()))
+            timer = timers.LazyTimer(loop, lambda: fired.append(loop.time()))
             begin = loop.time()
-            watch.set(begin + 5)
-            watch.set(begin + 9)
+            timer.set_lazily(begin + 5)
+            timer.set_lazily(begin + 9)
             await asyncio.sleep(6)
             self.assertEqual([], fired)
-            watch.set(begin + 7)
+            timer.set_lazily(begin + 7)
             await asyncio.sleep(10)
             self.assertEqual([7], [round(at - begin) for at in fired])
-            watch.set(loop.time() + 1)
-            watch.due = watchdog.NEVER
+            timer.set_lazily(loop.time() + 1)
+            timer.due = timers.NEVER
             await asyncio.sleep(5)
             self.assertEqual(1, len(fired))
-            watch.move(loop.time() + 3)
-            watch.move(loop.time() + 4)
-            armed = watch.handle.when()
-            self.assertEqual(watch.due, armed)
-            watch.move(watchdog.NEVER)
-            self.assertIsNone(watch.handle)
+            timer.set_exactly(loop.time() + 3)
+            timer.set_exactly(loop.time() + 4)
+            armed = timer.loop_handle.when()
+            self.assertEqual(timer.due, armed)
+            timer.set_exactly(timers.NEVER)
+            self.assertIsNone(timer.loop_handle)
 
         self.run_paused(body())
