--- a/banyantiller/gateway/change_history.py
+++ b/banyantiller/gateway/change_history.py
@@ -97,7 +97,7 @@
             self.oldest_version = self.batches.popleft().version
         self.wake()
 
-    def pack_list(self) -> messages.Response:
+    def list_response(self) -> messages.Response:
         """Returns a response with all objects."""
         if self.cached_list is None:
             items = [
--- a/banyantiller/gateway/mirror.py
+++ b/banyantiller/gateway/mirror.py
@@ -68,21 +68,24 @@
 
     Attributes:
         sentinel: Kind whose calls show whether the store responds.
-        times: Loop time of the last confirmation by kind.
+        confirmation_times: Loop time of the last confirmation by kind.
     """
 
     def __init__(self, sentinel: str) -> None:
         self.sentinel = sentinel
-        self.times: dict[str, float] = {}
+        self.confirmation_times: dict[str, float] = {}
 
     def record(self, object_kind: str, at: float) -> None:
         """Records the loop time at which the store confirmed a kind."""
-        self.times[object_kind] = max(self.times.get(object_kind, at), at)
+        self.confirmation_times[object_kind] = max(
+            self.confirmation_times.get(object_kind, at), at
+        )
 
     def confirmed_at(self, object_kind: str) -> float:
         """Returns the loop time of the last confirmation, or 0."""
         return max(
-            self.times.get(object_kind, 0.0), self.times.get(self.sentinel, 0.0)
+            self.confirmation_times.get(object_kind, 0.0),
+            self.confirmation_times.get(self.sentinel, 0.0),
         )
 
 
@@ -204,7 +207,7 @@
         history = self.histories.get(object_kind)
         if history is None:
             return messages.Response(NOT_READY_STATUS)
-        response = history.pack_list()
+        response = history.list_response()
         age = (AGE_FIELD, str(peer_messages.age_ms(self._age_s(object_kind))))
         return response._replace(headers=(*response.headers, age))
 
--- a/banyantiller/gateway/shared_reading.py
+++ b/banyantiller/gateway/shared_reading.py
@@ -27,7 +27,8 @@
 # healthy relay responds within it, which saves the store a call of each daemon
 # that was frozen itself.
 MIN_QUERY_S = 0.1
-# Age of the cached state at which the store is read for such a kind.
+# Age of the cached state at which the store is read for a delay-tolerant
+# kind.
 DELAY_TOLERANT_MAX_AGE_S = 3.5
 
 RELAYS_LOST_STORE = "relays get no response from the store"
@@ -259,7 +260,7 @@
     def _earliest_response_time(
         self, outcome: interface.Changes, sent_at: float, wait_s: float
     ) -> float:
-        """Returns the earliest loop time at which the store responded.
+        """Returns the earliest loop time at which the store may have responded.
 
         The time of receipt is no measure: a response may have been delayed, or
         have waited in the socket of a process that was frozen. Without a change
@@ -291,7 +292,10 @@
         max_age_s = self.read_policy.max_age_s
         if object_kind in self.delay_tolerant:
             max_age_s = DELAY_TOLERANT_MAX_AGE_S
-        return self.mirror.freshness.times.get(object_kind, 0.0) + max_age_s
+        return (
+            self.mirror.freshness.confirmation_times.get(object_kind, 0.0)
+            + max_age_s
+        )
 
     async def _query_relays(
         self, object_kind: str, version: str, wait_s: float
--- a/banyantiller/gateway/store_view.py
+++ b/banyantiller/gateway/store_view.py
@@ -60,7 +60,8 @@
         shutting_down: Whether this daemon is shutting down.
         newest_unreadable: Whether the newest document can't be read.
         local_failures: Servers that failed requests of this daemon.
-        unreadable: Errors of registrations that can't be read, by instance.
+        unreadable_registrations: Errors of registrations that can't be read, by
+            instance.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         self.on_first_document: Callable[[], None] = lambda: None
         self.shutting_down = False
         self.newest_unreadable = False
-        self.unreadable: dict[str, str] = {}
+        self.unreadable_registrations: dict[str, str] = {}
         self.local_failures = failure_reports.LocalFailures()
         self.loop = asyncio.get_running_loop()
         self.routes: routes.RouteTable | None = None
@@ -296,7 +297,7 @@
         except ValueError as error:
             self._reject_registration(item.name, str(error))
             return
-        self.unreadable.pop(item.name, None)
+        self.unreadable_registrations.pop(item.name, None)
         self.tallies.registrations["read"] += 1
         replaced = self.table.put(server, self.loop.time())
         if replaced is not None:
@@ -308,8 +309,8 @@
         Each error of a registration is logged once until it changes.
         """
         self.tallies.registrations["unreadable"] += 1
-        if self.unreadable.get(instance) != error:
-            self.unreadable[instance] = error
+        if self.unreadable_registrations.get(instance) != error:
+            self.unreadable_registrations[instance] = error
             events.emit(events.RegistrationUnreadable(instance, error))
         server = self.table.remove(instance, "registration_unreadable")
         if server is not None:
@@ -320,7 +321,7 @@
 
     def _remove_registration(self, instance: str) -> None:
         now = self.loop.time()
-        self.unreadable.pop(instance, None)
+        self.unreadable_registrations.pop(instance, None)
         if self.store_health.may_have_lapsed(now):
             self.table.lapse(instance, now)
             return
--- a/banyantiller/tests/gateway/test_change_in_force.py
+++ b/banyantiller/tests/gateway/test_change_in_force.py
@@ -47,8 +47,10 @@
         """
         now = asyncio.get_running_loop().time()
         received = [fresh_at for at, fresh_at in confirmations if at <= now]
-        times = daemon.store_view.mirror.freshness.times
-        self.assertLessEqual(times["config"], max(received))
+        confirmation_times = (
+            daemon.store_view.mirror.freshness.confirmation_times
+        )
+        self.assertLessEqual(confirmation_times["config"], max(received))
 
     def test_delayed_relay_reply_counts_from_when_it_was_composed(self):
         async def body(env):
