--- a/banyantiller/gateway/shared_reading.py
+++ b/banyantiller/gateway/shared_reading.py
@@ -1,4 +1,4 @@
-"""Reads the store through other daemons where that is as fresh."""
+"""Reads the store through relays where their data is fresh enough."""
 
 import asyncio
 import collections
@@ -8,99 +8,97 @@
 from banyantiller.gateway.decisions import store_reads, turns
 from banyantiller.store import interface
 
-# Longest wait of a call for the kind that shows whether the store answers,
-# while others are told: with the timeout of a call, 0.8 s, a lost store is
-# noticed within 1.4 s.
-READER_WAIT_S = 0.6
-# Longest wait of one question to another daemon; with its margin a daemon that
-# froze is noticed within 0.9 s.
+# Maximum wait of a relay's call for the sentinel while it has subscribers: with
+# the timeout of a call, 0.8 s, a lost store is noticed within 1.4 s.
+RELAY_READ_WAIT_S = 0.6
+# Maximum wait of one query to a relay; with its margin a frozen relay is
+# noticed within 0.9 s.
 QUERY_WAIT_S = 0.5
-# The same for a kind that may be known later: what is known is confirmed by
-# fewer questions, and a daemon that froze is noticed within 1.9 s.
+# The same for a delay-tolerant kind: the cached state is confirmed by fewer
+# queries, and a frozen relay is noticed within 1.9 s.
 DELAY_TOLERANT_QUERY_WAIT_S = 1.5
-# Others that gave no answer before the store is read: a second one that is
-# asked without a wait takes 0.4 s, and a change is known within 1.4 s.
+# Unresponsive relays before the store is read: a second one, queried without a
+# wait, takes 0.4 s, and a change is learned within 1.4 s.
 MAX_UNRESPONSIVE_PEERS = 2
-# One that is asked after others took longer than this is not to wait for a
-# change.
-PROMPT_S = 0.05
-# Time for a question to others where the store should be read already: one that
-# lives answers within it, which spares the store a call of each daemon that
-# stood still.
-BRIEF_S = 0.1
-# Age at which the store is read for a kind that may be known later.
+# A relay that is queried later than this, after others failed to respond, is
+# not asked to wait for a change.
+LONG_POLL_WINDOW_S = 0.05
+# Time for a query to relays where the store is already due to be read: a
+# healthy relay responds within it, which saves the store a call of each daemon
+# that was frozen itself.
+MIN_QUERY_S = 0.1
+# Age of the cached state at which the store is read for a delay-tolerant
+# kind.
 DELAY_TOLERANT_MAX_AGE_S = 3.5
 
-LOST_WITH_OTHERS = "the daemons that are asked hear nothing of the store"
-NOBODY_REACHES = "no daemon reaches the store"
-# Stands for the store where the address of another daemon would stand.
+RELAYS_LOST_STORE = "relays get no response from the store"
+STORE_UNREACHABLE = "no daemon reaches the store"
+# Value of `confirmed_by` for the store itself.
 STORE = "store"
 
 
 class SharedReader:
-    """Reads the store through other daemons where that is as fresh.
+    """Reads the store through relays where their data is fresh enough.
 
-    If no other daemon can tell, the store is read at once in its place. If one
-    can tell that the store is lost, it is read when what is known gets too old.
-    See `store.interface.ObjectReader`.
+    If no relay can serve a read, the store is read at once. If a relay reports
+    that the store is lost, the store is read when the cached state gets too
+    old. See `store.interface.ObjectReader`.
 
     Attributes:
         store: The store.
-        mirror: What this daemon tells others.
-        sentinel: Kind whose calls show whether the store answers.
-        delay_tolerant: Kinds whose changes may be known later than others.
-        upstream_relays: Daemons to ask for changes; of a daemon that is asked
-            itself, those before it in the order of their addresses.
-        relays: Daemons to ask for what was in force, without this one.
-        is_relay: Whether others ask this daemon.
-        read_policy: How long others are relied on.
-        min_versions: Least version that a list told by others must have, by
-            kind.
-        peer_lists: Asks others for lists.
-        counts_sharers_from: Loop time from which a daemon that is asked knows
-            who shares with it.
-        current_relay: Daemon that told changes last, or None.
+        mirror: Serves the state of the store to subscribers.
+        sentinel: Kind whose calls show whether the store responds.
+        delay_tolerant: Kinds whose changes may be learned later than others.
+        upstream_relays: Relays to query for changes; of a daemon that is a
+            relay itself, those before it in the order of their addresses.
+        relays: All relays except this daemon, to query for lists.
+        is_relay: Whether this daemon is a relay.
+        read_policy: How long relays are relied on.
+        min_versions: Minimum version of a list from a relay, by kind.
+        peer_lists: Queries relays for lists.
+        counts_sharers_from: Loop time from which a relay knows its sharers.
+        current_relay: Relay that sent changes last, or None.
         read_at: Loop time of the last read of the store, by kind.
-        reaches_store: Whether the store answered this daemon since another one
-            told changes. Those that are asked may be the only ones that have
-            lost it.
-        confirmed_by: Where what is known of the sentinel came from last:
-            `store`, or the address of another daemon.
-        unconfirmed_s: How old the store's last word on the sentinel had become
-            when the latest one came, in seconds.
-        relay_count: Daemons that others may ask; each tells a part of the
-            fleet.
-        position: This daemon's place among those that take turns, or None while
+        reaches_store: Whether the store responded to this daemon since a relay
+            last sent changes. The relays may be the only ones that lost it.
+        confirmed_by: Source of the last confirmation of the sentinel: `store`,
+            or the address of a relay.
+        unconfirmed_s: Age of the previous confirmation of the sentinel when the
+            latest one came, in seconds.
+        relay_count: Number of relays; each serves a group of the fleet.
+        position: Position of this daemon among those that take turns, or None
+            while the others can't be counted.
+        budget_share: This daemon's share of the fleet's budgets, or None while
             the others can't be counted.
-        budget_share: Part of the fleet's budgets that this daemon may use, or
-            None while the others can't be counted.
         calls: Calls to the store by verb.
-        query_outcomes: Questions to other daemons by outcome.
+        query_outcomes: Queries to relays by outcome.
     """
 
     def __init__(
         self,
         store: interface.ObjectReader,
-        own: mirror.Mirror,
+        local_mirror: mirror.Mirror,
         sentinel: str,
         relays: list[peers.Peer],
-        own_address: str,
+        local_address: str,
         rng: random.Random,
         read_policy: store_reads.StoreReadPolicy,
         delay_tolerant: frozenset[str] = frozenset(),
     ) -> None:
         self.store = store
         self.delay_tolerant = delay_tolerant
-        self.mirror = own
+        self.mirror = local_mirror
         self.sentinel = sentinel
         self.relays = list(relays)
         rng.shuffle(self.relays)
-        self.is_relay = bool(own_address)
+        self.is_relay = bool(local_address)
         self.upstream_relays = self.relays
         if self.is_relay:
-            # In one order for all, so that no two wait for each other.
-            before = [p for p in relays if p.address < own_address]
-            self.upstream_relays = sorted(before, key=lambda peer: peer.address)
+            # All relays use the same order, so that no two wait for each other.
+            earlier = [p for p in relays if p.address < local_address]
+            self.upstream_relays = sorted(
+                earlier, key=lambda peer: peer.address
+            )
         self.relay_count = max(1, len(self.relays) + self.is_relay)
         self.budget_share: float | None = None
         self.position: turns.FleetPosition | None = None
@@ -125,39 +123,41 @@
     async def list(
         self, kind: str, labels: dict[str, str] | None = None
     ) -> interface.ListOutcome:
-        """Reads all objects of a kind, told by others if that is fresh.
+        """Reads all objects of a kind, from a relay if its list is fresh.
 
-        A daemon that starts while the store is away is told by another one
-        what was in force, and serves within a second.
+        A daemon that starts while the store is down takes an older list from a
+        relay, and serves within a second.
         """
-        told = await self.peer_lists.fetch(kind)
-        if told is not None and self.peer_lists.is_fresh(told):
-            self._heard(kind, told.fresh_at, told.address)
-            return self._listed(kind, told.listed)
-        asked_at = self.loop.time()
-        found = await self.store.list(kind, labels)
-        if isinstance(found, interface.Listed):
-            self._heard(kind, asked_at)
-            return self._listed(kind, found)
+        peer_list = await self.peer_lists.fetch(kind)
+        if peer_list is not None and self.peer_lists.is_fresh(peer_list):
+            self._record_confirmation(
+                kind, peer_list.fresh_at, peer_list.address
+            )
+            return self._record_list(kind, peer_list.listed)
+        sent_at = self.loop.time()
+        outcome = await self.store.list(kind, labels)
+        if isinstance(outcome, interface.Listed):
+            self._record_confirmation(kind, sent_at)
+            return self._record_list(kind, outcome)
         self.read_policy.end_settling()
-        told = told or await self.peer_lists.fetch(kind)
-        if told is None:
-            return found
-        self.mirror.freshness.record(kind, told.fresh_at)
-        return self._listed(kind, told.listed)
+        peer_list = peer_list or await self.peer_lists.fetch(kind)
+        if peer_list is None:
+            return outcome
+        self.mirror.freshness.record(kind, peer_list.fresh_at)
+        return self._record_list(kind, peer_list.listed)
 
     async def changes(
         self, kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
-        """Reads changes from another daemon, or from the store."""
+        """Reads changes from a relay, or from the store."""
         if wait_s <= 0:
-            found = await self._try_lost_store(kind, version)
+            outcome = await self._retry_lost_store(kind, version)
         else:
-            found = await self._changes(kind, version, wait_s)
-        if isinstance(found, interface.Changes):
-            self.mirror.record_changes(kind, found)
+            outcome = await self._read_changes(kind, version, wait_s)
+        if isinstance(outcome, interface.Changes):
+            self.mirror.record_changes(kind, outcome)
             self.min_versions[kind] = self.mirror.histories[kind].version
-        return found
+        return outcome
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -166,208 +166,229 @@
             await peer.client.close()
 
     def skip_start_pause(self) -> None:
-        """Notes that a caller waits for what is to be read at the start."""
+        """Stops waiting for relays at the start, as a caller waits."""
         self.peer_lists.start_pause_skipped.set()
 
-    def _listed(
-        self, kind: str, found: interface.Listed
+    def _record_list(
+        self, object_kind: str, outcome: interface.Listed
     ) -> interface.ListOutcome:
-        self.mirror.record_list(kind, found)
-        self.min_versions[kind] = int(found.version)
-        return found
+        self.mirror.record_list(object_kind, outcome)
+        self.min_versions[object_kind] = int(outcome.version)
+        return outcome
 
-    # Changes.
-
-    async def _changes(
-        self, kind: str, version: str, wait_s: float
+    async def _read_changes(
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
-        demanded = self.mirror.has_subscribers()
-        counts = self.is_relay and self.loop.time() >= self.counts_sharers_from
-        if demanded or counts:
+        has_subscribers = self.mirror.has_subscribers()
+        counts_sharers = (
+            self.is_relay and self.loop.time() >= self.counts_sharers_from
+        )
+        if has_subscribers or counts_sharers:
             sharers = self.mirror.count_sharers()
-            self._divide(sharers)
+            self._update_budget_share(sharers)
             self.position = turns.FleetPosition(
                 sharers - 1, sharers, self.relay_count
             )
-        found = await self._ask_others_in_time(kind, version, wait_s)
-        while found is None and self._may_settle(kind):
+        outcome = await self._query_relays_in_time(object_kind, version, wait_s)
+        while outcome is None and self._may_await_relays(object_kind):
             await asyncio.sleep(peer_lists.START_PAUSE_S)
             for peer in self.upstream_relays:
                 peer.skipped_until = 0.0
-            found = await self._ask_others_in_time(kind, version, wait_s)
-        if found is not None:
-            return found
-        if demanded and kind == self.sentinel:
-            wait_s = min(wait_s, READER_WAIT_S)
-        if self.upstream_relays and not demanded:
-            await self._space_reads(kind)
-        return await self._read_store(kind, version, wait_s)
-
-    async def _space_reads(self, kind: str) -> None:
-        """Waits so that changes in series don't cost a call each.
-
-        Where all that are asked have lost the store, each daemon reads it.
+            outcome = await self._query_relays_in_time(
+                object_kind, version, wait_s
+            )
+        if outcome is not None:
+            return outcome
+        if has_subscribers and object_kind == self.sentinel:
+            wait_s = min(wait_s, RELAY_READ_WAIT_S)
+        if self.upstream_relays and not has_subscribers:
+            await self._space_reads(object_kind)
+        return await self._read_store(object_kind, version, wait_s)
+
+    async def _space_reads(self, object_kind: str) -> None:
+        """Delays a read so that a series of changes takes fewer calls.
+
+        Where all relays have lost the store, each daemon reads it.
         """
-        due = self.read_at.get(kind, 0.0) + self.read_policy.max_peer_age_s
+        due = (
+            self.read_at.get(object_kind, 0.0) + self.read_policy.max_peer_age_s
+        )
         await asyncio.sleep(due - self.loop.time())
 
-    def _may_settle(self, kind: str) -> bool:
-        """Tells whether others that are about to listen may be waited for."""
+    def _may_await_relays(self, object_kind: str) -> bool:
+        """Returns whether to wait for relays that may be starting."""
         now = self.loop.time()
-        if not self.upstream_relays or now >= self._read_by(kind):
+        if not self.upstream_relays or now >= self._store_read_due(object_kind):
             return False
         return self.read_policy.is_settling(now, listed=True)
 
-    async def _try_lost_store(
-        self, kind: str, version: str
+    async def _retry_lost_store(
+        self, object_kind: str, version: str
     ) -> interface.ChangesOutcome:
-        """Asks the store now and then, and one of the others in between."""
+        """Calls a lost store at intervals, and a random relay in between."""
         now = self.loop.time()
-        fit = [
+        available = [
             peer for peer in self.upstream_relays if peer.skipped_until <= now
         ]
-        alone = not fit or self.mirror.has_subscribers()
-        if alone or self.read_policy.should_retry_store(now):
-            return await self._read_store(kind, version, 0.0)
-        peer = self.random.choice(fit)
-        found = await self._ask(peer, kind, version, 0.0)
-        if isinstance(found, peers.PeerRefusal):
-            again_s = self.read_policy.next_store_retry - self.loop.time()
-            return interface.Unavailable(NOBODY_REACHES, max(0.0, again_s))
-        return found
+        must_read_store = not available or self.mirror.has_subscribers()
+        if must_read_store or self.read_policy.should_retry_store(now):
+            return await self._read_store(object_kind, version, 0.0)
+        peer = self.random.choice(available)
+        outcome = await self._query(peer, object_kind, version, 0.0)
+        if isinstance(outcome, peers.PeerRefusal):
+            retry_s = self.read_policy.next_store_retry - self.loop.time()
+            return interface.Unavailable(STORE_UNREACHABLE, max(0.0, retry_s))
+        return outcome
 
     async def _read_store(
-        self, kind: str, version: str, wait_s: float
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
-        asked_at = self.loop.time()
-        self.read_at[kind] = asked_at
-        found = await self.store.changes(kind, version, wait_s)
-        if isinstance(found, interface.Changes):
-            self._heard(kind, self._composed_at(found, asked_at, wait_s))
-        self.reaches_store = not isinstance(found, interface.Unavailable)
-        if isinstance(found, interface.Gone):
-            # A list from before would lead here again.
-            self.min_versions[kind] = int(version) + 1
-        return found
-
-    def _composed_at(
-        self, found: interface.Changes, asked_at: float, wait_s: float
+        sent_at = self.loop.time()
+        self.read_at[object_kind] = sent_at
+        outcome = await self.store.changes(object_kind, version, wait_s)
+        if isinstance(outcome, interface.Changes):
+            self._record_confirmation(
+                object_kind,
+                self._earliest_response_time(outcome, sent_at, wait_s),
+            )
+        self.reaches_store = not isinstance(outcome, interface.Unavailable)
+        if isinstance(outcome, interface.Gone):
+            # An older list would lead to `Gone` again.
+            self.min_versions[object_kind] = int(version) + 1
+        return outcome
+
+    def _earliest_response_time(
+        self, outcome: interface.Changes, sent_at: float, wait_s: float
     ) -> float:
-        """Returns the earliest loop time at which the store said something.
+        """Returns the earliest loop time at which the store may have responded.
 
-        When it was received tells nothing: an answer may have been under way
-        for long, or lie in the socket of a process that stood still. Without a
-        change the store waits for as long as it was asked to.
+        The time of receipt is no measure: a response may have been delayed, or
+        have waited in the socket of a process that was frozen. Without a change
+        the store holds the call for the whole wait.
         """
-        waited_until = asked_at + wait_s
-        if found.events or self.loop.time() < waited_until:
-            return asked_at
+        waited_until = sent_at + wait_s
+        if outcome.events or self.loop.time() < waited_until:
+            return sent_at
         return waited_until
 
-    async def _ask_others_in_time(
-        self, kind: str, version: str, wait_s: float
+    async def _query_relays_in_time(
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome | None:
-        """Asks others until the store has to be read; see `_ask_others`."""
+        """Queries relays until the store has to be read."""
         now = self.loop.time()
-        left_s = self._read_by(kind) - now
-        until = now + max(left_s, BRIEF_S)
-        # An answer that was waited for needs time to arrive.
-        wait_s = max(0.0, min(wait_s, left_s - BRIEF_S))
+        remaining_s = self._store_read_due(object_kind) - now
+        until = now + max(remaining_s, MIN_QUERY_S)
+        # Leaves time for the response to arrive after the wait.
+        wait_s = max(0.0, min(wait_s, remaining_s - MIN_QUERY_S))
         try:
             async with asyncio.timeout_at(until):
-                return await self._ask_others(kind, version, wait_s)
+                return await self._query_relays(object_kind, version, wait_s)
         except TimeoutError:
             self.query_outcomes["given_up"] += 1
             return None
 
-    def _read_by(self, kind: str) -> float:
+    def _store_read_due(self, object_kind: str) -> float:
         """Returns the loop time at which the store has to be read."""
-        most_age_s = self.read_policy.max_age_s
-        if kind in self.delay_tolerant:
-            most_age_s = DELAY_TOLERANT_MAX_AGE_S
-        return self.mirror.freshness.times.get(kind, 0.0) + most_age_s
+        max_age_s = self.read_policy.max_age_s
+        if object_kind in self.delay_tolerant:
+            max_age_s = DELAY_TOLERANT_MAX_AGE_S
+        return (
+            self.mirror.freshness.confirmation_times.get(object_kind, 0.0)
+            + max_age_s
+        )
 
-    async def _ask_others(
-        self, kind: str, version: str, wait_s: float
+    async def _query_relays(
+        self, object_kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome | None:
-        """Asks one daemon after the other.
+        """Queries one relay after the other.
 
         Returns:
-            What one told; `Unavailable` if the store needn't be read yet
-            either; None if it has to be read.
+            The outcome of the first that served changes; `Unavailable` if the
+            store needn't be read yet either; None if it has to be read.
         """
         store_lost = False
-        silent = 0
-        prompt_until = self.loop.time() + PROMPT_S
+        unresponsive_count = 0
+        long_poll_until = self.loop.time() + LONG_POLL_WINDOW_S
         for peer in self.upstream_relays:
             now = self.loop.time()
             if peer.skipped_until > now:
                 continue
-            # One that was waited for in vain leaves no time to wait again.
-            left_s = wait_s if now < prompt_until else 0.0
-            found = await self._ask(peer, kind, version, left_s)
-            if not isinstance(found, peers.PeerRefusal):
-                return found
-            store_lost |= found.kind is peers.RefusalKind.STORE_LOST
-            silent += found.kind is peers.RefusalKind.UNRESPONSIVE
-            if silent == MAX_UNRESPONSIVE_PEERS:
+            # No time is left for a second wait once one was in vain.
+            remaining_s = wait_s if now < long_poll_until else 0.0
+            outcome = await self._query(peer, object_kind, version, remaining_s)
+            if not isinstance(outcome, peers.PeerRefusal):
+                return outcome
+            store_lost |= outcome.refusal_kind is peers.RefusalKind.STORE_LOST
+            unresponsive_count += (
+                outcome.refusal_kind is peers.RefusalKind.UNRESPONSIVE
+            )
+            if unresponsive_count == MAX_UNRESPONSIVE_PEERS:
                 break
-        if store_lost and self._may_wait():
-            again_s = self._read_by(kind) - self.loop.time()
-            return interface.Unavailable(LOST_WITH_OTHERS, max(0.0, again_s))
+        if store_lost and self._may_rely_on_relays():
+            retry_s = self._store_read_due(object_kind) - self.loop.time()
+            return interface.Unavailable(RELAYS_LOST_STORE, max(0.0, retry_s))
         return None
 
-    def _may_wait(self) -> bool:
-        """Tells whether a lost store may be left to those that are asked."""
+    def _may_rely_on_relays(self) -> bool:
+        """Returns whether a lost store may be left to the relays."""
         if self.is_relay or self.reaches_store:
             return False
         return self.read_policy.may_rely_on_peers(self.loop.time())
 
-    async def _ask(
-        self, peer: peers.Peer, kind: str, version: str, wait_s: float
+    async def _query(
+        self, peer: peers.Peer, object_kind: str, version: str, wait_s: float
     ) -> interface.Changes | interface.Gone | peers.PeerRefusal:
-        """Asks a daemon, and notes whether it can be relied on."""
-        patient = kind in self.delay_tolerant
-        most_s = DELAY_TOLERANT_QUERY_WAIT_S if patient else QUERY_WAIT_S
-        found = await peer.changes(kind, version, min(wait_s, most_s))
-        if not isinstance(found, peers.PeerRefusal):
+        """Queries a relay, and records whether it can be relied on."""
+        tolerant = object_kind in self.delay_tolerant
+        max_wait_s = DELAY_TOLERANT_QUERY_WAIT_S if tolerant else QUERY_WAIT_S
+        outcome = await peer.changes(
+            object_kind, version, min(wait_s, max_wait_s)
+        )
+        if not isinstance(outcome, peers.PeerRefusal):
             self.query_outcomes["answered"] += 1
             self.reaches_store = False
             peer.skipped_until = 0.0
-            if isinstance(found, interface.Changes):
-                self._heard(kind, peer.fresh_at, peer.address)
-                self._rely_on(peer)
-            return found
+            if isinstance(outcome, interface.Changes):
+                self._record_confirmation(
+                    object_kind, peer.fresh_at, peer.address
+                )
+                self._record_relay(peer)
+            return outcome
         self.query_outcomes["unanswered"] += 1
         now = self.loop.time()
-        if found.kind is not peers.RefusalKind.STORE_LOST:
+        if outcome.refusal_kind is not peers.RefusalKind.STORE_LOST:
             if peer.skipped_until <= now:
-                events.emit(events.PeerLost(peer.address, found.kind.value))
+                events.emit(
+                    events.PeerLost(peer.address, outcome.refusal_kind.value)
+                )
             peer.skipped_until = now + peers.SKIP_S
         self.current_relay = None
-        return found
+        return outcome
 
-    def _heard(self, kind: str, fresh_at: float, through: str = STORE) -> None:
-        """Notes when the store said what is known now."""
-        self.mirror.freshness.record(kind, fresh_at)
-        if kind == self.sentinel:
-            self.confirmed_by = through
+    def _record_confirmation(
+        self, object_kind: str, fresh_at: float, source: str = STORE
+    ) -> None:
+        """Records when the store confirmed the cached state."""
+        self.mirror.freshness.record(object_kind, fresh_at)
+        if object_kind == self.sentinel:
+            self.confirmed_by = source
             self.unconfirmed_s = self.loop.time() - self.read_policy.fresh_at
             self.read_policy.record_confirmation(fresh_at)
 
-    def _rely_on(self, peer: peers.Peer) -> None:
-        """Notes that another daemon told changes."""
+    def _record_relay(self, peer: peers.Peer) -> None:
+        """Records that a relay sent changes."""
         if peer is not self.current_relay:
             self.current_relay = peer
             events.emit(events.ReadsThroughRelay(peer.address, peer.sharers))
         if not self.is_relay:
-            self._divide(peer.sharers)
+            self._update_budget_share(peer.sharers)
             self.position = peer.position(self.relay_count)
 
-    def _divide(self, sharers: int) -> None:
-        """Takes this daemon's part of what a group of daemons may use.
+    def _update_budget_share(self, sharers: int) -> None:
+        """Updates this daemon's share of the fleet's budgets.
 
-        Each group gets the same, and shares it among those that it counts, so
-        the parts add up to one whatever a daemon believes of other groups.
+        Each relay's group gets the same part and divides it among the daemons
+        that the relay counts, so the shares add up to one whatever a daemon
+        knows of other groups.
         """
         self.budget_share = 1 / (self.relay_count * max(1, sharers))
