--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -166,7 +166,7 @@
             return None if is_hedge else self._end_without_server()
         candidate = await self._choose_server(service, is_hedge)
         if candidate is None:
-            self.next_hedge_at = self.loop.time() + hedging.RETRY_PAUSE_S
+            self.next_hedge_at = self.loop.time() + hedging.RECHECK_PAUSE_S
             return None if is_hedge else self._end_without_server()
         if self._is_quarantined() or not self._can_send(is_hedge):
             self.gateway.prober.release([candidate])
--- a/banyantiller/gateway/change_history.py
+++ b/banyantiller/gateway/change_history.py
@@ -1,4 +1,4 @@
-"""Changes of one kind of objects, kept for daemons that ask for them late."""
+"""Recent changes of one kind of objects, kept for late queries."""
 
 import asyncio
 import collections
@@ -8,8 +8,8 @@
 from banyantiller.http import messages
 from banyantiller.store import interface
 
-# Batches of changes that are kept for daemons that ask late; the store itself
-# has some 20 s, in which no more than 40 come.
+# Number of batches that are kept for late queries; the store itself keeps some
+# 20 s, in which no more than 40 come.
 MAX_BATCHES = 100
 
 
@@ -19,13 +19,13 @@
     Attributes:
         version: Version of the store after them.
         events: The changes.
-        bridges: Version before them, if they were found by comparing lists;
-            what came and went in between is missing then.
+        compared_with: Version before them, if they are the difference of two
+            lists; objects that were created and removed in between are missing.
     """
 
     version: int
     events: tuple[interface.Changed | interface.Deleted, ...]
-    bridges: int | None = None
+    compared_with: int | None = None
 
 
 class ChangeHistory:
@@ -36,56 +36,56 @@
         oldest_version: Version from which changes are known.
         version: Version up to which they are known.
         batches: The changes.
-        changed: Set at each change; replaced after it.
-        packed: Answer with all objects, or None after a change.
+        changed: Set at each change, then replaced by a new event.
+        cached_list: Response with all objects, or None after a change.
     """
 
     def __init__(self, listed: interface.Listed) -> None:
         self.items = {item.name: item for item in listed.items}
-        self.packed: messages.Response | None = None
+        self.cached_list: messages.Response | None = None
         self.oldest_version = int(listed.version)
         self.version = self.oldest_version
         self.batches: collections.deque[Batch] = collections.deque()
         self.changed = asyncio.Event()
 
-    def add_changes(self, found: interface.Changes) -> None:
-        """Adds what was read."""
-        self._add(Batch(int(found.version), found.events))
+    def add_changes(self, changes: interface.Changes) -> None:
+        """Appends changes that were read."""
+        self._append_batch(Batch(int(changes.version), changes.events))
 
-    def apply_list(self, found: interface.Listed) -> None:
-        """Takes a newer list as the changes that lead to it.
+    def apply_list(self, listed: interface.Listed) -> None:
+        """Appends the difference between a newer list and the known objects.
 
-        Those who ask go on from what they know: after a lost history one list
-        is read for the whole fleet.
+        Subscribers continue from their own version: after the store lost its
+        history one list is read for the whole fleet.
         """
-        listed = {item.name: item for item in found.items}
-        gone = [
+        new_items = {item.name: item for item in listed.items}
+        deleted = [
             interface.Deleted(item)
             for name, item in self.items.items()
-            if name not in listed
+            if name not in new_items
         ]
         changed = [
             interface.Changed(item)
-            for name, item in listed.items()
+            for name, item in new_items.items()
             if self.items.get(name) != item
         ]
-        version = int(found.version)
-        self._add(Batch(version, (*gone, *changed), self.version))
+        version = int(listed.version)
+        self._append_batch(Batch(version, (*deleted, *changed), self.version))
 
     def is_complete_since(self, version: int) -> bool:
-        """Tells whether all changes after a version are known."""
+        """Returns whether all changes after a version are known."""
         if version < self.oldest_version:
             return False
         return not any(
-            batch.bridges is not None
-            and batch.bridges < version < batch.version
+            batch.compared_with is not None
+            and batch.compared_with < version < batch.version
             for batch in self.batches
         )
 
-    def _add(self, batch: Batch) -> None:
+    def _append_batch(self, batch: Batch) -> None:
         self.version = max(self.version, batch.version)
-        self.packed = None
-        if not batch.events and batch.bridges is None:
+        self.cached_list = None
+        if not batch.events and batch.compared_with is None:
             return
         for event in batch.events:
             if isinstance(event, interface.Deleted):
@@ -97,18 +97,18 @@
             self.oldest_version = self.batches.popleft().version
         self.wake()
 
-    def pack_list(self) -> messages.Response:
-        """Returns an answer with all objects."""
-        if self.packed is None:
+    def list_response(self) -> messages.Response:
+        """Returns a response with all objects."""
+        if self.cached_list is None:
             items = [
-                peer_messages.fields_of(item, False)
+                peer_messages.encode_object(item, False)
                 for item in self.items.values()
             ]
             fields = peer_messages.ListFields(
                 items=items, version=str(self.version)
             )
-            self.packed = peer_messages.pack(fields)
-        return self.packed
+            self.cached_list = peer_messages.build_response(fields)
+        return self.cached_list
 
     def changes_after(
         self, version: int
@@ -122,6 +122,6 @@
         ]
 
     def wake(self) -> None:
-        """Lets those who wait look again."""
+        """Wakes the queries that wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -361,7 +361,7 @@
 
     def _find_connected(
         self, entries: list[servers.ServerEntry]
-    ) -> selection.Connected:
+    ) -> selection.ConnectedServers:
         """Returns which servers have an idle or only busy connections."""
         pools = [
             (entry.server.instance, self.pools.get(entry.server.instance))
@@ -370,7 +370,7 @@
         open_pools = [(name, held) for name, held in pools if held is not None]
         idle = frozenset(name for name, held in open_pools if held.has_idle())
         busy = frozenset(name for name, held in open_pools if held.busy)
-        return selection.Connected(idle, busy - idle)
+        return selection.ConnectedServers(idle, busy - idle)
 
     def _max_connections(self, service: str) -> int:
         definition = self.store_view.service(service)
--- a/banyantiller/gateway/mirror.py
+++ b/banyantiller/gateway/mirror.py
@@ -1,8 +1,9 @@
-"""Passes on what one daemon reads of the store to all others.
+"""Serves what this daemon reads of the store to other daemons.
 
-Who reads follows from who is asked, and nothing has to be agreed: a daemon
-that is asked asks only those before it in the order of their addresses, so the
-first of them reads the store, and whoever gets no answer does.
+Which daemons read the store follows from which ones are queried, without any
+agreement: a relay queries only the relays before it in the order of their
+addresses, so the first relay reads the store, and so does every daemon that
+gets no response.
 """
 
 import asyncio
@@ -22,32 +23,34 @@
 from banyantiller.store import interface
 
 PATH = "/mirror/"
-# Value of the query parameter `shares` of a daemon that does.
+# Value of the query parameter `shares` of a daemon that shares the budget of
+# this relay's group.
 SHARES = "1"
-# A daemon that was not asked for so long stops reading for others.
+# A subscriber that sent no query for so long is dropped; a relay without
+# subscribers stops reading for them.
 SUBSCRIBER_TIMEOUT_S = 3.0
-# Longest wait of one question.
+# Maximum wait of one query.
 MAX_WAIT_S = 5.0
-# Header field of a list: how long ago the store said so, in milliseconds. The
-# body is packed once for all that ask.
+# Header field of a list: age of the list, in milliseconds. It is no field of
+# the body, as the body is encoded once for all subscribers.
 AGE_FIELD = "age-ms"
-# Header field of every answer: stands for what this daemon knows of requests
-# that end servers; whoever asks fetches it when the mark is a new one.
+# Header field of every response: identifies the relay's state of requests that
+# crash servers; a subscriber fetches that state when the mark changes.
 MARK_FIELD = "quarantine-mark"
-# What is answered in place of objects. A daemon that lost the store tells so,
-# which spares those that ask the same experience.
+# Statuses of responses without objects. A relay that lost the store says so,
+# which saves its subscribers a call that times out.
 NOT_READY_STATUS = 503
 STORE_LOST_STATUS = 504
 GONE_STATUS = 410
 
 
 class Subscriber(NamedTuple):
-    """A daemon that relies on this one.
+    """A daemon that reads the store through this one.
 
     Attributes:
-        queried_at: Loop time of its last question.
-        shares: Whether it takes its part of the fleet's budgets from what
-            this one divides; a daemon that is asked itself divides its own.
+        queried_at: Loop time of its last query.
+        shares: Whether it takes its share of the fleet's budgets from this
+            relay's group; a daemon that is a relay itself has its own group.
     """
 
     queried_at: float
@@ -55,48 +58,52 @@
 
 
 class Freshness:
-    """When the store last answered about each kind.
+    """When the store last confirmed the cached state of each kind.
 
     Calls for documents, the sentinel, end every few seconds, and calls for
-    other kinds much later, so that an answer about documents confirms the
-    others as well. The reverse does not hold: a daemon that hears only of
-    servers may hold an outdated document, and whoever takes its word would see
-    no change of documents for as long as that lasts.
+    other kinds much later, so a response about documents confirms the other
+    kinds as well. The reverse does not hold: a daemon that receives only
+    changes of servers may hold an outdated document, and a subscriber that
+    relied on it would miss changes of documents for as long as that lasts.
 
     Attributes:
-        sentinel: Kind whose calls show whether the store answers.
-        times: Loop time of the last answer by kind.
+        sentinel: Kind whose calls show whether the store responds.
+        confirmation_times: Loop time of the last confirmation by kind.
     """
 
     def __init__(self, sentinel: str) -> None:
         self.sentinel = sentinel
-        self.times: dict[str, float] = {}
+        self.confirmation_times: dict[str, float] = {}
 
-    def record(self, kind: str, at: float) -> None:
-        """Notes that the store said at a loop time what is known of a kind."""
-        self.times[kind] = max(self.times.get(kind, at), at)
+    def record(self, object_kind: str, at: float) -> None:
+        """Records the loop time at which the store confirmed a kind."""
+        self.confirmation_times[object_kind] = max(
+            self.confirmation_times.get(object_kind, at), at
+        )
 
-    def confirmed_at(self, kind: str) -> float:
-        """Returns the loop time of what is known of a kind; 0 if nothing is."""
+    def confirmed_at(self, object_kind: str) -> float:
+        """Returns the loop time of the last confirmation, or 0."""
         return max(
-            self.times.get(kind, 0.0), self.times.get(self.sentinel, 0.0)
+            self.confirmation_times.get(object_kind, 0.0),
+            self.confirmation_times.get(self.sentinel, 0.0),
         )
 
 
 class Mirror:
-    """Answers other daemons from what this one has read.
+    """Answers queries of subscribers from what this daemon has read.
 
     Attributes:
         histories: Changes by kind.
-        status: Returns the HTTP status of answers: 200 while what was read
+        status: Returns the HTTP status of responses: 200 while the cached state
             is up to date.
-        subscribers: Last question of each daemon that asks, by its name.
-        freshness: When the store said what is known here.
-        on_first_subscriber: Called when the first other daemon asks.
-        mark: Returns the mark that answers carry; empty for none.
-        failure_reports: What daemons that ask said of servers that failed them.
-        failing_servers: Returns the servers that are told to be doubted.
-        server_limits: Limits that servers name, or None if nobody follows them.
+        subscribers: Last query of each subscriber, by its name.
+        freshness: When the store confirmed the cached state.
+        on_first_subscriber: Called at a query while there are no subscribers.
+        mark: Returns the quarantine mark of responses; empty for none.
+        failure_reports: Failing servers that subscribers reported.
+        failing_servers: Returns the failing servers to report to subscribers.
+        server_limits: Limits that servers name, or None if they are not
+            tracked.
     """
 
     def __init__(self, status: Callable[[], int], sentinel: str) -> None:
@@ -107,146 +114,161 @@
         self.on_first_subscriber: Callable[[], None] = lambda: None
         self.mark: Callable[[], str] = lambda: ""
         self.failure_reports = failure_reports.FailureReports()
-        self.failing_servers: Callable[[], list[str]] = self._doubted
+        self.failing_servers: Callable[[], list[str]] = self._reported_failing
         self.server_limits: server_limits.ServerLimits | None = None
         self.loop = asyncio.get_running_loop()
 
     def has_subscribers(self) -> bool:
-        """Tells whether other daemons rely on this one."""
-        return bool(self._asked_lately())
+        """Returns whether other daemons read through this one."""
+        return bool(self._active_subscribers())
 
     def count_sharers(self) -> int:
-        """Counts the daemons that share with this one, and itself."""
-        return sum(asker.shares for asker in self._asked_lately()) + 1
+        """Counts the daemons that share the group's budget, with itself."""
+        return (
+            sum(subscriber.shares for subscriber in self._active_subscribers())
+            + 1
+        )
 
-    def _asked_lately(self) -> list[Subscriber]:
-        oldest = self.loop.time() - SUBSCRIBER_TIMEOUT_S
+    def _active_subscribers(self) -> list[Subscriber]:
+        oldest_query = self.loop.time() - SUBSCRIBER_TIMEOUT_S
         for name in [
-            n for n, a in self.subscribers.items() if a.queried_at <= oldest
+            n
+            for n, a in self.subscribers.items()
+            if a.queried_at <= oldest_query
         ]:
             del self.subscribers[name]
         return list(self.subscribers.values())
 
-    def record_list(self, kind: str, found: interface.Listed) -> None:
-        """Notes that a kind was read whole."""
-        history = self.histories.get(kind)
+    def record_list(self, object_kind: str, listed: interface.Listed) -> None:
+        """Records a list of all objects of a kind."""
+        history = self.histories.get(object_kind)
         if history is None:
-            self.histories[kind] = change_history.ChangeHistory(found)
-        elif int(found.version) >= history.version:
-            history.apply_list(found)
+            self.histories[object_kind] = change_history.ChangeHistory(listed)
+        elif int(listed.version) >= history.version:
+            history.apply_list(listed)
 
-    def record_changes(self, kind: str, found: interface.Changes) -> None:
-        """Notes changes that were read."""
-        self.histories[kind].add_changes(found)
+    def record_changes(
+        self, object_kind: str, changes: interface.Changes
+    ) -> None:
+        """Records changes of a kind."""
+        self.histories[object_kind].add_changes(changes)
 
     def wake(self) -> None:
-        """Lets those who wait look again whether this daemon is fit."""
+        """Makes waiting queries check this daemon's status again."""
         for history in self.histories.values():
             history.wake()
 
     async def handle(self, request: messages.Request) -> messages.Response:
-        """Answers another daemon's question."""
-        response = await self._handle(request)
+        """Answers a query of another daemon."""
+        response = await self._handle_query(request)
         mark = self.mark()
         if not mark:
             return response
         headers = (*response.headers, (MARK_FIELD, mark))
         return response._replace(headers=headers)
 
-    async def _handle(self, request: messages.Request) -> messages.Response:
-        kind = request.path.removeprefix(PATH)
+    async def _handle_query(
+        self, request: messages.Request
+    ) -> messages.Response:
+        object_kind = request.path.removeprefix(PATH)
         if "since" not in request.query:
-            return self._tell_list(kind)
+            return self._list_response(object_kind)
         try:
             since = int(request.query["since"])
             wait_s = int(request.query["wait_ms"]) / 1000
             name = request.query["name"]
             shares = request.query.get("shares", SHARES) == SHARES
             mark = request.query.get("mark", self.mark())
-            told = request.query.get("limits", "[]")
+            limits_text = request.query.get("limits", "[]")
             named_limits = msgspec.json.decode(
-                told, type=list[server_limits.LimitFields]
+                limits_text, type=list[server_limits.LimitFields]
             )
         except (KeyError, ValueError, msgspec.DecodeError):
             return messages.Response(400)
-        first = not self.has_subscribers()
+        is_first = not self.has_subscribers()
         now = self.loop.time()
         self.subscribers[name] = Subscriber(now, shares)
-        named = [n for n in request.query.get("failing", "").split(",") if n]
+        failing = [n for n in request.query.get("failing", "").split(",") if n]
         self.failure_reports.receive(
-            name, named[: failure_reports.MAX_NAMED], now
+            name, failing[: failure_reports.MAX_NAMED], now
         )
         if self.server_limits is not None:
             self.server_limits.merge_report(named_limits, now)
-        if first:
+        if is_first:
             events.emit(events.ReadsForSubscribers(name))
             self.on_first_subscriber()
         wait_s = min(wait_s, MAX_WAIT_S)
-        return await self._answer(kind, since, wait_s, mark, name)
+        return await self._wait_for_changes(
+            object_kind, since, wait_s, mark, name
+        )
 
-    def _tell_list(self, kind: str) -> messages.Response:
-        """Tells all objects of a kind, also while the store is away."""
-        history = self.histories.get(kind)
+    def _list_response(self, object_kind: str) -> messages.Response:
+        """Returns all objects of a kind, also while the store is down."""
+        history = self.histories.get(object_kind)
         if history is None:
             return messages.Response(NOT_READY_STATUS)
-        packed = history.pack_list()
-        age = (AGE_FIELD, str(peer_messages.age_ms(self._age_s(kind))))
-        return packed._replace(headers=(*packed.headers, age))
+        response = history.list_response()
+        age = (AGE_FIELD, str(peer_messages.age_ms(self._age_s(object_kind))))
+        return response._replace(headers=(*response.headers, age))
 
-    async def _answer(
-        self, kind: str, since: int, wait_s: float, mark: str, name: str
+    async def _wait_for_changes(
+        self, object_kind: str, since: int, wait_s: float, mark: str, name: str
     ) -> messages.Response:
-        """Answers once there are changes, a new mark, or the time is over."""
-        received = self.loop.time()
-        until = received + wait_s
+        """Responds once there are changes, a new mark, or the wait is over."""
+        received_at = self.loop.time()
+        deadline = received_at + wait_s
         while True:
-            history = self.histories.get(kind)
+            history = self.histories.get(object_kind)
             if history is None:
                 return messages.Response(NOT_READY_STATUS)
             if self.status() != 200:
                 return messages.Response(self.status())
             if not history.is_complete_since(since):
                 return messages.Response(GONE_STATUS)
-            events = history.changes_after(since)
-            left = until - self.loop.time()
-            if events or left <= 0 or self.mark() != mark:
+            changes = history.changes_after(since)
+            remaining_s = deadline - self.loop.time()
+            if changes or remaining_s <= 0 or self.mark() != mark:
                 version = max(since, history.version)
-                age_s = self._age_s(kind)
-                fields = peer_messages.reply(
-                    events, version, self.count_sharers(), age_s
+                age_s = self._age_s(object_kind)
+                fields = peer_messages.changes_reply(
+                    changes, version, self.count_sharers(), age_s
                 )
-                held_s = self.loop.time() - received
+                held_s = self.loop.time() - received_at
                 fields["held_ms"] = int(held_s * 1000)
-                doubted = self.failing_servers()
-                if doubted:
-                    fields["doubted"] = doubted
-                if kind == self.freshness.sentinel:
-                    self._add_turns(fields, name)
-                return peer_messages.pack(fields)
+                failing_servers = self.failing_servers()
+                if failing_servers:
+                    fields["doubted"] = failing_servers
+                if object_kind == self.freshness.sentinel:
+                    self._add_turn_fields(fields, name)
+                return peer_messages.build_response(fields)
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await history.changed.wait()
             except TimeoutError:
                 continue
 
-    def _add_turns(self, fields: peer_messages.ReplyFields, name: str) -> None:
-        """Adds what a daemon needs to take its turns at servers."""
+    def _add_turn_fields(
+        self, fields: peer_messages.ReplyFields, name: str
+    ) -> None:
+        """Adds the fields by which a daemon computes its turns at servers."""
         fields["rank"] = self.rank(name)
         fields["clock_ms"] = int(self.loop.time() * 1000)
         if self.server_limits is not None and self.server_limits.by_incarnation:
             fields["limits"] = self.server_limits.to_report()
 
     def rank(self, name: str) -> int:
-        """Returns a daemon's number among those that share with this one.
+        """Returns a daemon's position among those that share the budget.
 
-        This one is the last.
+        This daemon is the last.
         """
-        sharing = [n for n, asker in self.subscribers.items() if asker.shares]
+        sharing = [
+            n for n, subscriber in self.subscribers.items() if subscriber.shares
+        ]
         return sum(other < name for other in sharing)
 
-    def _doubted(self) -> list[str]:
+    def _reported_failing(self) -> list[str]:
         return self.failure_reports.failing_servers(self.loop.time())
 
-    def _age_s(self, kind: str) -> float:
-        """Returns how long ago the store said what is known, in seconds."""
-        return self.loop.time() - self.freshness.confirmed_at(kind)
+    def _age_s(self, object_kind: str) -> float:
+        """Returns the age of the cached state of a kind, in seconds."""
+        return self.loop.time() - self.freshness.confirmed_at(object_kind)
--- a/banyantiller/gateway/store_view.py
+++ b/banyantiller/gateway/store_view.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of its store: the document in force and the servers."""
+"""The daemon's view of the store: document, servers, evacuated zones."""
 
 import asyncio
 import math
@@ -27,40 +27,40 @@
 from banyantiller.store import interface
 
 # How long callers of a daemon that starts wait for the first document and list
-# of servers: both are read within 0.02 s if anybody answers, and ten times as
-# long is within the objective of a short request.
+# of servers: both are read within 0.02 s if the store or a relay responds, and
+# ten times as long is within the objective of a short request.
 FIRST_READ_S = 0.2
 # Age up to which a document counts as the newest, in seconds: 3 s for a call to
-# the store that ended with a change, 0.1 s for other daemons, 3 s for the next
-# call, and 0.8 s for its answer. With less, callers of routes that do not exist
-# are told to come back although the store answers.
-CURRENT_S = 7.0
-# Stands for this daemon among those that reported servers to it.
-OWN_REPORT = ""
+# the store that ended with a change, 0.1 s for relays, 3 s for the next call,
+# and 0.8 s for its response. With less, callers of routes that do not exist are
+# told to retry although the store responds.
+MAX_CURRENT_AGE_S = 7.0
+# Name of this daemon among the reporters of failing servers.
+LOCAL_REPORTER = ""
 
 
 class StoreView:
-    """Takes what the followers of the store read.
+    """Holds the state that the store watchers have read.
 
     Attributes:
-        adapter: What is known of the surroundings.
+        adapter: Access to the platform's store and formats.
         routes: Routes of the document in force, or None before the first.
         table: Servers that registered.
         evacuations: Availability zones that are evacuated.
         servers_listed: Whether the registered servers were read once.
-        complete: Set once there is a document, and the servers and the
+        complete: Set once a document is in force, and the servers and the
             evacuated zones are listed.
         started_at: Loop time at which reading began.
         caller_limits: Limits for callers in force.
-        store_health: Whether the store answers.
-        mirror: What other daemons are told of the store.
-        reader: Reads the store, also through other daemons.
-        on_server_removed: Called with each server that was taken out.
+        store_health: Whether the store responds.
+        mirror: Serves the state of the store to subscribers.
+        reader: Reads the store directly or through relays.
+        on_server_removed: Called with each server that was removed.
         on_first_document: Called when the first document is in force.
-        shutting_down: Whether this daemon was told to end.
+        shutting_down: Whether this daemon is shutting down.
         newest_unreadable: Whether the newest document can't be read.
-        local_failures: Servers that failed this daemon.
-        unreadable: What is wrong with registrations that can't be read, by
+        local_failures: Servers that failed requests of this daemon.
+        unreadable_registrations: Errors of registrations that can't be read, by
             instance.
     """
 
@@ -79,13 +79,13 @@
         self.on_first_document: Callable[[], None] = lambda: None
         self.shutting_down = False
         self.newest_unreadable = False
-        self.unreadable: dict[str, str] = {}
+        self.unreadable_registrations: dict[str, str] = {}
         self.local_failures = failure_reports.LocalFailures()
         self.loop = asyncio.get_running_loop()
         self.routes: routes.RouteTable | None = None
         self.table = servers.ServerTable()
         self.evacuations = evacuations.Evacuations(
-            self.table, self._note_complete
+            self.table, self._update_complete
         )
         self.servers_listed = False
         self.complete = asyncio.Event()
@@ -94,24 +94,24 @@
         self.store_health = store_watching.StoreHealth()
         self.mirror = mirror.Mirror(self._status, adapter.document_kind)
         self.store_health.on_lost = self.mirror.wake
-        self.mirror.on_first_subscriber = self._begin_anew
-        reliance = store_reads.StoreReadPolicy(
+        self.mirror.on_first_subscriber = self._restart_watchers
+        read_policy = store_reads.StoreReadPolicy(
             min(settings.apply_s, settings.leave_s), self.loop.time()
         )
         self.reader = shared_reading.SharedReader(
             adapter.store,
             self.mirror,
             adapter.document_kind,
-            _others(settings, reliance.max_peer_age_s),
+            _remote_relays(settings, read_policy.max_peer_age_s),
             settings.control if settings.control in settings.seeds else "",
             rng,
-            reliance,
+            read_policy,
             frozenset((adapter.evacuation_kind,)),
         )
         for peer in self.reader.relays:
-            peer.failing = self._failing
-            peer.on_failing_servers = self._doubted
-        self.mirror.failing_servers = self._told_doubted
+            peer.failing = self._servers_to_report
+            peer.on_failing_servers = self._mark_failing
+        self.mirror.failing_servers = self._failing_servers
 
     @property
     def version(self) -> int:
@@ -119,7 +119,7 @@
         return self.routes.document.version if self.routes else 0
 
     def document_age_s(self) -> float:
-        """Returns how long ago the store said which document is the newest.
+        """Returns the time since the store last confirmed the document.
 
         Infinite, in seconds, before the first document.
         """
@@ -131,24 +131,29 @@
         return self.loop.time() - confirmed
 
     def is_current(self) -> bool:
-        """Tells whether the document counts as the newest."""
+        """Returns whether the document counts as the newest."""
         if self.store_health.lost_at is not None or self.newest_unreadable:
             return False
-        return self.document_age_s() <= CURRENT_S
+        return self.document_age_s() <= MAX_CURRENT_AGE_S
 
-    def refusal_of(self, kind: ErrorKind) -> Failure:
-        """Returns the refusal of a request that the document does not allow.
+    def refusal_of(self, error_kind: ErrorKind) -> Failure:
+        """Returns the failure for a request that the document does not allow.
 
-        Callers take 404, 413 and 431 for final. If a newer document may allow
-        the request, they are told that it was not run and when to come back.
+        Callers treat 404, 413 and 431 as final. If a newer document may allow
+        the request, the failure says that it was not run and when to retry
+        instead.
 
         Args:
-            kind: Why the document does not allow it.
+            error_kind: Why the document does not allow it.
         """
         if self.is_current():
-            return Failure(kind)
-        unsure = ErrorKind.FENCED if self.routes else ErrorKind.NO_BUNDLE
-        return Failure(unsure, retry_after=retry_after.START_RETRY_AFTER_S)
+            return Failure(error_kind)
+        retryable_kind = (
+            ErrorKind.FENCED if self.routes else ErrorKind.NO_BUNDLE
+        )
+        return Failure(
+            retryable_kind, retry_after=retry_after.START_RETRY_AFTER_S
+        )
 
     def service(self, name: str) -> types.Service | None:
         """Returns a service of the document in force, or None."""
@@ -157,17 +162,27 @@
         return self.routes.document.services.get(name)
 
     def store_watchers(self) -> list[store_watching.StoreWatcher]:
-        """Returns the tasks that follow the store."""
-        document = store_watching.Handlers(
-            self._documents_listed, self._document_changed, self._ignore
+        """Returns the watchers of the store, one per object kind."""
+        document_handlers = store_watching.Handlers(
+            self._documents_listed,
+            self._document_changed,
+            self._document_deleted,
         )
-        registrations = store_watching.Handlers(
-            self._servers_listed, self._server_changed, self._server_removed
+        server_handlers = store_watching.Handlers(
+            self._servers_listed, self._server_changed, self._server_deleted
         )
         adapter = self.adapter
-        wanted = (
-            (adapter.document_kind, document, store_watching.DOCUMENT_TIMING),
-            (adapter.server_kind, registrations, store_watching.SERVER_TIMING),
+        watched_kinds = (
+            (
+                adapter.document_kind,
+                document_handlers,
+                store_watching.DOCUMENT_TIMING,
+            ),
+            (
+                adapter.server_kind,
+                server_handlers,
+                store_watching.SERVER_TIMING,
+            ),
             (
                 adapter.evacuation_kind,
                 self.evacuations.handlers(),
@@ -177,50 +192,51 @@
         return [
             store_watching.StoreWatcher(
                 self.reader,
-                kind,
+                object_kind,
                 handlers,
-                pace,
+                timing,
                 self.store_health,
                 self.random,
             )
-            for kind, handlers, pace in wanted
+            for object_kind, handlers, timing in watched_kinds
         ]
 
     async def wait_for_first_read(self) -> None:
-        """Waits for what a daemon that just started is about to know."""
-        left_s = self.started_at + FIRST_READ_S - self.loop.time()
+        """Waits a limited time for the first document and lists."""
+        remaining_s = self.started_at + FIRST_READ_S - self.loop.time()
         if self.complete.is_set():
             return
         self.reader.skip_start_pause()
-        if left_s <= 0:
+        if remaining_s <= 0:
             return
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 await self.complete.wait()
         except TimeoutError:
             return
 
     def begin_shutdown(self) -> None:
-        """Lets other daemons ask somebody else."""
+        """Makes the mirror reject queries, so that subscribers switch relay."""
         self.shutting_down = True
         self.mirror.wake()
 
     def remove_moved(self, server: types.Server) -> None:
-        """Takes out a server whose address another instance has.
+        """Removes a server whose address now belongs to another instance.
 
-        One that registered anew since it was asked stays: the store tells a
-        registration only when it changes, so it would stay out.
+        A server that registered again since the request was sent is kept: the
+        store reports a registration only when it changes, so a removed server
+        would not be added again.
         """
         if self.table.is_registered(server):
             self.table.remove(server.instance, "address_reused")
             self.on_server_removed(server)
 
     def expire(self, now: float) -> None:
-        """Takes out servers whose registration did not come back."""
+        """Removes servers whose lapsed registration did not come back."""
         for server in self.table.expire(now):
             self.on_server_removed(server)
 
-    # Called by the followers.
+    # Handlers of the store watchers.
 
     def _documents_listed(
         self, items: tuple[interface.StoredObject, ...]
@@ -239,23 +255,23 @@
             events.emit(events.DocumentUnreadable(str(error)))
             return
         self.newest_unreadable = False
-        held = self.version
-        if document.version <= held:
+        previous_version = self.version
+        if document.version <= previous_version:
             return
         self.routes = routes.RouteTable(document, self.random)
         self.caller_limits = document.limits
-        self._note_complete()
+        self._update_complete()
         self.tallies.documents["in_force"] += 1
         events.emit(
             events.DocumentInForce(
                 version=document.version,
-                before=held,
+                before=previous_version,
                 routes=len(document.routes),
                 through=self.reader.confirmed_by,
                 unconfirmed_ms=round(self.reader.unconfirmed_s * 1000, 1),
             )
         )
-        if not held:
+        if not previous_version:
             self.on_first_document()
 
     def _servers_listed(
@@ -266,46 +282,46 @@
         for instance in self.table.instances_missing_from(
             item.name for item in items
         ):
-            self._server_deleted(instance)
+            self._remove_registration(instance)
         self.servers_listed = True
-        self._note_complete()
+        self._update_complete()
 
-    def _note_complete(self) -> None:
-        known = self.servers_listed and self.evacuations.listed
-        if known and self.routes is not None:
+    def _update_complete(self) -> None:
+        lists_read = self.servers_listed and self.evacuations.listed
+        if lists_read and self.routes is not None:
             self.complete.set()
 
     def _server_changed(self, item: interface.StoredObject) -> None:
         try:
             server = self.adapter.read_server(item.name, item.value)
         except ValueError as error:
-            self._registration_unreadable(item.name, str(error))
+            self._reject_registration(item.name, str(error))
             return
-        self.unreadable.pop(item.name, None)
+        self.unreadable_registrations.pop(item.name, None)
         self.tallies.registrations["read"] += 1
-        before = self.table.put(server, self.loop.time())
-        if before is not None:
-            self.on_server_removed(before)
+        replaced = self.table.put(server, self.loop.time())
+        if replaced is not None:
+            self.on_server_removed(replaced)
 
-    def _registration_unreadable(self, instance: str, error: str) -> None:
-        """Takes out a server whose registration another writer spoilt.
+    def _reject_registration(self, instance: str, error: str) -> None:
+        """Removes a server whose registration was overwritten with bad data.
 
-        One line is logged as long as the same is wrong with it.
+        Each error of a registration is logged once until it changes.
         """
         self.tallies.registrations["unreadable"] += 1
-        if self.unreadable.get(instance) != error:
-            self.unreadable[instance] = error
+        if self.unreadable_registrations.get(instance) != error:
+            self.unreadable_registrations[instance] = error
             events.emit(events.RegistrationUnreadable(instance, error))
         server = self.table.remove(instance, "registration_unreadable")
         if server is not None:
             self.on_server_removed(server)
 
-    def _server_removed(self, item: interface.StoredObject) -> None:
-        self._server_deleted(item.name)
+    def _server_deleted(self, item: interface.StoredObject) -> None:
+        self._remove_registration(item.name)
 
-    def _server_deleted(self, instance: str) -> None:
+    def _remove_registration(self, instance: str) -> None:
         now = self.loop.time()
-        self.unreadable.pop(instance, None)
+        self.unreadable_registrations.pop(instance, None)
         if self.store_health.may_have_lapsed(now):
             self.table.lapse(instance, now)
             return
@@ -313,54 +329,57 @@
         if server is not None:
             self.on_server_removed(server)
 
-    # Servers that fail.
+    # Failing servers.
 
-    def _failing(self) -> list[str]:
-        """Returns the servers that this daemon tells others of."""
+    def _servers_to_report(self) -> list[str]:
+        """Returns the failing servers that this daemon reports to relays."""
         now = self.loop.time()
         reported = self.mirror.failure_reports.failing_servers(now)
         return sorted({*self.local_failures.recent(now), *reported})
 
-    def _told_doubted(self) -> list[str]:
-        """Returns the servers that those who ask this daemon should doubt."""
+    def _failing_servers(self) -> list[str]:
+        """Returns the failing servers to report to subscribers."""
         now = self.loop.time()
-        own = self.local_failures.recent(now)
-        self.mirror.failure_reports.receive(OWN_REPORT, own, now)
-        doubted = self.mirror.failure_reports.failing_servers(now)
-        self._doubted(doubted)
-        return doubted
+        local = self.local_failures.recent(now)
+        self.mirror.failure_reports.receive(LOCAL_REPORTER, local, now)
+        failing = self.mirror.failure_reports.failing_servers(now)
+        self._mark_failing(failing)
+        return failing
 
-    def _doubted(self, instances: list[str]) -> None:
+    def _mark_failing(self, instances: list[str]) -> None:
         now = self.loop.time()
         self.table.mark_failing(
             instances, now + failure_reports.REPORT_VALID_S, now
         )
 
-    def _ignore(self, item: interface.StoredObject) -> None:
+    def _document_deleted(self, item: interface.StoredObject) -> None:
         events.emit(events.DocumentRemoved(item.name))
 
-    # Within.
+    # Mirror and watchers.
 
     def _status(self) -> int:
-        """Returns the status with which other daemons are answered."""
+        """Returns the HTTP status of the mirror's responses."""
         if self.shutting_down:
             return mirror.NOT_READY_STATUS
         if self.store_health.lost_at is not None:
             return mirror.STORE_LOST_STATUS
         return 200
 
-    def _begin_anew(self) -> None:
-        # What waits for seconds would notice the store's loss too late.
-        for follower in self.store_health.watchers:
-            follower.restart.set()
+    def _restart_watchers(self) -> None:
+        # Calls that already wait for seconds would notice a lost store too late
+        # for the subscribers.
+        for watcher in self.store_health.watchers:
+            watcher.restart.set()
 
 
-def _others(settings: options.Settings, patience_s: float) -> list[peers.Peer]:
-    """Returns the daemons that can be asked, without this one."""
+def _remote_relays(
+    settings: options.Settings, max_age_s: float
+) -> list[peers.Peer]:
+    """Returns the relays of the settings, without this daemon."""
     shares = settings.control not in settings.seeds
     return [
         peers.Peer(
-            options.parse_endpoint(text), settings.daemon, shares, patience_s
+            options.parse_endpoint(text), settings.daemon, shares, max_age_s
         )
         for text in settings.seeds
         if text != settings.control
