--- a/banyantiller/tests/gateway/test_store_watching.py
+++ b/banyantiller/tests/gateway/test_store_watching.py
@@ -166,7 +166,7 @@
             return (
                 answer.status,
                 answer.headers["request-ran"],
-                (env.gateway.not_ready()),
+                (env.gateway.not_ready_reason()),
             )
 
         status, ran, reason = self.play(body)
