--- a/banyantiller/explain/story.py
+++ b/banyantiller/explain/story.py
@@ -17,7 +17,7 @@
         events.ServerUnresponsive,
         events.ServerResponsive,
         call_events.ServerSuspected,
-        events.ServerLeaves,
+        events.ServerLeaving,
         events.ServerRemoved,
         events.RegistrationLapsed,
         events.ServerReportedFailing,
--- a/banyantiller/gateway/attempts.py
+++ b/banyantiller/gateway/attempts.py
@@ -74,7 +74,7 @@
             self.gateway.prober.record_response_load(entry, outcome.headers)
             if outcome.status < 500:
                 fingerprint = self.call.request.fingerprint
-                self.gateway.crash_detector.watch.record_response(
+                self.gateway.crash_detector.tracker.record_response(
                     fingerprint, now
                 )
                 took_s = now - self.started_at
@@ -106,7 +106,7 @@
                         server
                     )
                 events.emit(
-                    call_events.NoConnection(
+                    call_events.ConnectFailed(
                         self.call.request.request_id,
                         server.instance,
                         str(error) or type(error).__name__,
--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -102,7 +102,7 @@
             self._finish(0, ErrorKind.CALLER_GONE)
             raise
         except Exception:
-            fault = call_events.CallFault(self.request.request_id)
+            fault = call_events.InternalError(self.request.request_id)
             events.emit(fault, exc_info=True)
             reply = self._fail(ErrorKind.INTERNAL)
         self._finish(reply.status, self.progress.error)
@@ -213,7 +213,7 @@
         """
         if self.sole or not self.idempotent or len(self.attempts) > 1:
             return False
-        if self.gateway.crash_detector.watch.is_suspect(
+        if self.gateway.crash_detector.tracker.is_suspect(
             self.request.fingerprint
         ):
             return False
@@ -290,7 +290,7 @@
 
     def _quarantine_s(self) -> float | None:
         """Returns how long it is still refused, in seconds, or None."""
-        return self.gateway.crash_detector.watch.quarantine_left_s(
+        return self.gateway.crash_detector.tracker.quarantine_left_s(
             self.request.fingerprint, self.loop.time()
         )
 
@@ -305,7 +305,7 @@
         if broken.kind is not ErrorKind.CONNECTION_LOST:
             return False
         lost = crash_detection.incarnation_id(attempt.entry.server)
-        found = self.gateway.crash_detector.watch.count_crashes(
+        found = self.gateway.crash_detector.tracker.count_crashes(
             self.request.fingerprint, lost
         )
         return found >= MAX_CRASHES_BEFORE_ATTEMPT
--- a/banyantiller/gateway/call_events.py
+++ b/banyantiller/gateway/call_events.py
@@ -7,7 +7,7 @@
 
 
 @event("gateway: no connection.")
-class NoConnection(NamedTuple):
+class ConnectFailed(NamedTuple):
     """A server could not be connected to; the request was not sent."""
 
     id: events.Id
@@ -91,7 +91,7 @@
 
 
 @event("gateway: a call failed.", "error")
-class CallFault(NamedTuple):
+class InternalError(NamedTuple):
     """A fault of the daemon's own, with its traceback."""
 
     id: events.Id
--- a/banyantiller/gateway/crash_detection.py
+++ b/banyantiller/gateway/crash_detection.py
@@ -15,7 +15,7 @@
     """Feeds the watch over servers that end, and logs what it concludes.
 
     Attributes:
-        watch: Which requests were on servers that ended.
+        tracker: Which requests were on servers that ended.
         pools: Returns the pool of a server.
         is_staying: Tells whether a server is registered and has not said that
             it leaves.
@@ -33,7 +33,7 @@
         outlets = crash_tracker.Callbacks(
             self._tell, self._log_end, self._log_verdict
         )
-        self.watch = crash_tracker.CrashTracker(known, outlets)
+        self.tracker = crash_tracker.CrashTracker(known, outlets)
         self.pools = pools
         self.is_staying = is_staying
         self.on_change: Callable[[Iterable[str]], None] = lambda _: None
@@ -58,8 +58,10 @@
         if not self.is_staying(server):
             return
         start = incarnation_id(server)
-        self.watch.record_unanswered(start, one)
-        worth_a_look = connection_lost or self.watch.is_suspect(one.fingerprint)
+        self.tracker.record_unanswered(start, one)
+        worth_a_look = connection_lost or self.tracker.is_suspect(
+            one.fingerprint
+        )
         if worth_a_look and start not in self.checks:
             pause_s = 0.0 if connection_lost else LOOK_AFTER_S
             check = self.loop.create_task(self._check(server, pause_s))
@@ -69,7 +71,7 @@
     def record_refused_connection(self, server: types.Server) -> None:
         """Notes that a server's machine refuses connections to it."""
         if self.is_staying(server):
-            self.watch.record_refused_connection(
+            self.tracker.record_refused_connection(
                 incarnation_id(server), self.loop.time()
             )
 
--- a/banyantiller/gateway/events.py
+++ b/banyantiller/gateway/events.py
@@ -72,7 +72,7 @@
 
 
 @event("gateway: settings were not reloaded.", "error")
-class SettingsRefused(NamedTuple):
+class SettingsReloadFailed(NamedTuple):
     """The settings file can't be used; what was in force stays."""
 
     error: Annotated[str, "What is wrong, with its place in the file."]
@@ -135,7 +135,7 @@
 
 
 @event("gateway: history is gone.")
-class HistoryLost(NamedTuple):
+class ChangeHistoryLost(NamedTuple):
     """The store can't tell what changed; everything is listed anew."""
 
     kind: Annotated[str, "Kind of objects."]
@@ -197,7 +197,7 @@
 
 
 @event("gateway: a daemon's answer is bad.", "warning")
-class PeerUnreadable(NamedTuple):
+class PeerMessageUnreadable(NamedTuple):
     """What another daemon sent can't be read."""
 
     peer: Annotated[str, "IP number and port of the other daemon."]
@@ -219,7 +219,7 @@
 
 
 @event("gateway: server leaves.")
-class ServerLeaves(NamedTuple):
+class ServerLeaving(NamedTuple):
     """A server told that it leaves; it gets no new requests."""
 
     instance: Instance
@@ -253,7 +253,7 @@
 
 
 @event("gateway: server is back.")
-class ServerBack(NamedTuple):
+class RegistrationRestored(NamedTuple):
     """A lapsed registration came back."""
 
     instance: Instance
@@ -318,7 +318,7 @@
 
 
 @event("gateway: kept connection lost.", "debug")
-class KeptConnectionLost(NamedTuple):
+class IdleConnectionLost(NamedTuple):
     """A kept connection had ended; a new one is tried."""
 
     instance: Instance
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -207,10 +207,10 @@
             now = self.loop.time()
             self.store_view.expire(now)
             self.server_limits.expire(self.store_view.table.servers(), now)
-            self.crash_detector.watch.table.period_s = (
+            self.crash_detector.tracker.table.period_s = (
                 self.settings.quarantine_s
             )
-            self.crash_detector.watch.expire(now)
+            self.crash_detector.tracker.expire(now)
             self.min_recent_share()
             for kept in self.pools.values():
                 kept.expire(now)
--- a/banyantiller/gateway/metrics.py
+++ b/banyantiller/gateway/metrics.py
@@ -102,7 +102,7 @@
 
     def _add_gauges(self) -> None:
         gateway = self.gateway
-        suspects = gateway.crash_detector.watch.table
+        suspects = gateway.crash_detector.tracker.table
         rows = (
             ("document_version", "Version in force.",
              lambda: gateway.store_view.version),
--- a/banyantiller/gateway/peers.py
+++ b/banyantiller/gateway/peers.py
@@ -224,7 +224,7 @@
             fields = msgspec.json.decode(body, type=kind)
             int(fields["version"])
         except (ValueError, msgspec.DecodeError, zlib.error) as error:
-            events.emit(events.PeerUnreadable(self.address, str(error)))
+            events.emit(events.PeerMessageUnreadable(self.address, str(error)))
             return PeerRefusal(RefusalKind.UNRESPONSIVE)
         return PeerReply(outcome.response, fields)
 
--- a/banyantiller/gateway/probing.py
+++ b/banyantiller/gateway/probing.py
@@ -281,7 +281,7 @@
                 return link, await self._read(home, link, entry, health_path)
             except (OSError, connection.ConnectionLostError) as error:
                 events.emit(
-                    events.KeptConnectionLost(entry.server.instance, str(error))
+                    events.IdleConnectionLost(entry.server.instance, str(error))
                 )
             link = await home.acquire(fresh=True)
         return link, await self._read(home, link, entry, health_path)
--- a/banyantiller/gateway/quarantine_sync.py
+++ b/banyantiller/gateway/quarantine_sync.py
@@ -57,7 +57,7 @@
     """Exchanges with other daemons what is known of requests.
 
     Attributes:
-        watch: What this daemon knows.
+        tracker: What this daemon knows.
         relays: Daemons that others ask, without this one.
         is_relay: Whether others ask this daemon.
         incarnation: Tells this process from an earlier one of the same daemon.
@@ -78,7 +78,7 @@
         is_relay: bool,
         rng: random.Random,
     ) -> None:
-        self.watch = crash_detector.watch
+        self.tracker = crash_detector.tracker
         self.relays = relays
         self.is_relay = is_relay
         self.random = rng
@@ -148,8 +148,10 @@
             least = 1
         after = self._revision_of(request.query.get("since", ""))
         now = self.loop.time()
-        records = self.watch.table.export_changes(now, after, least)
-        shown = self.watch.table.revision if least == 1 else self.shown_revision
+        records = self.tracker.table.export_changes(now, after, least)
+        shown = (
+            self.tracker.table.revision if least == 1 else self.shown_revision
+        )
         reply = Message(mark=f"{self.incarnation}-{shown}", records=records)
         return messages.Response(200, (), msgspec.json.encode(reply))
 
@@ -165,7 +167,7 @@
         if request.method != "POST":
             return messages.Response(405)
         fingerprint = request.query.get("fingerprint", "")
-        if self.watch.lift(fingerprint, self.loop.time()):
+        if self.tracker.lift(fingerprint, self.loop.time()):
             return messages.Response(204)
         return messages.Response(404)
 
@@ -181,7 +183,7 @@
     # What is learned.
 
     def _learn(self, records: list[crash_table.RecordFields]) -> None:
-        if self.watch.receive_records(records, self.loop.time()):
+        if self.tracker.receive_records(records, self.loop.time()):
             self._show_later()
 
     def _show_later(self) -> None:
@@ -190,7 +192,7 @@
     async def _show(self) -> None:
         """Shows a new mark if something concerns the whole fleet."""
         await asyncio.sleep(SHOW_S)
-        newest = self.watch.table.latest_revision(MIN_SHARED_CRASHES)
+        newest = self.tracker.table.latest_revision(MIN_SHARED_CRASHES)
         if newest > self.shown_revision:
             self.shown_revision = newest
             self.on_mark_change()
@@ -201,7 +203,7 @@
         """Tells a daemon that was started again what concerns the fleet."""
         known = [
             record.fingerprint
-            for record in self.watch.table.records.values()
+            for record in self.tracker.table.records.values()
             if len(record.crashes) >= MIN_SHARED_CRASHES
         ]
         if known:
@@ -237,7 +239,7 @@
             sending = set(unsent)
             unsent.clear()
             now = self.loop.time()
-            records = self.watch.table.export_records(sending, now)
+            records = self.tracker.table.export_records(sending, now)
             body = msgspec.json.encode(Message(mark="", records=records))
             outcome = await peer.client.request(
                 "POST", PATH, ANSWER_S, (), body
@@ -262,7 +264,7 @@
         try:
             told = msgspec.json.decode(outcome.body, type=Message)
         except msgspec.DecodeError as error:
-            events.emit(events.PeerUnreadable(peer.address, str(error)))
+            events.emit(events.PeerMessageUnreadable(peer.address, str(error)))
             return
         self.fetched_marks[peer.address] = told["mark"]
         self._learn(told["records"])
--- a/banyantiller/gateway/run.py
+++ b/banyantiller/gateway/run.py
@@ -124,7 +124,7 @@
         try:
             fresh = options.load(self.path)
         except exceptions.BanyantillerError as error:
-            events.emit(events.SettingsRefused(str(error)))
+            events.emit(events.SettingsReloadFailed(str(error)))
             return
         self.settings = fresh
         self.gateway.settings = fresh
--- a/banyantiller/gateway/servers.py
+++ b/banyantiller/gateway/servers.py
@@ -137,9 +137,9 @@
             self._of(server.service)[server.instance] = entry
             events.emit(events.ServerJoined(*_described(server)))
         elif entry.server.leaving != server.leaving:
-            events.emit(events.ServerLeaves(*_described(server)))
+            events.emit(events.ServerLeaving(*_described(server)))
         if entry.lapses_at is not None:
-            events.emit(events.ServerBack(server.instance))
+            events.emit(events.RegistrationRestored(server.instance))
         if entry.server.service != server.service:
             self._of(entry.server.service).pop(server.instance, None)
             self._of(server.service)[server.instance] = entry
--- a/banyantiller/gateway/store_watching.py
+++ b/banyantiller/gateway/store_watching.py
@@ -173,7 +173,7 @@
                 return
             self._answered()
             if isinstance(found, interface.Gone):
-                events.emit(events.HistoryLost(self.object_kind))
+                events.emit(events.ChangeHistoryLost(self.object_kind))
                 self.version = ""
                 return
             self.version = found.version
--- a/banyantiller/tests/fuzz/test_gateway.py
+++ b/banyantiller/tests/fuzz/test_gateway.py
@@ -68,7 +68,7 @@
     b"Upstream-Load: nan,1,1,1\r\n",
 )
 LONGEST_S = 60.0
-FAULT = log_events.text_of(call_events.CallFault)
+FAULT = log_events.text_of(call_events.InternalError)
 
 
 class CallerBytesTest(TestCase):
--- a/banyantiller/tests/gateway/test_crash_detection.py
+++ b/banyantiller/tests/gateway/test_crash_detection.py
@@ -274,7 +274,7 @@
                 server.faults.ended_by = ""
             (record,) = fleet.daemons[
                 -1
-            ].crash_detector.watch.table.records.values()
+            ].crash_detector.tracker.table.records.values()
             target = f"/quarantine/lift?fingerprint={record.fingerprint}"
             response = await fleet.daemons[0].handle_peer(
                 messages.Request("POST", target)
--- a/banyantiller/tests/gateway/test_events.py
+++ b/banyantiller/tests/gateway/test_events.py
@@ -65,8 +65,8 @@
     for _ in place.servers.copy():
         await place.request("a", "/file/deadly", "POST")
     await asyncio.sleep(0.1)
-    (record,) = place.gateway.crash_detector.watch.table.records
-    place.gateway.crash_detector.watch.lift(record, place.gateway.loop.time())
+    (record,) = place.gateway.crash_detector.tracker.table.records
+    place.gateway.crash_detector.tracker.lift(record, place.gateway.loop.time())
 
 
 @shows(events.ZoneEvacuated, events.ZoneGivenBack)
@@ -85,7 +85,7 @@
     place.gateway.store_view.table.mark_failing(["s0"], now + 1, now)
 
 
-@shows(call_events.NoConnection)
+@shows(call_events.ConnectFailed)
 async def connecting_fails(place):
     for one in place.servers.values():
         one.tells_load = False
@@ -128,7 +128,7 @@
     await place.request("b")
 
 
-@shows(events.KeptConnectionLost)
+@shows(events.IdleConnectionLost)
 async def kept_connections_end(place):
     await place.request("a")
 
@@ -148,7 +148,7 @@
     await place.request("a")
 
 
-@shows(events.ServerLeaves, events.ServerRemoved)
+@shows(events.ServerLeaving, events.ServerRemoved)
 async def server_leaves(place):
     place.register("s0", state="draining")
     await asyncio.sleep(2)
@@ -160,7 +160,7 @@
     events.StoreLost,
     events.StoreBack,
     events.RegistrationLapsed,
-    events.ServerBack,
+    events.RegistrationRestored,
 )
 async def registration_lapses_with_an_outage(place):
     place.store.faults.down = True
@@ -172,7 +172,7 @@
     await asyncio.sleep(2)
 
 
-@shows(events.HistoryLost)
+@shows(events.ChangeHistoryLost)
 async def history_is_forgotten(place):
     place.store.faults.down = True
     await asyncio.sleep(2)
@@ -202,7 +202,7 @@
     await asyncio.sleep(1)
 
 
-@shows(call_events.CallFault)
+@shows(call_events.InternalError)
 async def fault_of_its_own(place):
     def fail(route):
         raise ZeroDivisionError
@@ -255,7 +255,7 @@
     await first.close()
 
 
-@shows(events.PeerUnreadable)
+@shows(events.PeerMessageUnreadable)
 async def other_daemon_talks_nonsense(place):
     first = place.gateway
 
@@ -274,7 +274,7 @@
     events.Started,
     events.ReadinessChanged,
     events.SettingsReloaded,
-    events.SettingsRefused,
+    events.SettingsReloadFailed,
     events.ShuttingDown,
     events.Stopped,
 )
--- a/banyantiller/tests/gateway/test_quarantine_sync.py
+++ b/banyantiller/tests/gateway/test_quarantine_sync.py
@@ -44,7 +44,7 @@
     now = asyncio.get_running_loop().time()
     for number, name in enumerate(servers):
         sent_at = now + number * 0.2
-        daemon.crash_detector.watch.table.record_crash(
+        daemon.crash_detector.tracker.table.record_crash(
             request, name, crash_table.Crash(sent_at, sent_at + 0.1)
         )
 
@@ -68,7 +68,7 @@
             asked = make(seed=2)
             listener = await listen(asked)
             await asyncio.sleep(1.0)
-            self.assertTrue(asked.crash_detector.watch.is_suspect("a"))
+            self.assertTrue(asked.crash_detector.tracker.is_suspect("a"))
             await listener.close()
             teller.quarantine_sync.close()
 
@@ -84,7 +84,9 @@
                 teller.quarantine_sync.publish([f"r{number}"])
                 await asyncio.sleep(0.003 * number)
             await asyncio.sleep(1.0)
-            self.assertEqual(20, len(asked.crash_detector.watch.table.records))
+            self.assertEqual(
+                20, len(asked.crash_detector.tracker.table.records)
+            )
             await listener.close()
             teller.quarantine_sync.close()
 
@@ -130,7 +132,7 @@
                 self.assertEqual(
                     400, asked.quarantine_sync.handle(request).status
                 )
-            self.assertEqual({}, asked.crash_detector.watch.table.records)
+            self.assertEqual({}, asked.crash_detector.tracker.table.records)
             for mark in ("nonsense", "0badcafe", "-", "0badcafe-x"):
                 seen = []
                 other = peer()
