--- a/banyantiller/gateway/crash_detection.py
+++ b/banyantiller/gateway/crash_detection.py
@@ -1,4 +1,4 @@
-"""Looks whether servers that broke a connection are still there."""
+"""Checks whether servers that broke a connection are still running."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -6,35 +6,35 @@
 from banyantiller.gateway import call_events, events, pool, types
 from banyantiller.quarantine import crash_table, crash_tracker
 
-# The end of a request that was given up takes so long to reach the server, and
-# the server's end to come back.
-LOOK_AFTER_S = 0.01
+# Time that the cancellation of a request takes to reach the server, and the
+# server's crash to become visible here.
+CHECK_DELAY_S = 0.01
 
 
 class CrashDetector:
-    """Feeds the watch over servers that end, and logs what it concludes.
+    """Reports failures to the crash tracker, and logs its findings.
 
     Attributes:
-        tracker: Which requests were on servers that ended.
-        pools: Returns the pool of a server.
-        is_staying: Tells whether a server is registered and has not said that
-            it leaves.
-        on_change: Called with the requests of which something new was seen
-            here.
-        checks: Servers that are being looked at, by start.
+        tracker: Records which requests were running on servers that crashed.
+        pool_of: Returns the connection pool of a server.
+        is_staying: Returns whether a server is registered and not shutting
+            down.
+        on_change: Called with the fingerprints of requests about which this
+            daemon observed something new.
+        checks: Running checks of servers, by incarnation id.
     """
 
     def __init__(
         self,
-        known: crash_table.CrashTable,
-        pools: Callable[[types.Server], pool.Pool],
+        table: crash_table.CrashTable,
+        pool_of: Callable[[types.Server], pool.Pool],
         is_staying: Callable[[types.Server], bool],
     ) -> None:
-        outlets = crash_tracker.Callbacks(
-            self._tell, self._log_end, self._log_verdict
+        callbacks = crash_tracker.Callbacks(
+            self._publish, self._log_crash, self._log_quarantine_change
         )
-        self.tracker = crash_tracker.CrashTracker(known, outlets)
-        self.pools = pools
+        self.tracker = crash_tracker.CrashTracker(table, callbacks)
+        self.pool_of = pool_of
         self.is_staying = is_staying
         self.on_change: Callable[[Iterable[str]], None] = lambda _: None
         self.checks: dict[str, asyncio.Task[None]] = {}
@@ -43,75 +43,81 @@
     def record_no_response(
         self,
         server: types.Server,
-        one: crash_tracker.UnansweredRequest,
+        request: crash_tracker.UnansweredRequest,
         connection_lost: bool,
     ) -> None:
-        """Notes that a request got no answer from a server.
+        """Records that a request got no response from a server.
+
+        Checks whether the server still runs if it broke the connection, and
+        also if the request is suspected of crashing servers.
 
         Args:
             server: The server.
-            one: The request.
-            connection_lost: Whether the server's side broke the connection, so
-                that it is worth a look whether the server is still there. It
-                is as well if a suspect was given up there.
+            request: The request.
+            connection_lost: Whether the server's side broke the connection.
         """
         if not self.is_staying(server):
             return
-        start = incarnation_id(server)
-        self.tracker.record_unanswered(start, one)
-        worth_a_look = connection_lost or self.tracker.is_suspect(
-            one.fingerprint
+        incarnation = incarnation_id(server)
+        self.tracker.record_unanswered(incarnation, request)
+        should_check = connection_lost or self.tracker.is_suspect(
+            request.fingerprint
         )
-        if worth_a_look and start not in self.checks:
-            pause_s = 0.0 if connection_lost else LOOK_AFTER_S
-            check = self.loop.create_task(self._check(server, pause_s))
-            self.checks[start] = check
-            check.add_done_callback(lambda _: self.checks.pop(start, None))
+        if should_check and incarnation not in self.checks:
+            delay_s = 0.0 if connection_lost else CHECK_DELAY_S
+            check = self.loop.create_task(self._check(server, delay_s))
+            self.checks[incarnation] = check
+            check.add_done_callback(
+                lambda _: self.checks.pop(incarnation, None)
+            )
 
     def record_refused_connection(self, server: types.Server) -> None:
-        """Notes that a server's machine refuses connections to it."""
+        """Records that a server's machine refuses connections to it."""
         if self.is_staying(server):
             self.tracker.record_refused_connection(
                 incarnation_id(server), self.loop.time()
             )
 
-    async def _check(self, server: types.Server, pause_s: float) -> None:
-        await asyncio.sleep(pause_s)
-        home = self.pools(server)
+    async def _check(self, server: types.Server, delay_s: float) -> None:
+        """Opens a connection to a server to see whether it still runs."""
+        await asyncio.sleep(delay_s)
+        server_pool = self.pool_of(server)
         try:
-            link = await home.acquire(fresh=True)
+            connection = await server_pool.acquire(fresh=True)
         except ConnectionRefusedError:
             self.record_refused_connection(server)
         except (OSError, pool.PoolFullError):
-            # A cut link, or no room to look: nothing is known of the server.
+            # A broken link or a full pool shows nothing about the server.
             return
         else:
-            home.put_idle(link)
+            server_pool.put_idle(connection)
 
-    def _tell(self, fingerprints: Iterable[str]) -> None:
+    def _publish(self, fingerprints: Iterable[str]) -> None:
         self.on_change(fingerprints)
 
-    def _log_end(
-        self, server: str, one: crash_tracker.UnansweredRequest
+    def _log_crash(
+        self, server: str, request: crash_tracker.UnansweredRequest
     ) -> None:
         events.emit(
-            call_events.ServerCrashed(one.request_id, server, one.fingerprint)
+            call_events.ServerCrashed(
+                request.request_id, server, request.fingerprint
+            )
         )
 
-    def _log_verdict(self, verdict: crash_table.QuarantineChange) -> None:
-        left_s = round(verdict.quarantined_until - self.loop.time(), 1)
-        servers = list(verdict.servers)
+    def _log_quarantine_change(
+        self, change: crash_table.QuarantineChange
+    ) -> None:
+        left_s = round(change.quarantined_until - self.loop.time(), 1)
+        servers = list(change.servers)
         if left_s > 0:
-            occurred = call_events.RequestQuarantined(
-                verdict.fingerprint, servers, left_s
+            event = call_events.RequestQuarantined(
+                change.fingerprint, servers, left_s
             )
         else:
-            occurred = call_events.QuarantineLifted(
-                verdict.fingerprint, servers
-            )
-        events.emit(occurred)
+            event = call_events.QuarantineLifted(change.fingerprint, servers)
+        events.emit(event)
 
 
 def incarnation_id(server: types.Server) -> str:
-    """Returns the name of a server's start, the same at every daemon."""
+    """Returns the id of a server's incarnation, equal at all daemons."""
     return f"{server.instance}/{server.started_ms}/{server.host}:{server.port}"
--- a/banyantiller/gateway/evacuations.py
+++ b/banyantiller/gateway/evacuations.py
@@ -1,4 +1,4 @@
-"""Availability zones to which operators want nothing sent."""
+"""Availability zones whose servers operators want to get no requests."""
 
 from collections.abc import Callable
 
@@ -7,19 +7,19 @@
 
 
 class Evacuations:
-    """Follows which zones are evacuated, and takes their servers out.
+    """Tracks which zones are evacuated, and applies this to their servers.
 
-    The name of an entry says all: one whose content can't be read counts as
-    well, since an operator who empties a zone must not be overlooked. What is
-    known stays in force while the store is away.
+    Only the name of an entry matters: an entry with unreadable content counts
+    as well, so that no operator's evacuation is missed. The known entries stay
+    in force while the store is unavailable.
 
     Attributes:
         table: Registered servers.
         on_listed: Called when the entries were listed.
-        entries: Version of each zone's entry.
-        removed: Version of each entry that was removed. An earlier state of it
-            that arrives late changes nothing.
-        listed: Whether the entries were read once.
+        entries: Version of the entry of each evacuated zone.
+        removed: Version at which each entry was removed. Late reads of an
+            earlier version are ignored.
+        listed: Whether the entries were listed at least once.
     """
 
     def __init__(
@@ -33,47 +33,47 @@
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Zones that are evacuated."""
+        """The evacuated zones."""
         return frozenset(self.entries)
 
     def handlers(self) -> store_watching.Handlers:
-        """Returns what is called with the entries of the store."""
+        """Returns the functions that receive the entries of the store."""
         return store_watching.Handlers(
-            self._listed, self._changed, self._removed
+            self._on_list, self._on_change, self._on_remove
         )
 
-    def _listed(self, items: tuple[interface.StoredObject, ...]) -> None:
+    def _on_list(self, items: tuple[interface.StoredObject, ...]) -> None:
         for item in items:
-            self._put(item)
+            self._add(item)
         present = {item.name for item in items}
         for zone in sorted(set(self.entries) - present):
-            self._give_back(zone, self.entries[zone])
+            self._remove(zone, self.entries[zone])
         self.listed = True
         self.table.set_evacuated_zones(self.evacuated)
         self.on_listed()
 
-    def _changed(self, item: interface.StoredObject) -> None:
-        self._put(item)
+    def _on_change(self, item: interface.StoredObject) -> None:
+        self._add(item)
         self.table.set_evacuated_zones(self.evacuated)
 
-    def _removed(self, item: interface.StoredObject) -> None:
+    def _on_remove(self, item: interface.StoredObject) -> None:
         version = int(item.version)
         if self.entries.get(item.name, version + 1) <= version:
-            self._give_back(item.name, version)
+            self._remove(item.name, version)
             self.table.set_evacuated_zones(self.evacuated)
 
-    def _put(self, item: interface.StoredObject) -> None:
+    def _add(self, item: interface.StoredObject) -> None:
         version = int(item.version)
         if version <= self.removed.get(item.name, -1):
             return
         known = item.name in self.entries
         self.entries[item.name] = max(version, self.entries.get(item.name, 0))
         if not known:
-            servers_there = self.table.count_in_zone(item.name)
-            events.emit(events.ZoneEvacuated(item.name, version, servers_there))
+            server_count = self.table.count_in_zone(item.name)
+            events.emit(events.ZoneEvacuated(item.name, version, server_count))
 
-    def _give_back(self, zone: str, version: int) -> None:
+    def _remove(self, zone: str, version: int) -> None:
         del self.entries[zone]
         self.removed[zone] = version
-        servers_there = self.table.count_in_zone(zone)
-        events.emit(events.ZoneGivenBack(zone, version, servers_there))
+        server_count = self.table.count_in_zone(zone)
+        events.emit(events.ZoneGivenBack(zone, version, server_count))
--- a/banyantiller/gateway/quarantine_sync.py
+++ b/banyantiller/gateway/quarantine_sync.py
@@ -1,13 +1,14 @@
-"""Tells all daemons which requests end servers.
+"""Synchronises between daemons which requests crash servers.
 
-The daemons that others ask collect what each daemon saw: it is sent to all of
-them at once, and they fetch from one another what one of them missed. What
-concerns the whole fleet, a request with which two servers or more have ended,
-they tell to those that ask them for changes of the store: each answer carries a
-mark, and whoever sees a new one fetches what is behind it. A daemon that starts
-sees the mark with its first question.
+Relays collect the observations of all daemons: each daemon sends its own to all
+relays at once, and the relays fetch from one another what they missed. Records
+that concern the whole fleet, those of requests with which two servers or more
+crashed, reach all subscribers of the relays: each reply to a query for changes
+of the store carries a mark, and a daemon that receives a new mark fetches the
+records behind it. A daemon that starts receives the mark with the reply to its
+first query.
 
-A lost message is sent again, and order and duplicates make no difference: see
+Lost messages are sent again, and neither order nor duplicates matter: see
 `quarantine.crash_table`.
 """
 
@@ -25,50 +26,52 @@
 
 PATH = "/quarantine/"
 LIFT = PATH + "lift"
-# Value of the query parameter `all` of a daemon that others ask.
+# Value of the query parameter `all` in queries of a relay.
 ALL = "1"
-# One end says nothing yet of a request to daemons that did not see it.
+# A single crash tells daemons that did not observe it nothing about a request.
 MIN_SHARED_CRASHES = 2
-# What is seen within this time is sent at once: a server ends with several
-# requests on it.
-GATHER_S = 0.02
-# New marks are shown this much later, so that hundreds of daemons that wait
-# for changes are not woken for each of many servers that end together.
-SHOW_S = 0.05
-# How often the daemons that are asked fetch from one another.
-FETCH_S = 1.0
-ANSWER_S = 0.4
-# All daemons remind one that was started again within this time.
-REMIND_WITHIN_S = 0.5
-# Pause before it is sent again to a daemon that gave no answer, and how often:
-# one that starts later fetches it from the others.
-AGAIN_S = 0.3
+# Observations made within this time are sent in one message: a server that
+# crashes usually has several requests running.
+BATCH_S = 0.02
+# Delay before a new mark is announced, so that hundreds of waiting subscribers
+# are not woken for each of many servers that crash together.
+ANNOUNCE_DELAY_S = 0.05
+# Interval at which relays fetch from one another.
+FETCH_INTERVAL_S = 1.0
+REQUEST_TIMEOUT_S = 0.4
+# All daemons send their records to a restarted relay within this time.
+RESEND_SPREAD_S = 0.5
+# Pause before a message is sent again to a relay that gave no response, and the
+# maximum number of attempts: a relay that starts later fetches the records from
+# the other relays.
+RETRY_PAUSE_S = 0.3
 MAX_ATTEMPTS = 10
 
 
 class Message(TypedDict):
-    """What daemons tell each other; `mark` names the state that it is of."""
+    """Records in a message between daemons; `mark` names their state."""
 
     mark: str
     records: list[crash_table.RecordFields]
 
 
 class QuarantineSync:
-    """Exchanges with other daemons what is known of requests.
+    """Exchanges records of requests that crash servers with other daemons.
 
     Attributes:
-        tracker: What this daemon knows.
-        relays: Daemons that others ask, without this one.
-        is_relay: Whether others ask this daemon.
-        incarnation: Tells this process from an earlier one of the same daemon.
+        tracker: Records of this daemon.
+        relays: The relays, without this daemon.
+        is_relay: Whether this daemon is a relay.
+        incarnation: Distinguishes this process from earlier ones of the daemon.
         shown_revision: Revision of the table that the mark stands for.
         on_mark_change: Called when the mark has changed.
-        fetched_marks: Mark of what was fetched last, by the address of a
-            daemon.
-        incarnations: Process that the last mark was of, by the address of a
-            daemon.
-        unsent: Requests to tell, by the address of a daemon.
-        tasks: Messages on their way.
+        fetched_marks: Mark of the last fetched state, by the address of the
+            relay.
+        incarnations: Incarnation in the last received mark, by the address of
+            the relay.
+        unsent: Fingerprints of the requests whose records have to be sent, by
+            the address of the relay.
+        tasks: Running sends, fetches and announcements, by name.
     """
 
     def __init__(
@@ -95,72 +98,74 @@
             peer.on_mark = self.receive_mark
 
     async def run(self) -> None:
-        """Fetches from other daemons that are asked, until cancelled."""
+        """Fetches from the other relays until cancelled, if this is a relay."""
         while self.is_relay:
             for peer in self.relays:
-                self._begin(f"fetch {peer.address}", self._fetch(peer))
-            await asyncio.sleep(FETCH_S)
+                self._start_task(f"fetch {peer.address}", self._fetch(peer))
+            await asyncio.sleep(FETCH_INTERVAL_S)
 
     def close(self) -> None:
-        """Ends what is on its way."""
+        """Cancels all running tasks."""
         for task in self.tasks.values():
             task.cancel()
 
     def publish(self, fingerprints: Iterable[str]) -> None:
-        """Tells the daemons that are asked what is known of requests."""
-        self._show_later()
+        """Sends the records of some requests to the relays."""
+        self._schedule_announcement()
         for peer in self.relays:
-            self._send_later(peer, fingerprints, GATHER_S)
+            self._schedule_send(peer, fingerprints, BATCH_S)
 
     def receive_mark(self, peer: peers.Peer, mark: str) -> None:
-        """Takes the mark of another daemon's answer.
+        """Processes the mark of a relay's reply.
 
-        What is behind a new mark is fetched. A daemon that was started again
-        is told what this one knows: those that are asked may all have been
-        started again at once, and have nobody else to learn it from.
+        Fetches the records behind a new mark. A restarted relay is sent the
+        records of this daemon: all relays may have restarted at once, and then
+        no relay has the records.
         """
-        life = mark.partition("-")[0]
-        known_life = self.incarnations.get(peer.address, life)
-        self.incarnations[peer.address] = life
-        if life != known_life:
-            self._remind(peer)
+        incarnation = mark.partition("-")[0]
+        known_incarnation = self.incarnations.get(peer.address, incarnation)
+        self.incarnations[peer.address] = incarnation
+        if incarnation != known_incarnation:
+            self._resend(peer)
         if mark and _is_newer(mark, self.fetched_marks.get(peer.address, "")):
-            self._begin(f"fetch {peer.address}", self._fetch(peer))
+            self._start_task(f"fetch {peer.address}", self._fetch(peer))
 
     def mark(self) -> str:
-        """Returns the mark to show to daemons that ask; empty for none."""
+        """Returns the mark for replies to subscribers; empty for none."""
         return (
             f"{self.incarnation}-{self.shown_revision}"
             if self.shown_revision
             else ""
         )
 
-    # Questions of others.
+    # Requests of peers and operators.
 
     def handle(self, request: messages.Request) -> messages.Response:
-        """Answers another daemon, or an operator who lifts a quarantine."""
+        """Handles a peer's request, or an operator's to lift a quarantine."""
         if request.path == LIFT:
             return self._lift(request)
         if request.method == "POST":
-            return self._take(request)
-        least = MIN_SHARED_CRASHES
+            return self._receive(request)
+        min_crashes = MIN_SHARED_CRASHES
         if request.query.get("all") == ALL:
-            least = 1
+            min_crashes = 1
         after = self._revision_of(request.query.get("since", ""))
         now = self.loop.time()
-        records = self.tracker.table.export_changes(now, after, least)
-        shown = (
-            self.tracker.table.revision if least == 1 else self.shown_revision
+        records = self.tracker.table.export_changes(now, after, min_crashes)
+        revision = (
+            self.tracker.table.revision
+            if min_crashes == 1
+            else self.shown_revision
         )
-        reply = Message(mark=f"{self.incarnation}-{shown}", records=records)
+        reply = Message(mark=f"{self.incarnation}-{revision}", records=records)
         return messages.Response(200, (), msgspec.json.encode(reply))
 
-    def _take(self, request: messages.Request) -> messages.Response:
+    def _receive(self, request: messages.Request) -> messages.Response:
         try:
-            told = msgspec.json.decode(request.body, type=Message)
+            message = msgspec.json.decode(request.body, type=Message)
         except msgspec.DecodeError:
             return messages.Response(400)
-        self._learn(told["records"])
+        self._merge_records(message["records"])
         return messages.Response(204)
 
     def _lift(self, request: messages.Request) -> messages.Response:
@@ -172,108 +177,108 @@
         return messages.Response(404)
 
     def _revision_of(self, mark: str) -> int:
-        """Returns the revision that a mark of this process stands for."""
-        life, _, revision = mark.partition("-")
+        """Returns the revision of a mark of this process; 0 for others."""
+        incarnation, _, revision = mark.partition("-")
         return (
             int(revision)
-            if life == self.incarnation and revision.isdigit()
+            if incarnation == self.incarnation and revision.isdigit()
             else 0
         )
 
-    # What is learned.
+    # Updates of the records.
 
-    def _learn(self, records: list[crash_table.RecordFields]) -> None:
+    def _merge_records(self, records: list[crash_table.RecordFields]) -> None:
         if self.tracker.receive_records(records, self.loop.time()):
-            self._show_later()
+            self._schedule_announcement()
 
-    def _show_later(self) -> None:
-        self._begin("show", self._show())
+    def _schedule_announcement(self) -> None:
+        self._start_task("announce", self._announce_mark())
 
-    async def _show(self) -> None:
-        """Shows a new mark if something concerns the whole fleet."""
-        await asyncio.sleep(SHOW_S)
+    async def _announce_mark(self) -> None:
+        """Announces a new mark if records changed that concern the fleet."""
+        await asyncio.sleep(ANNOUNCE_DELAY_S)
         newest = self.tracker.table.latest_revision(MIN_SHARED_CRASHES)
         if newest > self.shown_revision:
             self.shown_revision = newest
             self.on_mark_change()
 
-    # Messages.
+    # Messages to relays.
 
-    def _remind(self, peer: peers.Peer) -> None:
-        """Tells a daemon that was started again what concerns the fleet."""
-        known = [
+    def _resend(self, peer: peers.Peer) -> None:
+        """Sends a restarted relay the records that concern the fleet."""
+        fingerprints = [
             record.fingerprint
             for record in self.tracker.table.records.values()
             if len(record.crashes) >= MIN_SHARED_CRASHES
         ]
-        if known:
-            pause_s = GATHER_S + self.random.random() * REMIND_WITHIN_S
-            self._send_later(peer, known, pause_s)
+        if fingerprints:
+            pause_s = BATCH_S + self.random.random() * RESEND_SPREAD_S
+            self._schedule_send(peer, fingerprints, pause_s)
 
-    def _send_later(
+    def _schedule_send(
         self, peer: peers.Peer, fingerprints: Iterable[str], pause_s: float
     ) -> None:
         self.unsent.setdefault(peer.address, set()).update(fingerprints)
-        self._begin(f"send {peer.address}", self._send(peer, pause_s))
+        self._start_task(f"send {peer.address}", self._send(peer, pause_s))
 
-    def _begin(self, name: str, work) -> None:
-        """Lets work go on by itself, unless the same is under way."""
+    def _start_task(self, name: str, work) -> None:
+        """Starts a background task unless one of this name is running."""
         running = self.tasks.get(name)
         if running is not None and not running.done():
             work.close()
             return
         task = self.loop.create_task(work)
         self.tasks[name] = task
-        task.add_done_callback(lambda _: self._ended(name, task))
+        task.add_done_callback(lambda _: self._forget_task(name, task))
 
-    def _ended(self, name: str, task: asyncio.Task[None]) -> None:
+    def _forget_task(self, name: str, task: asyncio.Task[None]) -> None:
         if self.tasks.get(name) is task:
             del self.tasks[name]
 
     async def _send(self, peer: peers.Peer, pause_s: float) -> None:
-        """Sends what a daemon was not told yet, until it has taken it."""
+        """Sends the unsent records to a relay until it has accepted them."""
         await asyncio.sleep(pause_s)
         unsent = self.unsent[peer.address]
-        tries = 0
-        while unsent and tries < MAX_ATTEMPTS:
-            sending = set(unsent)
+        failures = 0
+        while unsent and failures < MAX_ATTEMPTS:
+            batch = set(unsent)
             unsent.clear()
             now = self.loop.time()
-            records = self.tracker.table.export_records(sending, now)
+            records = self.tracker.table.export_records(batch, now)
             body = msgspec.json.encode(Message(mark="", records=records))
             outcome = await peer.client.request(
-                "POST", PATH, ANSWER_S, (), body
+                "POST", PATH, REQUEST_TIMEOUT_S, (), body
             )
             if not isinstance(outcome, outcomes.Answered):
-                tries += 1
-                unsent |= sending
-                await asyncio.sleep(AGAIN_S)
+                failures += 1
+                unsent |= batch
+                await asyncio.sleep(RETRY_PAUSE_S)
         unsent.clear()
 
     async def _fetch(self, peer: peers.Peer) -> None:
-        """Fetches what another daemon knows and this one may not."""
+        """Fetches the records that changed at a relay since the last fetch."""
         query = {"since": self.fetched_marks.get(peer.address, "")}
         if self.is_relay:
             query["all"] = ALL
         target = f"{PATH}?{parse.urlencode(query)}"
-        outcome = await peer.client.request("GET", target, ANSWER_S)
+        outcome = await peer.client.request("GET", target, REQUEST_TIMEOUT_S)
         if not isinstance(outcome, outcomes.Answered):
             return
         if outcome.response.status != 200:
             return
         try:
-            told = msgspec.json.decode(outcome.body, type=Message)
+            message = msgspec.json.decode(outcome.body, type=Message)
         except msgspec.DecodeError as error:
             events.emit(events.PeerMessageUnreadable(peer.address, str(error)))
             return
-        self.fetched_marks[peer.address] = told["mark"]
-        self._learn(told["records"])
+        self.fetched_marks[peer.address] = message["mark"]
+        self._merge_records(message["records"])
 
 
 def _is_newer(mark: str, known: str) -> bool:
-    """Tells whether a mark stands for a later state than a known one."""
-    life, _, revision = mark.partition("-")
-    known_life, _, known_revision = known.partition("-")
-    if life != known_life:
+    """Returns whether a mark stands for a later state than a known one."""
+    incarnation, _, revision = mark.partition("-")
+    known_incarnation, _, known_revision = known.partition("-")
+    if incarnation != known_incarnation:
         return True
     return int(revision) > int(known_revision)
--- a/banyantiller/gateway/server_limits.py
+++ b/banyantiller/gateway/server_limits.py
@@ -1,4 +1,4 @@
-"""Limits that servers in need name in their answers."""
+"""Rate limits that overloaded servers name in their responses."""
 
 import asyncio
 import dataclasses
@@ -10,22 +10,22 @@
 from banyantiller.gateway.decisions import turns
 from banyantiller.http import messages
 
-# Most limits in one message between daemons.
+# Maximum number of limits in one message to a peer.
 MAX_REPORTED = 64
-# How long it is remembered that a limit has ended: it is told to others, and an
-# answer from before must not bring the limit back.
-ENDED_KEPT_S = 10.0
-# How long a limit of a server is remembered that is not registered: another
-# daemon may know of its start earlier.
+# How long the end of a limit is remembered: it is reported to peers, and a
+# response to an earlier request must not restore the limit.
+REMOVED_LIMIT_KEPT_S = 10.0
+# How long the limit of an unregistered server is remembered: a peer may learn
+# of a new incarnation before this daemon does.
 UNREGISTERED_KEPT_S = 10.0
 
 
 class LimitFields(TypedDict):
-    """A limit on its way between daemons.
+    """A limit in a message between daemons.
 
-    `start` names the start of a server, and `per_s` is None if it names no
-    limit any more; `age_ms` tells how long ago the request was sent whose
-    answer said so.
+    `start` is the incarnation id of the server. `per_s` is the limit in
+    requests per second, or None if the server no longer names one. `age_ms` is
+    the time since the request was sent whose response showed this.
     """
 
     start: str
@@ -35,31 +35,33 @@
 
 @dataclasses.dataclass(slots=True)
 class ServerLimit:
-    """What is known of a server's limit.
+    """The latest known limit of a server.
 
     Attributes:
-        per_s: Requests a second that it takes from all daemons, or None if it
-            names no limit any more.
-        at: Loop time at which the request was sent whose answer said so.
-        usage: What this daemon has used of its turns.
+        per_s: Requests per second that the server accepts from all daemons
+            together, or None if it no longer names a limit.
+        sent_at: Loop time at which the request was sent whose response showed
+            this.
+        usage: Turns that this daemon has used at the server.
     """
 
     per_s: float | None
-    at: float
+    sent_at: float
     usage: turns.TurnUsage
 
 
 class ServerLimits:
-    """Follows the limits of servers, and keeps this daemon's part of them.
+    """Tracks the limits of servers and keeps this daemon within its share.
 
     Attributes:
-        name: Name of the header field, in lower case.
-        read: Decodes the values of that field; raises `ValueError`.
-        position: Returns this daemon's place in the fleet, or None while it is
-            not known.
-        by_incarnation: What is known, by the start of a server.
-        unreadable: What is wrong with a server's field, by its start.
-        seen_at: Loop time at which a start was registered last.
+        header_name: Name of the header field, in lower case.
+        read_limit: Decodes the values of that field; raises `ValueError`.
+        position: Returns this daemon's position in the fleet, or None while it
+            is unknown.
+        by_incarnation: Limits by the incarnation id of the server.
+        unreadable: Decoding error of a server's field, by its incarnation id.
+        registered_at: Loop time at which an incarnation was last seen as
+            registered, by its id.
     """
 
     def __init__(
@@ -67,12 +69,12 @@
         adapter: types.Adapter,
         position: Callable[[], turns.FleetPosition | None],
     ) -> None:
-        self.name = adapter.wire.limit.decode()
-        self.read = adapter.read_limit
+        self.header_name = adapter.wire.limit.decode()
+        self.read_limit = adapter.read_limit
         self.position = position
         self.by_incarnation: dict[str, ServerLimit] = {}
         self.unreadable: dict[str, str] = {}
-        self.seen_at: dict[str, float] = {}
+        self.registered_at: dict[str, float] = {}
         self.loop = asyncio.get_running_loop()
 
     def record_response(
@@ -82,57 +84,59 @@
         sent_at: float,
         to_request: bool = True,
     ) -> None:
-        """Takes what an answer of a server says of its limit.
+        """Updates a server's limit from one of its responses.
 
         Args:
             server: The server.
-            headers: Fields of the answer.
-            sent_at: Loop time at which what it answers was sent.
-            to_request: Whether it answers a request. A server may leave its
-                limit out of answers to questions for its health.
+            headers: Header fields of the response.
+            sent_at: Loop time at which the request or probe was sent.
+            to_request: Whether this is the response to a caller's request. A
+                server may omit its limit from responses to health probes.
         """
-        texts = [value for name, value in headers if name == self.name]
-        start = crash_detection.incarnation_id(server)
-        if not texts:
-            if to_request and start in self.by_incarnation:
-                self._take(start, None, sent_at)
+        values = [value for name, value in headers if name == self.header_name]
+        incarnation = crash_detection.incarnation_id(server)
+        if not values:
+            if to_request and incarnation in self.by_incarnation:
+                self._update(incarnation, None, sent_at)
             return
         try:
-            per_s = self.read(texts)
+            per_s = self.read_limit(values)
         except ValueError as error:
-            self._note_unreadable(start, str(error))
+            self._record_unreadable(incarnation, str(error))
             return
-        self.unreadable.pop(start, None)
-        self._take(start, per_s, sent_at)
+        self.unreadable.pop(incarnation, None)
+        self._update(incarnation, per_s, sent_at)
 
     def next_turn(self, server: types.Server, now: float) -> float:
         """Returns the loop time from which a server may be sent a request.
 
-        Minus infinity if it names no limit, and infinity while this daemon's
-        place in the fleet is not known.
+        The time is minus infinity if the server names no limit, and infinity
+        while this daemon's position in the fleet is unknown.
         """
         if not self.by_incarnation:
             return -math.inf
-        start = crash_detection.incarnation_id(server)
-        limit = self.by_incarnation.get(start)
+        incarnation = crash_detection.incarnation_id(server)
+        limit = self.by_incarnation.get(incarnation)
         if limit is None or limit.per_s is None:
             return -math.inf
-        place = self.position()
-        if place is None:
+        position = self.position()
+        if position is None:
             return math.inf
-        return turns.next_turn(place, start, limit.per_s, limit.usage, now)
+        return turns.next_turn(
+            position, incarnation, limit.per_s, limit.usage, now
+        )
 
     def may_send(self, server: types.Server, now: float) -> bool:
-        """Tells whether a server may be sent a request now."""
+        """Returns whether a server may be sent a request now."""
         return self.next_turn(server, now) <= now
 
     def is_limited(self, server: types.Server) -> bool:
-        """Tells whether a server names a limit."""
+        """Returns whether a server names a limit."""
         limit = self.by_incarnation.get(crash_detection.incarnation_id(server))
         return limit is not None and limit.per_s is not None
 
     def record_send(self, server: types.Server, now: float) -> None:
-        """Notes that a server gets a request."""
+        """Records that a server is sent a request."""
         turn = self.next_turn(server, now)
         if math.isfinite(turn):
             limit = self.by_incarnation[crash_detection.incarnation_id(server)]
@@ -141,99 +145,115 @@
     def count_limited(self) -> int:
         """Counts the servers that name a limit."""
         return sum(
-            one.per_s is not None for one in self.by_incarnation.values()
+            limit.per_s is not None for limit in self.by_incarnation.values()
         )
 
-    # Between daemons.
+    # Messages between daemons.
 
     def to_report(self) -> list[LimitFields]:
-        """Returns what other daemons are told."""
+        """Returns the newest limits, for a message to a peer."""
         now = self.loop.time()
         newest = sorted(
-            self.by_incarnation.items(), key=lambda item: -item[1].at
+            self.by_incarnation.items(), key=lambda item: -item[1].sent_at
         )
         return [
             LimitFields(
-                start=start,
+                start=incarnation,
                 per_s=limit.per_s,
-                age_ms=math.ceil((now - limit.at) * 1000),
+                age_ms=math.ceil((now - limit.sent_at) * 1000),
             )
-            for start, limit in newest[:MAX_REPORTED]
+            for incarnation, limit in newest[:MAX_REPORTED]
         ]
 
     def unreported(self, reported: Iterable[LimitFields]) -> list[LimitFields]:
-        """Returns what a daemon is to be told.
+        """Returns the limits that a peer does not know yet.
 
         Args:
-            reported: What that daemon knew when it answered last.
+            reported: Limits that the peer reported in its last reply.
         """
         if not self.by_incarnation:
             return []
-        knows = {fields["start"]: fields["per_s"] for fields in reported}
+        known = {fields["start"]: fields["per_s"] for fields in reported}
         return [
             fields
             for fields in self.to_report()
-            if knows.get(fields["start"]) != fields["per_s"]
+            if known.get(fields["start"]) != fields["per_s"]
         ]
 
     def merge_report(
         self, report: Iterable[LimitFields], composed_at: float
     ) -> None:
-        """Takes what another daemon told at a loop time."""
+        """Merges limits that a peer reported.
+
+        Args:
+            report: The peer's limits.
+            composed_at: Loop time at which the peer composed the report.
+        """
         for fields in report:
-            at = composed_at - fields["age_ms"] / 1000
-            self._take(fields["start"], fields["per_s"], at, "daemon")
+            sent_at = composed_at - fields["age_ms"] / 1000
+            self._update(fields["start"], fields["per_s"], sent_at, "daemon")
 
-    # Within.
+    # Internal state.
 
     def expire(self, registered: Iterable[types.Server], now: float) -> None:
-        """Forgets limits that ended, and those of servers that are gone."""
+        """Drops limits that no longer apply or whose server was removed."""
         for server in registered:
-            self.seen_at[crash_detection.incarnation_id(server)] = now
+            self.registered_at[crash_detection.incarnation_id(server)] = now
         oldest = now - UNREGISTERED_KEPT_S
-        for start, limit in list(self.by_incarnation.items()):
-            seen_at = max(self.seen_at.get(start, 0.0), limit.at)
-            ended = limit.per_s is None and limit.at < now - ENDED_KEPT_S
-            if ended or seen_at < oldest:
-                del self.by_incarnation[start]
-        self.seen_at = {n: at for n, at in self.seen_at.items() if at >= oldest}
+        for incarnation, limit in list(self.by_incarnation.items()):
+            known_at = max(
+                self.registered_at.get(incarnation, 0.0), limit.sent_at
+            )
+            removed = (
+                limit.per_s is None
+                and limit.sent_at < now - REMOVED_LIMIT_KEPT_S
+            )
+            if removed or known_at < oldest:
+                del self.by_incarnation[incarnation]
+        self.registered_at = {
+            incarnation: at
+            for incarnation, at in self.registered_at.items()
+            if at >= oldest
+        }
         self.unreadable = {
-            n: error
-            for n, error in self.unreadable.items()
-            if n in self.seen_at
+            incarnation: error
+            for incarnation, error in self.unreadable.items()
+            if incarnation in self.registered_at
         }
 
-    def _take(
+    def _update(
         self,
-        start: str,
+        incarnation: str,
         per_s: float | None,
-        at: float,
+        sent_at: float,
         through: str = "answer",
     ) -> None:
-        """Takes a limit, unless a later one is known."""
-        limit = self.by_incarnation.get(start)
-        if limit is not None and at <= limit.at:
+        """Sets a server's limit, unless a later one is known."""
+        limit = self.by_incarnation.get(incarnation)
+        if limit is not None and sent_at <= limit.sent_at:
             return
         before = limit.per_s if limit is not None else None
         if limit is None or (before is None and per_s is not None):
-            # What was sent before the limit was known counts for nothing.
-            self.by_incarnation[start] = ServerLimit(
-                per_s, at, turns.TurnUsage(self.loop.time())
+            # Requests sent before the limit was known use up no turns.
+            self.by_incarnation[incarnation] = ServerLimit(
+                per_s, sent_at, turns.TurnUsage(self.loop.time())
             )
         else:
             limit.per_s = per_s
-            limit.at = at
+            limit.sent_at = sent_at
         if per_s != before:
-            self._log(start, per_s, through)
+            self._log_change(incarnation, per_s, through)
 
-    def _log(self, start: str, per_s: float | None, through: str) -> None:
+    def _log_change(
+        self, incarnation: str, per_s: float | None, through: str
+    ) -> None:
         if per_s is None:
-            events.emit(events.ServerUnlimited(start, through))
+            events.emit(events.ServerUnlimited(incarnation, through))
         else:
-            events.emit(events.ServerLimited(start, per_s, through))
+            events.emit(events.ServerLimited(incarnation, per_s, through))
 
-    def _note_unreadable(self, start: str, error: str) -> None:
-        """Logs what is wrong with a field; once while the same is wrong."""
-        if self.unreadable.get(start) != error:
-            self.unreadable[start] = error
-            events.emit(events.LimitUnreadable(start, error))
+    def _record_unreadable(self, incarnation: str, error: str) -> None:
+        """Logs a decoding error unless it is the server's last one."""
+        if self.unreadable.get(incarnation) != error:
+            self.unreadable[incarnation] = error
+            events.emit(events.LimitUnreadable(incarnation, error))
--- a/banyantiller/gateway/servers.py
+++ b/banyantiller/gateway/servers.py
@@ -1,4 +1,4 @@
-"""Servers that registered themselves, and which of them get new requests."""
+"""Registered backend servers, and which of them may get new requests."""
 
 import collections
 import math
@@ -8,18 +8,19 @@
 from banyantiller.gateway import events, types
 from banyantiller.gateway.decisions import server_health
 
-# Registrations that lapsed while the store was away come back within about
-# 2 s of its return; a little less keeps within the time that a leaving
-# server may still get requests.
+# Registrations that lapsed during an outage of the store reappear within about
+# 2 s after it is back. A slightly shorter time keeps within the period in which
+# a server that is shutting down may still get requests.
 LAPSED_GRACE_S = 1.8
 
 
 class Incarnation(NamedTuple):
-    """What tells the starts of one server apart.
+    """Identifies one incarnation of a server: its start time and address.
 
     Attributes:
-        started_ms: When it started, in Unix milliseconds; 0 if it does not say.
-        host: IP number.
+        started_ms: Start time in Unix milliseconds; 0 if the registration has
+            none.
+        host: IP address.
         port: TCP port.
     """
 
@@ -29,26 +30,30 @@
 
     @classmethod
     def of(cls, server: types.Server) -> "Incarnation":
-        """Returns the start that a registration is of."""
+        """Returns the incarnation that a registration belongs to."""
         return cls(server.started_ms, server.host, server.port)
 
 
 class ServerEntry:
-    """One registered server and what is believed of it.
+    """One registered server and this daemon's view of it.
 
     Attributes:
         server: The registration.
-        health: What this daemon saw of it.
-        warm_at: Loop time at which it is as fast as usual.
-        reported_cold_until: The same, as it said itself when it was asked.
-        last_cold_send_at: When it got the last request while it was cold.
-        in_flight: Requests of this daemon at the server.
-        sends: Requests of this daemon so far.
-        failed_sends: Of these, those without an answer that can be used.
-        without_load: Whether it told no load where others of its service do.
-        lapses_at: Loop time at which a registration that vanished with the
-            store's outage counts as gone, or None.
-        evacuated: Whether its availability zone is to get no requests.
+        health: Health of the server as this daemon observed it.
+        warm_at: Loop time at which the server has finished warming up.
+        reported_cold_until: Value of `warm_at` that the server itself reported
+            in a response to a probe; minus infinity if it reported none.
+        last_cold_send_at: Loop time at which the server last got a request of
+            this daemon while it was cold.
+        in_flight: Requests of this daemon that the server is processing.
+        sends: Requests that this daemon has sent to the server.
+        failed_sends: Those of `sends` without a usable response.
+        without_load: Whether the server reports no load although other servers
+            of its service do.
+        lapses_at: Loop time at which a registration that disappeared during an
+            outage of the store counts as removed, or None.
+        evacuated: Whether the server gets no requests because its availability
+            zone is evacuated.
     """
 
     def __init__(self, server: types.Server, now: float) -> None:
@@ -65,39 +70,39 @@
         self.evacuated = False
 
     def record_warmup(self, warmup_s: float, now: float) -> None:
-        """Notes for how long it says that it is still cold."""
+        """Records how long the server reports to stay cold, in seconds."""
         self.warm_at = now + warmup_s
         self.reported_cold_until = self.warm_at
 
     def record_cold_send(self, now: float) -> None:
-        """Notes that it gets a request, which counts while it is cold."""
+        """Records a request to the server if the server is still cold."""
         if now < self.warm_at:
             self.last_cold_send_at = now
 
     def usable(self, now: float) -> bool:
-        """Tells whether it may get new requests."""
+        """Returns whether the server may get new requests."""
         if self.server.leaving or self.evacuated:
             return False
         return self.lapses_at is None or now < self.lapses_at
 
 
 class ServerTable:
-    """Entries by instance and by service.
+    """Server entries by instance and by service.
 
-    A server may start again under its identity; one that registers at another
-    address did, also if its registration has no start time. Nothing that was
-    seen of an earlier start counts for a later one, and a late or stale read of
-    an earlier start changes nothing.
+    A server may restart under the same instance name. A registration at another
+    address is a restart too, even if it has no start time. No observation of an
+    earlier incarnation applies to a later one, and a late or stale read of an
+    earlier incarnation is ignored.
 
     Attributes:
         entries: Entries by instance.
         by_service: Entries by service and instance.
-        latest_start_ms: Latest start that was seen of each instance, in Unix
-            milliseconds; kept for instances that are gone.
-        left_incarnations: The start with which an instance said that it leaves.
-            That one stays out for the life of this process.
+        latest_start_ms: Latest start time seen for each instance, in Unix
+            milliseconds; kept for instances that were removed.
+        left_incarnations: Incarnation of each instance that announced its
+            shutdown. It gets no requests for the lifetime of this process.
         evacuated: Availability zones whose servers get no requests, or None
-            while they are not known; no server gets requests then.
+            while they are unknown; no server gets requests then.
     """
 
     def __init__(self) -> None:
@@ -111,51 +116,54 @@
         """Adds or changes a registration.
 
         Returns:
-            The earlier start of the same server that this one replaces.
+            The registration of the earlier incarnation that was replaced, or
+            None.
         """
         latest = self.latest_start_ms.get(server.instance, server.started_ms)
         if server.started_ms < latest:
             return None
         self.latest_start_ms[server.instance] = server.started_ms
-        before = None
-        start = Incarnation.of(server)
-        held = self.entries.get(server.instance)
-        if held is not None and Incarnation.of(held.server) != start:
-            before = self.remove(server.instance, "started_again")
+        replaced = None
+        incarnation = Incarnation.of(server)
+        entry = self.entries.get(server.instance)
+        if entry is not None and Incarnation.of(entry.server) != incarnation:
+            replaced = self.remove(server.instance, "started_again")
         if server.leaving:
-            self.left_incarnations[server.instance] = start
-        elif self.left_incarnations.get(server.instance) == start:
+            self.left_incarnations[server.instance] = incarnation
+        elif self.left_incarnations.get(server.instance) == incarnation:
             server = server._replace(leaving=True)
-        self._put(server, now)
-        return before
+        self._update_entry(server, now)
+        return replaced
 
-    def _put(self, server: types.Server, now: float) -> None:
+    def _update_entry(self, server: types.Server, now: float) -> None:
         entry = self.entries.get(server.instance)
         if entry is None:
             entry = ServerEntry(server, now)
             self.entries[server.instance] = entry
-            self._of(server.service)[server.instance] = entry
-            events.emit(events.ServerJoined(*_described(server)))
+            self._entries_of_service(server.service)[server.instance] = entry
+            events.emit(events.ServerJoined(*_event_fields(server)))
         elif entry.server.leaving != server.leaving:
-            events.emit(events.ServerLeaving(*_described(server)))
+            events.emit(events.ServerLeaving(*_event_fields(server)))
         if entry.lapses_at is not None:
             events.emit(events.RegistrationRestored(server.instance))
         if entry.server.service != server.service:
-            self._of(entry.server.service).pop(server.instance, None)
-            self._of(server.service)[server.instance] = entry
+            self._entries_of_service(entry.server.service).pop(
+                server.instance, None
+            )
+            self._entries_of_service(server.service)[server.instance] = entry
         entry.server = server
         entry.evacuated = self._is_evacuated(server)
         entry.lapses_at = None
         entry.warm_at = max(entry.warm_at, now + server.warmup_s)
 
     def set_evacuated_zones(self, zones: frozenset[str]) -> None:
-        """Lets the servers of some zones get no requests, and others again."""
+        """Sets the zones whose servers get no requests."""
         self.evacuated = zones
         for entry in self.entries.values():
             entry.evacuated = self._is_evacuated(entry.server)
 
     def all_evacuated(self, service: str, now: float) -> bool:
-        """Tells whether all servers of a service are in evacuated zones."""
+        """Returns whether evacuations leave a service no usable server."""
         entries = self.by_service.get(service, {}).values()
         if any(entry.usable(now) for entry in entries):
             return False
@@ -164,14 +172,15 @@
     def mark_failing(
         self, instances: Iterable[str], until: float, now: float
     ) -> None:
-        """Takes servers for failing that failed several other daemons.
+        """Marks servers as failing that failed several other daemons.
 
-        Not if they are half of a service or more: then the fault may be shared,
-        and the rest could not take their place.
+        Servers of a service are not marked if they are half of it or more: the
+        cause may then be shared by all of them, and the remaining servers could
+        not take over the load.
         """
-        found = [self.entries[n] for n in instances if n in self.entries]
-        counts = collections.Counter(e.server.service for e in found)
-        for entry in found:
+        failing = [self.entries[n] for n in instances if n in self.entries]
+        counts = collections.Counter(e.server.service for e in failing)
+        for entry in failing:
             service = entry.server.service
             if 2 * counts[service] >= len(self.by_service[service]):
                 continue
@@ -183,48 +192,50 @@
         return sum(e.server.zone == zone for e in self.entries.values())
 
     def is_registered(self, server: types.Server) -> bool:
-        """Tells whether a server is still registered as the same start."""
+        """Returns whether this incarnation of a server is registered."""
         entry = self.entries.get(server.instance)
         if entry is None:
             return False
-        # Asked with each question to a server, and usually of the same object.
-        same = entry.server is server
-        return same or Incarnation.of(entry.server) == Incarnation.of(server)
+        # Called for each probe, usually with the registered object itself.
+        identical = entry.server is server
+        return identical or Incarnation.of(entry.server) == Incarnation.of(
+            server
+        )
 
     def is_staying(self, server: types.Server) -> bool:
-        """Tells whether a server is registered and has not said it leaves."""
+        """Returns whether a server is registered and not shutting down."""
         if not self.is_registered(server):
             return False
         return not self.entries[server.instance].server.leaving
 
     def remove(self, instance: str, reason: str) -> types.Server | None:
-        """Takes a server out for good; None if it is not known."""
+        """Removes a server; returns its registration, or None if unknown."""
         entry = self.entries.pop(instance, None)
         if entry is None:
             return None
-        self._of(entry.server.service).pop(instance, None)
+        self._entries_of_service(entry.server.service).pop(instance, None)
         events.emit(events.ServerRemoved(instance, reason))
         return entry.server
 
     def lapse(self, instance: str, now: float) -> None:
-        """Keeps a server whose registration may come back for a moment."""
+        """Marks a registration as lapsed; it has a short time to reappear."""
         entry = self.entries.get(instance)
         if entry is not None and entry.lapses_at is None:
             entry.lapses_at = now + LAPSED_GRACE_S
             events.emit(events.RegistrationLapsed(instance))
 
     def expire(self, now: float) -> list[types.Server]:
-        """Takes out the servers whose registration did not come back."""
-        late = [
+        """Removes the servers whose registration did not reappear in time."""
+        expired = [
             name
             for name, entry in self.entries.items()
             if entry.lapses_at is not None and entry.lapses_at <= now
         ]
-        gone = [self.remove(name, "registration_lapsed") for name in late]
-        return [server for server in gone if server is not None]
+        removed = [self.remove(name, "registration_lapsed") for name in expired]
+        return [server for server in removed if server is not None]
 
     def instances_missing_from(self, present: Iterable[str]) -> list[str]:
-        """Returns the known instances that a list does not have."""
+        """Returns the registered instances that are not in `present`."""
         return sorted(set(self.entries) - set(present))
 
     def servers(self) -> list[types.Server]:
@@ -233,18 +244,18 @@
 
     def usable(self, service: str, now: float) -> list[ServerEntry]:
         """Returns the servers of a service that may get new requests."""
-        found = self.by_service.get(service, {})
-        return [entry for entry in found.values() if entry.usable(now)]
+        entries = self.by_service.get(service, {})
+        return [entry for entry in entries.values() if entry.usable(now)]
 
     def _is_evacuated(self, server: types.Server) -> bool:
         return self.evacuated is None or server.zone in self.evacuated
 
-    def _of(self, service: str) -> dict[str, ServerEntry]:
+    def _entries_of_service(self, service: str) -> dict[str, ServerEntry]:
         return self.by_service.setdefault(service, {})
 
 
-def _described(server: types.Server) -> tuple[str, str, str, str, bool]:
-    """Returns the fields that events on a registration have."""
+def _event_fields(server: types.Server) -> tuple[str, str, str, str, bool]:
+    """Returns the fields of the log events about a registration."""
     return (
         server.instance,
         server.service,
--- a/banyantiller/tests/gateway/crash_harness.py
+++ b/banyantiller/tests/gateway/crash_harness.py
@@ -1,4 +1,4 @@
-"""A fleet in which a request ends each server that runs it."""
+"""A fleet in which a request crashes each server that runs it."""
 
 import asyncio
 import itertools
@@ -6,27 +6,29 @@
 
 from banyantiller.tests.gateway import harness
 
-PORTS = (7001, 7002, 7003)
-SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
-# Daemons besides those that the others ask.
-OTHERS = 3
-SERVERS = 6
-# A server that ended is back after so long, as another instance at its address.
+RELAY_PORTS = (7001, 7002, 7003)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in RELAY_PORTS)
+# Number of daemons that are not relays.
+SUBSCRIBER_COUNT = 3
+SERVER_COUNT = 6
+# Time after which a crashed server restarts, as another instance at the same
+# address.
 DOWN_S = 3.0
-# A registration without a heartbeat is removed after three of them.
-LAPSE_S = 4.5
-# The retry window, in which daemons have counted each other.
+# Time after which a registration without heartbeats is removed: three heartbeat
+# intervals.
+REGISTRATION_TTL_S = 4.5
+# The retry window, after which daemons have counted each other.
 SETTLE_S = 12.0
-DEADLY = "/read/deadly"
-DEADLY_POST = "/file/deadly"
+CRASHING_PATH = "/read/deadly"
+CRASHING_POST_PATH = "/file/deadly"
 
 
 class Crash(NamedTuple):
-    """The end of a server under a request.
+    """The crash of a server.
 
     Attributes:
-        at: Loop time.
-        instance: The server.
+        at: Loop time of the crash.
+        instance: Instance name of the server.
     """
 
     at: float
@@ -34,34 +36,37 @@
 
 
 class Fleet:
-    """Daemons that know each other, and servers that a request ends.
+    """Daemons that know each other, and servers that a request crashes.
 
     Attributes:
-        harness: The world that it is in.
+        harness: The harness that the fleet runs in.
+        crashing_path: Prefix of the targets of requests that crash servers.
         daemons: The daemons.
-        crashes: Servers that ended, in order.
-        starts: Counts the starts of servers.
+        crashes: Crashes of servers, in order.
+        instance_numbers: Numbers for the instance names of servers.
+        request_numbers: Numbers for the identifiers of requests.
+        tasks: Background tasks.
     """
 
-    def __init__(self, harness, ended_by):
+    def __init__(self, harness, crashing_path):
         self.harness = harness
-        self.ended_by = ended_by
+        self.crashing_path = crashing_path
         self.daemons = []
         self.crashes = []
-        self.starts = itertools.count()
-        self.names = itertools.count()
+        self.instance_numbers = itertools.count()
+        self.request_numbers = itertools.count()
         self.tasks = set()
 
     async def start(self):
-        """Starts servers in place of the world's own, and the daemons."""
+        """Replaces the harness's servers and starts the daemons."""
         for instance, server in self.harness.servers.items():
             server.stop()
             self.harness.store.remove("servers", instance)
-        for _ in range(SERVERS):
+        for _ in range(SERVER_COUNT):
             await self._start_server()
-        for port in (*PORTS, *[0] * OTHERS):
+        for port in (*RELAY_PORTS, *[0] * SUBSCRIBER_COUNT):
             await self.add_daemon(port)
-        # Before, daemons have no part of the retry budget.
+        # Until then, daemons have no share of the retry budget.
         await asyncio.sleep(SETTLE_S)
 
     async def add_daemon(self, port=0):
@@ -73,7 +78,7 @@
         return self.harness.gateway
 
     async def restart(self, number, port):
-        """Ends a daemon at once and starts another in its place."""
+        """Stops a daemon without draining and starts another in its place."""
         daemon = self.daemons[number]
         daemon.listener.close()
         await daemon.close()
@@ -81,13 +86,13 @@
         await self.harness.start_gateway(SEEDS, f"again{port}", port)
         self.daemons[number] = self.harness.gateway
 
-    def running(self):
-        """Returns the servers that run."""
-        ended = {end.instance for end in self.crashes}
+    def running_servers(self):
+        """Returns the running servers."""
+        crashed = {crash.instance for crash in self.crashes}
         return [
             server
             for instance, server in self.harness.servers.items()
-            if instance.startswith("e") and instance not in ended
+            if instance.startswith("e") and instance not in crashed
         ]
 
     async def connect(self, daemon):
@@ -96,7 +101,7 @@
         return await harness.Caller.connect(self.harness)
 
     async def close(self):
-        """Closes all daemons and what goes on by itself."""
+        """Closes all daemons and cancels the background tasks."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -104,42 +109,43 @@
             daemon.listener.close()
             await daemon.close()
 
-    async def ask(self, daemon, *arguments, **more):
-        """Sends a request of a new identity to a daemon."""
+    async def send_request(self, daemon, *arguments, **more):
+        """Sends a request with a new identifier to a daemon."""
         self.harness.port = daemon.listener.sockets[0].getsockname()[1]
-        name = f"r{next(self.names)}"
+        name = f"r{next(self.request_numbers)}"
         return await self.harness.request(name, *arguments, **more)
 
-    def begin(self, work):
-        """Lets work go on by itself."""
-        task = asyncio.ensure_future(work)
+    def start_task(self, coroutine):
+        """Starts a background task."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    def arrivals(self, target, since=0.0):
+    def count_arrivals(self, target, since=0.0):
         """Counts the requests for a target that reached servers."""
         return sum(
             arrival.target == target and arrival.at >= since
-            for one in self.harness.servers.values()
-            for arrival in one.arrivals
+            for server in self.harness.servers.values()
+            for arrival in server.arrivals
         )
 
     def crash(self, server):
-        """Ends a server at once."""
+        """Crashes a server."""
         server.stop()
         server.on_end()
 
     async def _start_server(self, port=0):
-        instance = f"e{next(self.starts)}"
-        one = await self.harness.add_server(instance, port=port)
-        one.faults.ended_by = self.ended_by
-        one.on_end = lambda: self.begin(self._back(one))
+        instance = f"e{next(self.instance_numbers)}"
+        server = await self.harness.add_server(instance, port=port)
+        server.faults.ended_by = self.crashing_path
+        server.on_end = lambda: self.start_task(self._restart_server(server))
 
-    async def _back(self, one):
+    async def _restart_server(self, server):
+        """Records a crash and restarts the server after a while."""
         loop = asyncio.get_running_loop()
-        self.crashes.append(Crash(loop.time(), one.instance))
+        self.crashes.append(Crash(loop.time(), server.instance))
         await asyncio.sleep(DOWN_S)
-        await self._start_server(one.port)
-        await asyncio.sleep(LAPSE_S - DOWN_S)
-        self.harness.store.remove("servers", one.instance)
+        await self._start_server(server.port)
+        await asyncio.sleep(REGISTRATION_TTL_S - DOWN_S)
+        self.harness.store.remove("servers", server.instance)
--- a/banyantiller/tests/gateway/test_events.py
+++ b/banyantiller/tests/gateway/test_events.py
@@ -16,41 +16,41 @@
 from banyantiller.tests.gateway import harness
 
 DECLARED = {
-    kind: declared
-    for kind, declared in log_events.DECLARED.items()
-    if kind.__module__ in (events.__name__, call_events.__name__)
+    event_type: declared
+    for event_type, declared in log_events.DECLARED.items()
+    if event_type.__module__ in (events.__name__, call_events.__name__)
 }
 SCENARIOS = []
 
 
-def shows(*kinds):
-    """Declares which events a scenario must write."""
+def shows(*event_types):
+    """Declares which events a scenario has to write."""
 
     def declare(scenario):
-        SCENARIOS.append((scenario, kinds))
+        SCENARIOS.append((scenario, event_types))
         return scenario
 
     return declare
 
 
 @shows(events.ServerJoined, events.DocumentInForce, call_events.CallEnded)
-async def good_call(place):
-    await place.request("a")
+async def successful_call(env):
+    await env.request("a")
 
 
 @shows(call_events.AttemptFailed)
-async def reset_by_servers(place):
-    place.fault(reset=True)
-    await place.request("a")
+async def connections_reset_by_servers(env):
+    env.fault(reset=True)
+    await env.request("a")
 
 
 @shows(events.ServerLimited, events.ServerUnlimited, events.LimitUnreadable)
-async def servers_name_limits(place):
+async def servers_name_limits(env):
     for limit in ("240", "", "many"):
-        for one in place.servers.values():
+        for one in env.servers.values():
             one.limit = limit
         for number in range(9):
-            await place.request(f"{limit}{number}")
+            await env.request(f"{limit}{number}")
             await asyncio.sleep(0.2)
 
 
@@ -59,100 +59,100 @@
     call_events.RequestQuarantined,
     call_events.QuarantineLifted,
 )
-async def servers_end_under_a_request(place):
-    for one in place.servers.values():
+async def servers_crash_during_a_request(env):
+    for one in env.servers.values():
         one.faults.ended_by = "/file/deadly"
-    for _ in place.servers.copy():
-        await place.request("a", "/file/deadly", "POST")
+    for _ in env.servers.copy():
+        await env.request("a", "/file/deadly", "POST")
     await asyncio.sleep(0.1)
-    (record,) = place.gateway.crash_detector.tracker.table.records
-    place.gateway.crash_detector.tracker.lift(record, place.gateway.loop.time())
+    (record,) = env.gateway.crash_detector.tracker.table.records
+    env.gateway.crash_detector.tracker.lift(record, env.gateway.loop.time())
 
 
 @shows(events.ZoneEvacuated, events.ZoneGivenBack)
-async def zone_is_evacuated(place):
-    place.store.put("evacuations", "zone-a", {})
+async def zone_evacuation(env):
+    env.store.put("evacuations", "zone-a", {})
     await asyncio.sleep(0.1)
-    place.store.remove("evacuations", "zone-a")
+    env.store.remove("evacuations", "zone-a")
     await asyncio.sleep(0.1)
 
 
 @shows(events.ServerReportedFailing)
-async def server_fails_other_daemons(place):
-    await place.add_server("s3")
+async def server_fails_other_daemons(env):
+    await env.add_server("s3")
     await asyncio.sleep(0.1)
-    now = place.gateway.loop.time()
-    place.gateway.store_view.table.mark_failing(["s0"], now + 1, now)
+    now = env.gateway.loop.time()
+    env.gateway.store_view.table.mark_failing(["s0"], now + 1, now)
 
 
 @shows(call_events.ConnectFailed)
-async def connecting_fails(place):
-    for one in place.servers.values():
+async def connecting_fails(env):
+    for one in env.servers.values():
         one.tells_load = False
-    await place.request("warm")
+    await env.request("warm")
 
     async def refuse(fresh):
         raise ConnectionRefusedError("refused")
 
-    for kept in place.gateway.pools.values():
+    for kept in env.gateway.pools.values():
         kept.acquire = refuse
-    await place.request("a")
+    await env.request("a")
 
 
 @shows(call_events.ServerSuspected)
-async def server_falls_silent_at_work(place):
-    for one in place.servers.values():
+async def server_is_unresponsive_during_a_request(env):
+    for one in env.servers.values():
         one.work_s = 0.5
-    asked = asyncio.ensure_future(place.request("a"))
+    pending = asyncio.ensure_future(env.request("a"))
     await asyncio.sleep(0.03)
-    place.fault(silent=True)
-    await asked
+    env.fault(silent=True)
+    await pending
 
 
 @shows(call_events.BudgetSpent)
-async def budget_is_spent(place):
-    place.gateway.settings = place.gateway.settings._replace(
+async def budget_is_spent(env):
+    env.gateway.settings = env.gateway.settings._replace(
         retry_extra=0.0, retry_ratio=0.0
     )
-    place.fault(reset=True)
-    await place.request("a")
+    env.fault(reset=True)
+    await env.request("a")
 
 
 @shows(events.ServerUnresponsive, events.ServerResponsive)
-async def server_is_silent_for_a_while(place):
-    place.fault(silent=True)
-    await place.request("a")
+async def server_is_unresponsive_for_a_while(env):
+    env.fault(silent=True)
+    await env.request("a")
     await asyncio.sleep(5)
-    for one in list(place.servers.values()):
+    for one in list(env.servers.values()):
         one.faults.silent = False
-    await place.request("b")
+    await env.request("b")
 
 
 @shows(events.IdleConnectionLost)
-async def kept_connections_end(place):
-    await place.request("a")
+async def idle_connections_are_lost(env):
+    await env.request("a")
 
     async def reset():
         raise ConnectionResetError("reset by the server")
 
-    for kept in place.gateway.pools.values():
+    for kept in env.gateway.pools.values():
         for link in kept.idle:
             link.connection.read_head = reset
-    await place.request("b")
+    await env.request("b")
 
 
 @shows(events.ServiceWithoutLoad)
-async def servers_tell_no_load(place):
-    for one in place.servers.values():
+async def servers_report_no_load(env):
+    for one in env.servers.values():
         one.tells_load = False
-    await place.request("a")
+    await env.request("a")
 
 
 @shows(events.ServerLeaving, events.ServerRemoved)
-async def server_leaves(place):
-    place.register("s0", state="draining")
+async def server_shuts_down(env):
+    env.register("s0", state="draining")
     await asyncio.sleep(2)
-    place.store.remove("servers", "s0")
+    env.store.remove("servers", "s0")
     await asyncio.sleep(2)
 
 
@@ -162,109 +162,109 @@
     events.RegistrationLapsed,
     events.RegistrationRestored,
 )
-async def registration_lapses_with_an_outage(place):
-    place.store.faults.down = True
+async def registration_lapses_with_an_outage(env):
+    env.store.faults.down = True
     await asyncio.sleep(4)
-    place.store.remove("servers", "s0")
-    place.store.faults.down = False
+    env.store.remove("servers", "s0")
+    env.store.faults.down = False
     await asyncio.sleep(1.2)
-    place.register("s0")
+    env.register("s0")
     await asyncio.sleep(2)
 
 
 @shows(events.ChangeHistoryLost)
-async def history_is_forgotten(place):
-    place.store.faults.down = True
+async def change_history_is_lost(env):
+    env.store.faults.down = True
     await asyncio.sleep(2)
-    place.put_document()
-    place.store.forget()
-    place.store.faults.down = False
+    env.put_document()
+    env.store.forget()
+    env.store.faults.down = False
     await asyncio.sleep(4)
 
 
 @shows(events.DocumentUnreadable, events.RegistrationUnreadable)
-async def objects_are_unreadable(place):
-    place.store.put("config", "main", {"version": "seven"})
-    place.store.put("servers", "s9", {"service": 4})
+async def objects_are_unreadable(env):
+    env.store.put("config", "main", {"version": "seven"})
+    env.store.put("servers", "s9", {"service": 4})
     await asyncio.sleep(4)
 
 
 @shows(events.DocumentRemoved)
-async def document_is_removed(place):
-    place.store.remove("config", "main")
+async def document_is_removed(env):
+    env.store.remove("config", "main")
     await asyncio.sleep(4)
 
 
 @shows(call_events.RequestRejected)
-async def request_is_no_request(place):
-    _, writer = await asyncio.open_connection(harness.ADDRESS, place.port)
+async def request_is_malformed(env):
+    _, writer = await asyncio.open_connection(harness.ADDRESS, env.port)
     writer.write(b"what is this\r\n\r\n")
     await asyncio.sleep(1)
 
 
 @shows(call_events.InternalError)
-async def fault_of_its_own(place):
+async def internal_error(env):
     def fail(route):
         raise ZeroDivisionError
 
-    place.gateway.store_view.routes.choose_service = fail
-    await place.request("a")
+    env.gateway.store_view.routes.choose_service = fail
+    await env.request("a")
 
 
 @shows(call_events.CallsNotLogged)
-async def more_calls_than_lines(place):
-    for one in place.servers.values():
+async def more_calls_than_log_lines(env):
+    for one in env.servers.values():
         one.work_s = 0.001
     for number in range(150):
-        await place.request(f"a{number}")
+        await env.request(f"a{number}")
     await asyncio.sleep(1.1)
-    await place.request("last")
+    await env.request("last")
 
 
 @shows(events.CallsCut)
-async def time_to_end_is_over(place):
-    place.fault(mute=True)
-    asked = asyncio.ensure_future(place.request("a", deadline_ms=60000))
+async def drain_timeout(env):
+    env.fault(mute=True)
+    pending = asyncio.ensure_future(env.request("a", deadline_ms=60000))
     await asyncio.sleep(0.1)
-    place.gateway.default_timeout_s = 60.0
-    await place.gateway.drain(0.9)
-    asked.cancel()
+    env.gateway.default_timeout_s = 60.0
+    await env.gateway.drain(0.9)
+    pending.cancel()
 
 
 @shows(events.ReadsThroughRelay, events.ReadsForSubscribers, events.PeerLost)
-async def other_daemon_is_asked(place):
-    first = place.gateway
-    seed = f"{harness.ADDRESS}:{place.control.port}"
-    await place.start_gateway(seeds=(seed,), name="d2")
+async def peer_is_queried(env):
+    first = env.gateway
+    seed = f"{harness.ADDRESS}:{env.control.port}"
+    await env.start_gateway(seeds=(seed,), name="d2")
     await asyncio.sleep(3)
-    place.controls[0].handler = None
-    await place.controls[0].close()
+    env.controls[0].handler = None
+    await env.controls[0].close()
     await asyncio.sleep(3)
     first.listener.close()
     await first.close()
 
 
 @shows(events.PeerListReceived)
-async def started_while_the_store_is_away(place):
-    first = place.gateway
-    place.store.faults.down = True
-    seed = f"{harness.ADDRESS}:{place.control.port}"
-    await place.start_gateway(seeds=(seed,), name="d2")
+async def start_during_a_store_outage(env):
+    first = env.gateway
+    env.store.faults.down = True
+    seed = f"{harness.ADDRESS}:{env.control.port}"
+    await env.start_gateway(seeds=(seed,), name="d2")
     await asyncio.sleep(3)
     first.listener.close()
     await first.close()
 
 
 @shows(events.PeerMessageUnreadable)
-async def other_daemon_talks_nonsense(place):
-    first = place.gateway
+async def peer_sends_unreadable_messages(env):
+    first = env.gateway
 
     async def nonsense(request):
         return messages.Response(200, (), b"[")
 
-    place.controls[0].handler = nonsense
-    seed = f"{harness.ADDRESS}:{place.control.port}"
-    await place.start_gateway(seeds=(seed,), name="d2")
+    env.controls[0].handler = nonsense
+    seed = f"{harness.ADDRESS}:{env.control.port}"
+    await env.start_gateway(seeds=(seed,), name="d2")
     await asyncio.sleep(3)
     first.listener.close()
     await first.close()
@@ -278,7 +278,7 @@
     events.ShuttingDown,
     events.Stopped,
 )
-async def life_of_a_daemon(place):
+async def daemon_lifecycle(env):
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "gateway.yaml"
         text = json.dumps(
@@ -287,7 +287,7 @@
                 "zone": "zone-a",
                 "callers": f"{harness.ADDRESS}:40001",
                 "ready": f"{harness.ADDRESS}:40002",
-                "store": f"{harness.ADDRESS}:{place.bound.port}",
+                "store": f"{harness.ADDRESS}:{env.bound.port}",
                 "metrics_port": 0,
             }
         )
@@ -305,40 +305,47 @@
 
 class EventsTest(base.TestCase):
     def lines_of(self, scenario):
-        """Plays a scenario in a world and returns the log lines."""
+        """Runs a scenario in a harness and returns the log lines."""
 
-        async def whole():
-            async with harness.GatewayHarness() as place:
-                await scenario(place)
+        async def run_scenario():
+            async with harness.GatewayHarness() as env:
+                await scenario(env)
 
         with structlog.testing.capture_logs() as lines:
-            self.run_paused(whole())
+            self.run_paused(run_scenario())
         return lines
 
     def test_every_event_has_a_scenario(self):
-        shown = {kind for _, kinds in SCENARIOS for kind in kinds}
+        shown = {
+            event_type
+            for _, event_types in SCENARIOS
+            for event_type in event_types
+        }
         self.assertEqual(set(DECLARED), shown)
 
     def test_every_event_is_written_when_it_occurs(self):
-        for scenario, kinds in SCENARIOS:
+        for scenario, event_types in SCENARIOS:
             lines = self.lines_of(scenario)
-            for kind in kinds:
-                found = [line for line in lines
-                         if line["event"] == DECLARED[kind].text]  # fmt: skip
-                self.assertNotEqual([], found, (scenario.__name__, kind))
+            for event_type in event_types:
+                found = [
+                    line
+                    for line in lines
+                    if line["event"] == DECLARED[event_type].text
+                ]
+                self.assertNotEqual([], found, (scenario.__name__, event_type))
                 for line in found:
-                    self.check_line(kind, line)
+                    self.check_line(event_type, line)
 
-    def check_line(self, kind, line):
+    def check_line(self, event_type, line):
         """Checks that a line has the declared fields and level."""
-        self.assertEqual(DECLARED[kind].level, line["log_level"])
-        hints = typing.get_type_hints(kind)
+        self.assertEqual(DECLARED[event_type].level, line["log_level"])
+        hints = typing.get_type_hints(event_type)
         for name, hint in hints.items():
             allowed = typing.get_args(hint) or (hint,)
             if typing.get_origin(hint) is list:
                 allowed = (list,)
             plain = tuple(typing.get_origin(one) or one for one in allowed)
-            self.assertIsInstance(line[name], (*plain, int), (kind, name))
+            self.assertIsInstance(line[name], (*plain, int), (event_type, name))
         extra = set(line) - set(hints) - {"event", "log_level", "exc_info"}
         self.assertEqual(set(), extra)
 
@@ -349,24 +356,28 @@
                 if line["event"].startswith("gateway:"):
                     self.assertIn(line["event"], texts)
 
-    def test_line_of_a_call_tells_how_old_its_document_is(self):
-        async def before_the_first(place):
-            place.store.faults.silent = True
-            await place.start_gateway(name="d2")
-            await place.request("a")
+    def test_line_of_a_call_shows_the_age_of_its_document(self):
+        async def before_the_first_document(env):
+            env.store.faults.silent = True
+            await env.start_gateway(name="d2")
+            await env.request("a")
 
-        async def in_time(place):
+        async def with_store(env):
             await asyncio.sleep(20)
-            await place.request("a")
+            await env.request("a")
 
-        async def silent(place):
-            place.store.faults.silent = True
+        async def without_store(env):
+            env.store.faults.silent = True
             await asyncio.sleep(20)
-            await place.request("a")
+            await env.request("a")
 
         ages = [
             line["known_ms"]
-            for scenario in (before_the_first, in_time, silent)
+            for scenario in (
+                before_the_first_document,
+                with_store,
+                without_store,
+            )
             for line in self.lines_of(scenario)
             if line["event"] == DECLARED[call_events.CallEnded].text
         ]
@@ -374,5 +385,5 @@
         self.assertLess(ages[1], 3100)
         self.assertGreater(ages[2], 20000)
 
-    def test_two_events_can_not_have_one_text(self):
+    def test_two_events_cannot_have_the_same_text(self):
         self.assertRaises(ValueError, log_events.event, "gateway: started.")
--- a/banyantiller/tests/gateway/test_failing_servers.py
+++ b/banyantiller/tests/gateway/test_failing_servers.py
@@ -1,4 +1,4 @@
-"""Replays servers that call themselves well and fail, before a small fleet."""
+"""Tests of servers that report themselves healthy but fail requests."""
 
 import asyncio
 import random
@@ -8,19 +8,20 @@
 from banyantiller.tests import base
 from banyantiller.tests.gateway import harness
 
-PORTS = (7001, 7002)
-SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in PORTS)
-DAEMONS = 12
-SECONDS = 8.0
-# Requests a second at each daemon: too few to learn from its own alone.
+RELAY_PORTS = (7001, 7002)
+SEEDS = tuple(f"{harness.ADDRESS}:{port}" for port in RELAY_PORTS)
+DAEMON_COUNT = 12
+TRAFFIC_S = 8.0
+# Requests per second at each daemon: too few for a daemon to detect the
+# failures from its own requests alone.
 RATE_PER_S = 1.0
-# A failure is told with the next question of two daemons, every 0.5 s, and
-# known everywhere after one more.
-LEARNED_S = 1.5
+# A daemon reports its failures with its next query, within 0.5 s. Two daemons
+# have to report them, and all daemons learn the result with one further query.
+PROPAGATION_S = 1.5
 
 
 class ReportsTest(base.TestCase):
-    def test_servers_that_failed_several_daemons_are_doubted_for_a_while(self):
+    def test_servers_that_failed_several_daemons_are_failing_for_a_while(self):
         reports = failure_reports.FailureReports()
         reports.receive("d1", ["s1", "s2"], 1.0)
         reports.receive("d2", ["s1"], 2.0)
@@ -36,31 +37,31 @@
         self.assertEqual([], reports.failing_servers(2.0))
 
     def test_message_is_bounded(self):
-        own = failure_reports.LocalFailures()
+        failures = failure_reports.LocalFailures()
         for number in range(100):
-            own.record_failure(f"s{number}", 1.0)
-        self.assertEqual(failure_reports.MAX_NAMED, len(own.recent(1.5)))
-        self.assertEqual([], own.recent(1.0 + failure_reports.RECENT_S))
+            failures.record_failure(f"s{number}", 1.0)
+        self.assertEqual(failure_reports.MAX_NAMED, len(failures.recent(1.5)))
+        self.assertEqual([], failures.recent(1.0 + failure_reports.RECENT_S))
 
 
 class TableTest(harness.TestCase):
-    def test_questions_that_name_no_server_put_none_in_doubt(self):
-        async def body(place):
-            since = place.gateway.store_view.mirror.histories["config"].version
+    def test_queries_that_name_no_server_report_none_as_failing(self):
+        async def body(env):
+            since = env.gateway.store_view.mirror.histories["config"].version
             for name in ("d1", "d2", "d3"):
                 target = f"/mirror/config?since={since}&wait_ms=0&name={name}"
                 request = messages.Request("GET", target, ())
-                answer = await place.gateway.handle_peer(request)
+                answer = await env.gateway.handle_peer(request)
             return answer.status, b"doubted" in answer.body
 
         self.assertEqual((200, False), self.play(body))
 
-    def test_half_of_a_service_is_not_doubted(self):
-        async def body(place):
-            await place.add_server("s3")
+    def test_half_of_a_service_is_not_marked_as_failing(self):
+        async def body(env):
+            await env.add_server("s3")
             await asyncio.sleep(0.1)
-            table = place.gateway.store_view.table
-            now = place.gateway.loop.time()
+            table = env.gateway.store_view.table
+            now = env.gateway.loop.time()
             table.mark_failing(["s0", "s1", "gone"], now + 8, now)
             some = [
                 e.health.failure_rate_at(now) for e in table.entries.values()
@@ -75,54 +76,59 @@
 
 
 class FailingServersTest(base.TestCase):
-    def play(self):
-        """Returns when requests reached the servers that fail."""
+    def run_traffic(self):
+        """Returns when requests reached the failing servers."""
 
-        async def whole():
-            async with harness.GatewayHarness() as place:
+        async def run_fleet():
+            async with harness.GatewayHarness() as env:
                 for number in range(3, 8):
-                    await place.add_server(f"s{number}", slots=3)
-                daemons = [place.gateway]
-                for number in range(DAEMONS):
-                    port = PORTS[number] if number < len(PORTS) else 0
-                    place.seed += 1
-                    await place.start_gateway(SEEDS, f"d{number}", port)
-                    daemons.append(place.gateway)
+                    await env.add_server(f"s{number}", slots=3)
+                daemons = [env.gateway]
+                for number in range(DAEMON_COUNT):
+                    port = (
+                        RELAY_PORTS[number] if number < len(RELAY_PORTS) else 0
+                    )
+                    env.seed += 1
+                    await env.start_gateway(SEEDS, f"d{number}", port)
+                    daemons.append(env.gateway)
                 await asyncio.sleep(3)
                 try:
-                    return await self.send(place, daemons[1:])
+                    return await self.send(env, daemons[1:])
                 finally:
                     for one in daemons[:-1]:
                         one.listener.close()
                         await one.close()
 
-        return self.run_paused(whole())
+        return self.run_paused(run_fleet())
 
-    async def send(self, place, daemons):
+    async def send(self, env, daemons):
+        """Sends requests through random daemons while two servers fail."""
         for name in ("s0", "s1"):
-            place.servers[name].faults.fail = True
-            place.servers[name].work_s = 0.005
+            env.servers[name].faults.fail = True
+            env.servers[name].work_s = 0.005
         rng = random.Random(1)
         loop = asyncio.get_running_loop()
-        ends = loop.time() + SECONDS
+        until = loop.time() + TRAFFIC_S
         tasks = []
-        while loop.time() < ends:
+        while loop.time() < until:
             one = rng.choice(daemons)
-            place.port = one.listener.sockets[0].getsockname()[1]
+            env.port = one.listener.sockets[0].getsockname()[1]
             name = f"r{len(tasks)}"
-            work = place.request(name, "/file/x", "POST")
+            work = env.request(name, "/file/x", "POST")
             tasks.append(asyncio.ensure_future(work))
-            await asyncio.sleep(rng.expovariate(RATE_PER_S * DAEMONS))
-        began = ends - SECONDS
+            await asyncio.sleep(rng.expovariate(RATE_PER_S * DAEMON_COUNT))
+        began = until - TRAFFIC_S
         await asyncio.gather(*tasks)
         return [
             arrival.at - began
             for name in ("s0", "s1")
-            for arrival in place.servers[name].arrivals
+            for arrival in env.servers[name].arrivals
         ]
 
-    def test_fleet_learns_together_from_requests_that_may_not_be_repeated(self):
-        times = self.play()
-        early = [at for at in times if at <= LEARNED_S]
+    def test_fleet_detects_failures_from_requests_that_must_not_be_retried(
+        self,
+    ):
+        times = self.run_traffic()
+        early = [at for at in times if at <= PROPAGATION_S]
         self.assertGreater(len(early), 2)
         self.assertLessEqual(len(times) - len(early), 1)
--- a/banyantiller/tests/gateway/test_quarantine_sync.py
+++ b/banyantiller/tests/gateway/test_quarantine_sync.py
@@ -1,4 +1,4 @@
-"""Tests of what daemons tell each other of requests that end servers."""
+"""Tests of the exchange of records of requests that crash servers."""
 
 import asyncio
 import random
@@ -17,30 +17,28 @@
 
 
 class Daemon(NamedTuple):
-    """What one daemon knows, and how it tells it."""
+    """The parts of one daemon that detect and synchronise crashes."""
 
     crash_detector: crash_detection.CrashDetector
     quarantine_sync: quarantine_sync.QuarantineSync
 
 
-def make(others=(), asked_itself=False, seed=1):
+def make_daemon(relays=(), is_relay=False, seed=1):
     rng = random.Random(seed)
-    known = crash_detection.CrashDetector(
+    detector = crash_detection.CrashDetector(
         crash_table.CrashTable(100.0, rng),
         lambda server: None,
         lambda server: True,
     )
-    spreader = quarantine_sync.QuarantineSync(
-        known, list(others), asked_itself, rng
-    )
-    return Daemon(known, spreader)
+    sync = quarantine_sync.QuarantineSync(detector, list(relays), is_relay, rng)
+    return Daemon(detector, sync)
 
 
-def peer(port=PORT):
+def make_peer(port=PORT):
     return peers.Peer(Endpoint(harness.ADDRESS, port), "d1", True, 2.0)
 
 
-def end(daemon, request="a", *servers):
+def record_crashes(daemon, request="a", *servers):
     now = asyncio.get_running_loop().time()
     for number, name in enumerate(servers):
         sent_at = now + number * 0.2
@@ -49,7 +47,7 @@
         )
 
 
-async def listen(daemon, port=PORT):
+async def start_listener(daemon, port=PORT):
     async def handle(request):
         return daemon.quarantine_sync.handle(request)
 
@@ -58,100 +56,102 @@
     return listener
 
 
-class SpreadingTest(base.TestCase):
-    def test_what_one_has_seen_is_sent_again_until_it_is_taken(self):
+class QuarantineSyncTest(base.TestCase):
+    def test_records_are_sent_again_until_they_are_accepted(self):
         async def body():
-            teller = make([peer()])
-            end(teller, "a", "s1")
-            teller.quarantine_sync.publish(["a"])
+            sender = make_daemon([make_peer()])
+            record_crashes(sender, "a", "s1")
+            sender.quarantine_sync.publish(["a"])
             await asyncio.sleep(1.0)
-            asked = make(seed=2)
-            listener = await listen(asked)
+            relay = make_daemon(seed=2)
+            listener = await start_listener(relay)
             await asyncio.sleep(1.0)
-            self.assertTrue(asked.crash_detector.tracker.is_suspect("a"))
+            self.assertTrue(relay.crash_detector.tracker.is_suspect("a"))
             await listener.close()
-            teller.quarantine_sync.close()
+            sender.quarantine_sync.close()
 
         self.run_paused(body())
 
-    def test_news_that_come_while_others_are_sent(self):
+    def test_records_that_change_while_others_are_sent(self):
         async def body():
-            teller = make([peer()])
-            asked = make(seed=2)
-            listener = await listen(asked)
+            sender = make_daemon([make_peer()])
+            relay = make_daemon(seed=2)
+            listener = await start_listener(relay)
             for number in range(20):
-                end(teller, f"r{number}", "s1")
-                teller.quarantine_sync.publish([f"r{number}"])
+                record_crashes(sender, f"r{number}", "s1")
+                sender.quarantine_sync.publish([f"r{number}"])
                 await asyncio.sleep(0.003 * number)
             await asyncio.sleep(1.0)
             self.assertEqual(
-                20, len(asked.crash_detector.tracker.table.records)
+                20, len(relay.crash_detector.tracker.table.records)
             )
             await listener.close()
-            teller.quarantine_sync.close()
+            sender.quarantine_sync.close()
 
         self.run_paused(body())
 
-    def test_one_end_is_of_no_interest_to_others(self):
+    def test_single_crash_is_not_announced_to_peers(self):
         async def body():
-            asked = make(asked_itself=True)
-            end(asked, "a", "s1")
-            asked.quarantine_sync.publish(["a"])
+            relay = make_daemon(is_relay=True)
+            record_crashes(relay, "a", "s1")
+            relay.quarantine_sync.publish(["a"])
             await asyncio.sleep(0.1)
-            self.assertEqual("", asked.quarantine_sync.mark())
-            end(asked, "a", "s2")
-            asked.quarantine_sync.publish(["a"])
+            self.assertEqual("", relay.quarantine_sync.mark())
+            record_crashes(relay, "a", "s2")
+            relay.quarantine_sync.publish(["a"])
             await asyncio.sleep(0.1)
-            self.assertNotEqual("", asked.quarantine_sync.mark())
+            self.assertNotEqual("", relay.quarantine_sync.mark())
 
         self.run_paused(body())
 
-    def test_only_what_is_new_is_told(self):
+    def test_only_new_records_are_sent(self):
         async def body():
-            asked = make()
-            end(asked, "a", "s1", "s2")
-            asked.quarantine_sync.publish(["a"])
+            relay = make_daemon()
+            record_crashes(relay, "a", "s1", "s2")
+            relay.quarantine_sync.publish(["a"])
             await asyncio.sleep(0.1)
-            mark = asked.quarantine_sync.mark()
-            for since, told in (("", 1), (mark, 0), ("0badcafe-9", 1)):
+            mark = relay.quarantine_sync.mark()
+            for since, expected in (("", 1), (mark, 0), ("0badcafe-9", 1)):
                 target = f"{quarantine_sync.PATH}?since={since}"
                 request = messages.Request("GET", target)
-                body = asked.quarantine_sync.handle(request).body
+                body = relay.quarantine_sync.handle(request).body
                 reply = msgspec.json.decode(body, type=quarantine_sync.Message)
-                self.assertEqual(told, len(reply["records"]), since)
+                self.assertEqual(expected, len(reply["records"]), since)
 
         self.run_paused(body())
 
-    def test_messages_that_can_not_be_read(self):
+    def test_unreadable_messages(self):
         async def body():
-            asked = make()
+            relay = make_daemon()
             for content in (b"", b"[", b'{"mark": "", "records": [1]}'):
                 request = messages.Request(
                     "POST", quarantine_sync.PATH, (), content
                 )
                 self.assertEqual(
-                    400, asked.quarantine_sync.handle(request).status
+                    400, relay.quarantine_sync.handle(request).status
                 )
-            self.assertEqual({}, asked.crash_detector.tracker.table.records)
+            self.assertEqual({}, relay.crash_detector.tracker.table.records)
             for mark in ("nonsense", "0badcafe", "-", "0badcafe-x"):
-                seen = []
-                other = peer()
-                other.on_mark = lambda _, mark, seen=seen: seen.append(mark)
+                received = []
+                other_peer = make_peer()
+                other_peer.on_mark = lambda _, mark, received=received: (
+                    received.append(mark)
+                )
                 headers = ((mirror.MARK_FIELD, mark),)
-                other._note_mark(messages.Response(200, headers))
-                self.assertEqual([""], seen)
+                other_peer._note_mark(messages.Response(200, headers))
+                self.assertEqual([""], received)
 
         self.run_paused(body())
 
-    def test_a_quarantine_is_lifted_by_a_post_only(self):
+    def test_quarantine_is_lifted_only_by_post(self):
         async def body():
-            asked = make()
-            end(asked, "a", "s1", "s2", "s3")
+            relay = make_daemon()
+            record_crashes(relay, "a", "s1", "s2", "s3")
             target = f"{quarantine_sync.LIFT}?fingerprint=a"
             for method, status in (("GET", 405), ("POST", 204), ("POST", 404)):
                 request = messages.Request(method, target)
                 self.assertEqual(
-                    status, asked.quarantine_sync.handle(request).status
+                    status, relay.quarantine_sync.handle(request).status
                 )
 
         self.run_paused(body())
