--- a/banyantiller/daemon/leaving_servers.py
+++ b/banyantiller/daemon/leaving_servers.py
@@ -57,7 +57,7 @@
     vm_list = daemon.settings.vm_list
     period_s = vm_list.period_s if vm_list is not None else 0.0
     outlets = leaving.Callbacks(
-        leave, daemon.proxy.server_back, daemon.peers.broadcast
+        leave, daemon.proxy.server_returned, daemon.peers.broadcast
     )
     return leaving.LeavingServers.from_settings(daemon.vms, period_s, outlets)
 
@@ -96,7 +96,7 @@
 def _hint_peers(daemon: "assembly.Daemon", listed: interface.VmsListed) -> None:
     # All daemons of a fleet listen for peers on one port, each on its VM.
     port = daemon.settings.peers.listen.port
-    daemon.peers.hint(
+    daemon.peers.set_hints(
         defaults.Endpoint(vm.address, port)
         for vm in listed.vms
         if vm.role == BALANCER
--- a/banyantiller/membership/table.py
+++ b/banyantiller/membership/table.py
@@ -1,11 +1,11 @@
-"""The member table: who is in the fleet, as far as this daemon knows.
+"""The member table: the local view of the fleet.
 
-Every daemon keeps one `MemberEntry` for each other daemon and merges what
-peers tell. A merge takes the greater entry, so it may happen in any order
-and any number of times. A daemon that hears that it is suspected raises its
-own `heard` counter, which beats the suspicion everywhere.
+Every daemon keeps one `MemberEntry` for each peer and merges the entries that
+it receives. A merge keeps the greater entry, so entries may be merged in any
+order and repeatedly. A daemon that learns that it is suspected raises its own
+`heard` counter; the raised entry overrides the suspicion at all members.
 
-Times are seconds of the loop's clock, passed in as `now`.
+Times are seconds of the event loop's clock, passed in as `now`.
 """
 
 import enum
@@ -14,14 +14,14 @@
 
 from banyantiller.membership.messages import MemberEntry
 
-CONFIRM_PERIODS = 2.0
-LEAVING_S = 300.0
-FORGET_S = 300.0
-MOST_MEMBERS = 1024
+SUSPECT_PERIODS_UNTIL_DEAD = 2.0
+LEAVING_TIMEOUT_S = 300.0
+FORGET_DEAD_AFTER_S = 300.0
+MAX_MEMBERS = 1024
 
 
 class State(enum.IntEnum):
-    """States of a member; within one `heard` count the greater wins."""
+    """States of a member; for equal `heard` counters the greater wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -37,43 +37,44 @@
 }
 
 
-def identity(entry: MemberEntry) -> tuple[int, str, int]:
-    """Tells one run of a daemon from another run of the same name."""
+def incarnation_id(entry: MemberEntry) -> tuple[int, str, int]:
+    """Returns the key that orders the incarnations of one daemon name."""
     return entry.incarnation, entry.address, entry.port
 
 
-def order(entry: MemberEntry) -> tuple[object, ...]:
-    """Returns the key by which the greater of two entries wins."""
-    return *identity(entry), entry.heard, entry.state, entry.zone
+def precedence(entry: MemberEntry) -> tuple[object, ...]:
+    """Returns the key by which a merge compares two entries."""
+    return *incarnation_id(entry), entry.heard, entry.state, entry.zone
 
 
 def merge(left: MemberEntry, right: MemberEntry) -> MemberEntry:
-    """Joins two entries of one daemon.
+    """Merges two entries of one daemon.
 
     The result does not depend on the order of the arguments. The bundle
-    version only grows within one run.
+    version never decreases within one incarnation.
     """
     winner, loser = (
         (left, right)
-        if order(left) >= order(right)
+        if precedence(left) >= precedence(right)
         else (
             right,
             left,
         )
     )
-    if identity(winner) != identity(loser):
+    if incarnation_id(winner) != incarnation_id(loser):
         return winner
     return winner._replace(bundle=max(winner.bundle, loser.bundle))
 
 
-class Applied(NamedTuple):
-    """What came of an entry that a peer told.
+class ApplyResult(NamedTuple):
+    """Outcome of applying a received entry.
 
     Attributes:
-        changed: Entry that is worth passing on, or None.
-        refuted: Whether the entry is this daemon's own, raised because the
-            peer's was a suspicion or from another run.
-        displaced: Whether a later run has taken this daemon's name.
+        changed: Entry to disseminate, or None.
+        refuted: Whether `changed` is the local entry, which refutes a
+            suspicion or an entry of an earlier incarnation.
+        displaced: Whether a later incarnation has taken over the name of
+            this daemon.
     """
 
     changed: MemberEntry | None = None
@@ -81,140 +82,143 @@
     displaced: bool = False
 
 
-class Table:
-    """Entries of all known daemons.
+class MemberTable:
+    """Entries of all members in the local view.
 
     Attributes:
-        own: This daemon's entry.
-        entries: Other daemons' entries by name.
-        since: Time of each entry's last change of state here.
+        local: Entry of this daemon.
+        entries: Entries of the peers by name.
+        state_since: Time at which the state of each entry last changed.
     """
 
-    def __init__(self, own: MemberEntry, suspect_s: float) -> None:
-        self.own = own
+    def __init__(self, local: MemberEntry, suspect_s: float) -> None:
+        self.local = local
         self.suspect_s = suspect_s
         self.entries: dict[str, MemberEntry] = {}
-        self.since: dict[str, float] = {}
+        self.state_since: dict[str, float] = {}
 
-    def apply(self, entry: MemberEntry, now: float) -> Applied:
-        """Takes in an entry.
+    def apply_entry(self, entry: MemberEntry, now: float) -> ApplyResult:
+        """Applies a received entry.
 
         Args:
-            entry: What a peer told.
+            entry: Entry that a peer sent.
             now: Loop time.
 
         Returns:
-            What changed by it.
+            What changed.
         """
-        if entry.daemon == self.own.daemon:
-            return self._apply_own(entry)
-        known = self.entries.get(entry.daemon)
-        if known is None:
+        if entry.daemon == self.local.daemon:
+            return self._apply_local(entry)
+        current = self.entries.get(entry.daemon)
+        if current is None:
             return self._apply_new(entry, now)
-        merged = merge(known, entry)
-        if merged == known:
-            return Applied()
-        self._store(merged, now)
-        if order(merged) == order(known):
-            return Applied()
-        return Applied(changed=merged)
-
-    def suspect(self, daemon: str, now: float) -> MemberEntry | None:
-        """Marks a member as suspect; returns the entry if it was alive."""
+        merged = merge(current, entry)
+        if merged == current:
+            return ApplyResult()
+        self._store_entry(merged, now)
+        if precedence(merged) == precedence(current):
+            return ApplyResult()
+        return ApplyResult(changed=merged)
+
+    def mark_suspect(self, daemon: str, now: float) -> MemberEntry | None:
+        """Marks an alive member as suspect; returns its entry, or None."""
         entry = self.entries.get(daemon)
         if entry is None or entry.state != State.ALIVE:
             return None
-        return self._store(entry._replace(state=State.SUSPECT), now)
+        return self._store_entry(entry._replace(state=State.SUSPECT), now)
 
-    def end(self, daemon: str, now: float) -> MemberEntry | None:
-        """Marks a leaving member as dead once its links have closed."""
+    def mark_left(self, daemon: str, now: float) -> MemberEntry | None:
+        """Marks a leaving member as dead; returns its entry, or None."""
         entry = self.entries.get(daemon)
         if entry is None or entry.state != State.LEAVING:
             return None
-        return self._store(entry._replace(state=State.DEAD), now)
+        return self._store_entry(entry._replace(state=State.DEAD), now)
 
-    def expire(self, now: float) -> list[MemberEntry]:
-        """Moves members on whose time in a state is over.
+    def expire_entries(self, now: float) -> list[MemberEntry]:
+        """Applies the time limits of the states.
 
-        Suspects that nobody refuted become dead, as do members that have
-        been leaving for long. Dead members are forgotten.
+        Suspects become dead if the suspicion is not refuted in time, as do
+        members that are leaving for too long. Dead members are removed.
 
         Returns:
             Entries that became dead.
         """
         dead = [
-            self._store(entry._replace(state=State.DEAD), now)
+            self._store_entry(entry._replace(state=State.DEAD), now)
             for entry in list(self.entries.values())
-            if self._is_over(entry, now)
+            if self._is_expired(entry, now)
         ]
-        for name in [n for n, e in self.entries.items() if self._old(e, now)]:
+        for name in [
+            n for n, e in self.entries.items() if self._is_forgettable(e, now)
+        ]:
             del self.entries[name]
-            del self.since[name]
+            del self.state_since[name]
         return dead
 
-    def leave(self) -> MemberEntry:
-        """Marks this daemon as leaving; returns its entry."""
-        self.own = self.own._replace(
-            state=State.LEAVING, heard=self.own.heard + 1
+    def mark_leaving(self) -> MemberEntry:
+        """Marks this daemon as leaving; returns the local entry."""
+        self.local = self.local._replace(
+            state=State.LEAVING, heard=self.local.heard + 1
         )
-        return self.own
+        return self.local
 
-    def take_name(self, other: MemberEntry) -> MemberEntry:
-        """Raises the own incarnation above an earlier run's; returns it."""
-        self.own = self.own._replace(
-            incarnation=max(self.own.incarnation, other.incarnation) + 1
+    def raise_incarnation_above(self, other: MemberEntry) -> MemberEntry:
+        """Raises the local incarnation above another; returns the entry."""
+        self.local = self.local._replace(
+            incarnation=max(self.local.incarnation, other.incarnation) + 1
         )
-        return self.own
+        return self.local
 
-    def set_bundle(self, version: int) -> None:
-        """Notes the version of the bundle in force here."""
-        self.own = self.own._replace(bundle=version)
+    def set_bundle_version(self, version: int) -> None:
+        """Sets the version of the bundle in force in the local entry."""
+        self.local = self.local._replace(bundle=version)
 
-    def members(self, states: Iterable[int]) -> list[MemberEntry]:
-        """Returns the other members in the given states, by name."""
-        wanted = set(states)
+    def members_in_states(self, states: Iterable[int]) -> list[MemberEntry]:
+        """Returns the peers in the given states, sorted by name."""
+        wanted_states = set(states)
         return [
             self.entries[name]
             for name in sorted(self.entries)
-            if self.entries[name].state in wanted
+            if self.entries[name].state in wanted_states
         ]
 
     def all_entries(self) -> tuple[MemberEntry, ...]:
-        """Returns the own entry and all others."""
-        return self.own, *self.entries.values()
-
-    def _apply_own(self, entry: MemberEntry) -> Applied:
-        if identity(entry) > identity(self.own):
-            return Applied(displaced=True)
-        if identity(entry) < identity(self.own):
-            return Applied(self.own, refuted=True)
-        # Equal counters with a worse state, or a counter raised by an
-        # entry that outlived a lost one: both are answered by a higher one.
-        if order(entry) <= order(self.own):
-            return Applied()
-        self.own = self.own._replace(heard=entry.heard + 1)
-        return Applied(self.own, refuted=True)
-
-    def _apply_new(self, entry: MemberEntry, now: float) -> Applied:
-        # A dead member that is not known here was forgotten: taking it in
-        # again would let two daemons remind each other of it for ever.
-        if entry.state == State.DEAD or len(self.entries) >= MOST_MEMBERS:
-            return Applied()
-        return Applied(changed=self._store(entry, now))
-
-    def _store(self, entry: MemberEntry, now: float) -> MemberEntry:
-        known = self.entries.get(entry.daemon)
-        if known is None or known.state != entry.state:
-            self.since[entry.daemon] = now
+        """Returns the local entry and those of all peers."""
+        return self.local, *self.entries.values()
+
+    def _apply_local(self, entry: MemberEntry) -> ApplyResult:
+        if incarnation_id(entry) > incarnation_id(self.local):
+            return ApplyResult(displaced=True)
+        if incarnation_id(entry) < incarnation_id(self.local):
+            return ApplyResult(self.local, refuted=True)
+        # The entry has an equal counter and a worse state, or a higher counter
+        # from an update that this daemon no longer has. Raising the local
+        # counter above that of the entry refutes both.
+        if precedence(entry) <= precedence(self.local):
+            return ApplyResult()
+        self.local = self.local._replace(heard=entry.heard + 1)
+        return ApplyResult(self.local, refuted=True)
+
+    def _apply_new(self, entry: MemberEntry, now: float) -> ApplyResult:
+        # A dead member without an entry has been removed here before. Adding
+        # it again would let two daemons re-infect each other without end.
+        if entry.state == State.DEAD or len(self.entries) >= MAX_MEMBERS:
+            return ApplyResult()
+        return ApplyResult(changed=self._store_entry(entry, now))
+
+    def _store_entry(self, entry: MemberEntry, now: float) -> MemberEntry:
+        current = self.entries.get(entry.daemon)
+        if current is None or current.state != entry.state:
+            self.state_since[entry.daemon] = now
         self.entries[entry.daemon] = entry
         return entry
 
-    def _is_over(self, entry: MemberEntry, now: float) -> bool:
-        age = now - self.since[entry.daemon]
+    def _is_expired(self, entry: MemberEntry, now: float) -> bool:
+        age = now - self.state_since[entry.daemon]
         if entry.state == State.SUSPECT:
-            return age >= self.suspect_s * CONFIRM_PERIODS
-        return entry.state == State.LEAVING and age >= LEAVING_S
+            return age >= self.suspect_s * SUSPECT_PERIODS_UNTIL_DEAD
+        return entry.state == State.LEAVING and age >= LEAVING_TIMEOUT_S
 
-    def _old(self, entry: MemberEntry, now: float) -> bool:
-        age = now - self.since[entry.daemon]
-        return entry.state == State.DEAD and age >= FORGET_S
+    def _is_forgettable(self, entry: MemberEntry, now: float) -> bool:
+        age = now - self.state_since[entry.daemon]
+        return entry.state == State.DEAD and age >= FORGET_DEAD_AFTER_S
