--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -104,7 +104,7 @@
             self._record_end(0, ErrorKind.CALLER_GONE)
             raise
         except Exception:
-            fault = call_events.CallFault(self.request.request_id)
+            fault = call_events.InternalError(self.request.request_id)
             events.emit(fault, exc_info=True)
             reply = self._fail(ErrorKind.INTERNAL)
         self._record_end(reply.status, self.progress.error)
@@ -228,7 +228,7 @@
             or len(self.attempts) > 1
         ):
             return False
-        if self.gateway.crash_detector.watch.is_suspect(
+        if self.gateway.crash_detector.tracker.is_suspect(
             self.request.fingerprint
         ):
             return False
@@ -316,7 +316,7 @@
 
     def _quarantine_left_s(self) -> float | None:
         """Returns the rest of the quarantine in seconds, or None."""
-        return self.gateway.crash_detector.watch.quarantine_left_s(
+        return self.gateway.crash_detector.tracker.quarantine_left_s(
             self.request.fingerprint, self.loop.time()
         )
 
@@ -331,7 +331,7 @@
         if broken.kind is not ErrorKind.CONNECTION_LOST:
             return False
         incarnation = crash_detection.incarnation_id(attempt.entry.server)
-        crashes = self.gateway.crash_detector.watch.count_crashes(
+        crashes = self.gateway.crash_detector.tracker.count_crashes(
             self.request.fingerprint, incarnation
         )
         return crashes >= MAX_CRASHES_BEFORE_ATTEMPT
--- a/banyantiller/gateway/metrics.py
+++ b/banyantiller/gateway/metrics.py
@@ -102,7 +102,7 @@
 
     def _add_gauges(self) -> None:
         gateway = self.gateway
-        crash_table = gateway.crash_detector.watch.table
+        crash_table = gateway.crash_detector.tracker.table
         rows = (
             ("document_version", "Version of the document in force.",
              lambda: gateway.store_view.version),
--- a/banyantiller/gateway/probing.py
+++ b/banyantiller/gateway/probing.py
@@ -299,7 +299,7 @@
                 )
             except (OSError, connection.ConnectionLostError) as error:
                 events.emit(
-                    events.KeptConnectionLost(entry.server.instance, str(error))
+                    events.IdleConnectionLost(entry.server.instance, str(error))
                 )
             link = await server_pool.acquire(fresh=True)
         return link, await self._read(server_pool, link, entry, health_path)
--- a/banyantiller/gateway/run.py
+++ b/banyantiller/gateway/run.py
@@ -120,7 +120,7 @@
         try:
             loaded = options.load(self.path)
         except exceptions.BanyantillerError as error:
-            events.emit(events.SettingsRefused(str(error)))
+            events.emit(events.SettingsReloadFailed(str(error)))
             return
         self.settings = loaded
         self.gateway.settings = loaded
--- a/banyantiller/gateway/store_watching.py
+++ b/banyantiller/gateway/store_watching.py
@@ -174,7 +174,7 @@
                 return
             self._record_response()
             if isinstance(outcome, interface.Gone):
-                events.emit(events.HistoryLost(self.object_kind))
+                events.emit(events.ChangeHistoryLost(self.object_kind))
                 self.version = ""
                 return
             self.version = outcome.version
--- a/bench/findings.py
+++ b/bench/findings.py
@@ -49,7 +49,7 @@
         "trouble-3",
         "run",
         "CONFIG: a watch waited on a silent store past its return",
-        "test_return_of_a_silent_store_is_seen_whenever_it_comes",
+        "test_return_of_an_unresponsive_store_is_noticed_at_any_time",
     ),
     Finding(
         "gardiens-dakar",
