--- a/banyantiller/commands/audit.py
+++ b/banyantiller/commands/audit.py
@@ -54,7 +54,7 @@
 async def _seen(session: context.Session) -> set[chain.Tip]:
     now_ms = times.to_ms(session.wall())
     period = judging.Period(now_ms - RECENT_MS, now_ms)
-    return await assessment.carried_tips(
+    return await assessment.read_carried_tips(
         session.store, session.deployment, period
     )
 
--- a/banyantiller/commands/evidence_output.py
+++ b/banyantiller/commands/evidence_output.py
@@ -5,10 +5,10 @@
 from banyantiller.commands import times
 from banyantiller.evidence import chain, trail
 from banyantiller.evidence.assessment import Assessment
-from banyantiller.evidence.history import RunHistory, Unknown
-from banyantiller.evidence.judging import Judgement, connected, joined
+from banyantiller.evidence.history import EvidenceGap, RunHistory
+from banyantiller.evidence.judging import Judgement, join_gaps, join_judgements
 from banyantiller.evidence.promises import Promise
-from banyantiller.evidence.verdicts import Broken, Held, Named, NotKnown
+from banyantiller.evidence.verdicts import Broken, Held, NamedBreach, NotKnown
 
 MOST_LINES = 20
 
@@ -21,9 +21,9 @@
 
 def assessment_data(found: Assessment) -> dict[str, Any]:
     """Returns an assessment as a JSON object."""
-    period = found.question.period
+    period = found.request.period
     return {
-        "deployment": found.question.deployment,
+        "deployment": found.request.deployment,
         "from": times.text_of(period.from_ms),
         "to": times.text_of(period.to_ms),
         "daemons": [_run_data(item) for item in found.histories],
@@ -72,12 +72,12 @@
 
 def assessment_lines(found: Assessment) -> list[str]:
     """Returns an assessment as lines of text."""
-    period = found.question.period
+    period = found.request.period
     lines = [
-        f"{found.question.deployment}: {times.text_of(period.from_ms)} to"
+        f"{found.request.deployment}: {times.text_of(period.from_ms)} to"
         f" {times.text_of(period.to_ms)}, {_daemons(found)}"
     ]
-    judgements = joined(found.judgements)
+    judgements = join_judgements(found.judgements)
     for item in judgements:
         lines += _judgement_lines(item)
     lines += _missing_lines(judgements)
@@ -104,7 +104,7 @@
 
 
 def _daemons(found: Assessment) -> str:
-    period = found.question.period
+    period = found.request.period
     names = {
         item.run.daemon
         for item in found.histories
@@ -133,10 +133,10 @@
 
 def _missing_lines(judgements: list[Judgement]) -> list[str]:
     """Returns what is missing, once for all promises that it concerns."""
-    promises: dict[Unknown, list[str]] = {}
+    promises: dict[EvidenceGap, list[str]] = {}
     for item in judgements:
         if not isinstance(item.verdict, Held):
-            for part in connected(item.verdict.unknown):
+            for part in join_gaps(item.verdict.unknown):
                 names = promises.setdefault(part, [])
                 if item.promise not in names:
                     names.append(item.promise)
@@ -162,14 +162,14 @@
     return [*lines[:MOST_LINES], f"  and {more} more; see --json"]
 
 
-def _named_line(breach: Named) -> str:
+def _named_line(breach: NamedBreach) -> str:
     request = breach.request_id or "no request"
     daemon = breach.daemon or "fleet"
     at = times.text_of(breach.at_ms)
     return f"  {request} at {at} by {daemon}: {breach.detail}"
 
 
-def _named_data(breach: Named) -> dict[str, Any]:
+def _named_data(breach: NamedBreach) -> dict[str, Any]:
     return {
         "daemon": breach.daemon,
         "request_id": breach.request_id,
@@ -178,7 +178,7 @@
     }
 
 
-def _unknown_data(part: Unknown) -> dict[str, Any]:
+def _unknown_data(part: EvidenceGap) -> dict[str, Any]:
     return {
         "daemon": part.daemon,
         "from": times.text_of(part.from_ms),
--- a/banyantiller/commands/held.py
+++ b/banyantiller/commands/held.py
@@ -54,8 +54,8 @@
     until: str,
     every: str,
     clock_tolerance: float,
-) -> assessment.Question:
-    """Turns options of the command line into a question.
+) -> assessment.AssessmentRequest:
+    """Turns options of the command line into a request for an assessment.
 
     Raises:
         ConfigError: A time is not valid or the period is empty.
@@ -66,7 +66,7 @@
     every_s = times.duration_s(every)
     if not every_s:
         raise exceptions.ConfigError(f"'{every}' is no duration such as 10m.")
-    settled = await assessment.settled(
+    settled = await assessment.find_judgeable_period(
         session.store, session.deployment, times.to_ms(now)
     )
     to_ms = times.moment_ms(until, now) if until else settled.until_ms
@@ -75,7 +75,7 @@
         from_ms = times.moment_ms(since, now)
     period = judging.Period(from_ms, to_ms)
     _check_not_empty(period, chosen=bool(since or until))
-    return assessment.Question(
+    return assessment.AssessmentRequest(
         session.deployment,
         period,
         times.to_ms(every_s),
--- a/banyantiller/commands/report_page.py
+++ b/banyantiller/commands/report_page.py
@@ -5,7 +5,7 @@
 from banyantiller.commands import evidence_output, html_page, times
 from banyantiller.evidence import charts
 from banyantiller.evidence.assessment import Assessment
-from banyantiller.evidence.judging import Judgement, connected, joined
+from banyantiller.evidence.judging import Judgement, join_gaps, join_judgements
 from banyantiller.evidence.promises import STATEMENTS, Promise
 from banyantiller.evidence.verdicts import Broken, Held, NotKnown
 
@@ -25,20 +25,20 @@
     Raises:
         PluginError: matplotlib is not installed.
     """
-    period = found.question.period
-    title = f"What held: {found.question.deployment}"
+    period = found.request.period
+    title = f"What held: {found.request.deployment}"
     span = f"{times.text_of(period.from_ms)} to {times.text_of(period.to_ms)}"
     body = [
         f"<h1>{html.escape(title)}</h1>",
         f"<p>{span}. Made {times.text_of(made_ms)}. Times are UTC.</p>",
         "<h2>Answers</h2>",
-        html_page.image(charts.answers(found), "answers over time"),
+        html_page.image(charts.draw_verdicts(found), "answers over time"),
         _answers(found),
         "<h2>What was seen</h2>",
-        html_page.image(charts.coverage(found), "evidence by daemon"),
-        html_page.image(charts.calls(found), "calls a second"),
-        html_page.image(charts.latencies(found), "latency"),
-        html_page.image(charts.bundles(found), "delay of bundles"),
+        html_page.image(charts.draw_coverage(found), "evidence by daemon"),
+        html_page.image(charts.draw_calls(found), "calls a second"),
+        html_page.image(charts.draw_latencies(found), "latency"),
+        html_page.image(charts.draw_bundle_delays(found), "delay of bundles"),
         "<h2>Changes</h2>",
         _audit(found),
         "<h2>How each promise is judged</h2>",
@@ -48,7 +48,7 @@
 
 
 def _answers(found: Assessment) -> str:
-    rows = [_answer_row(item) for item in joined(found.judgements)]
+    rows = [_answer_row(item) for item in join_judgements(found.judgements)]
     return html_page.table(("Promise", "Period", "Answer", "Detail"), rows)
 
 
@@ -83,7 +83,7 @@
         f"Not known: {html.escape(part.daemon or 'fleet')}"
         f" {times.text_of(part.from_ms)} to {times.text_of(part.to_ms)}:"
         f" {html.escape(part.why)}"
-        for part in connected(unknown)
+        for part in join_gaps(unknown)
     ]
     return "<br>".join(lines)
 
@@ -91,7 +91,7 @@
 def _audit(found: Assessment) -> str:
     lines = [evidence_output.audit_line(found.audit)]
     lines += evidence_output.problem_lines(found.audit.problems)
-    period = found.question.period
+    period = found.request.period
     rows = [
         (
             str(entry.get("sequence")),
--- a/banyantiller/evidence/assessment.py
+++ b/banyantiller/evidence/assessment.py
@@ -17,11 +17,11 @@
 
 DAY_MS = 86_400_000
 SECOND_MS = 1000
-WRITE_TIME_MS = 5000
+WRITE_ALLOWANCE_MS = 5000
 LOOK_AHEAD_MS = 30_000
 
 
-class Question(NamedTuple):
+class AssessmentRequest(NamedTuple):
     """What is asked.
 
     Attributes:
@@ -44,19 +44,19 @@
     """What was found.
 
     Attributes:
-        question: What was asked.
+        request: What was asked.
         judgements: By promise and part.
         histories: Runs of daemons.
         audit: The check of the audit trail.
     """
 
-    question: Question
+    request: AssessmentRequest
     judgements: tuple[judging.Judgement, ...]
     histories: tuple[history.RunHistory, ...]
     audit: trail.AuditReport
 
 
-class Settled(NamedTuple):
+class JudgeablePeriod(NamedTuple):
     """What can be judged now.
 
     Attributes:
@@ -70,9 +70,9 @@
     known_ms: int
 
 
-async def settled(
+async def find_judgeable_period(
     store: interface.ObjectStore, deployment: str, now_ms: int
-) -> Settled:
+) -> JudgeablePeriod:
     """Finds out up to when daemons had time to report.
 
     Args:
@@ -83,87 +83,91 @@
     Raises:
         StoreError: The object API did not answer.
     """
-    values = await _values(store, layout.RUN_KIND, {"deployment": deployment})
-    runs = history.announced(values)
+    values = await _list_values(
+        store, layout.RUN_KIND, {"deployment": deployment}
+    )
+    runs = history.read_runs(values)
     if not runs:
-        return Settled(0, now_ms, now_ms)
+        return JudgeablePeriod(0, now_ms, now_ms)
     first_ms = min(run.started_ms for run in runs)
     living = [run.period_ms for run in runs if not run.ended_ms]
     if not living:
         ended_ms = min(max(run.ended_ms for run in runs), now_ms)
-        return Settled(first_ms, ended_ms, ended_ms)
-    known_ms = now_ms - max(living) * 3 // 2 - WRITE_TIME_MS
+        return JudgeablePeriod(first_ms, ended_ms, ended_ms)
+    known_ms = now_ms - max(living) * 3 // 2 - WRITE_ALLOWANCE_MS
     due_ms = (
         judging_bundles.IN_FORCE_LIMIT_MS + judging_bundles.CLOCK_TOLERANCE_MS
     )
-    return Settled(first_ms, known_ms - due_ms, known_ms)
+    return JudgeablePeriod(first_ms, known_ms - due_ms, known_ms)
 
 
 async def assess(
-    store: interface.ObjectStore, question: Question
+    store: interface.ObjectStore, request: AssessmentRequest
 ) -> Assessment:
     """Reads and judges.
 
     Raises:
         StoreError: The object API did not answer; nothing can be said.
     """
-    period = question.period
-    blocks = await _blocks(store, question.deployment, period)
-    runs = await _values(
-        store, layout.RUN_KIND, {"deployment": question.deployment}
+    period = request.period
+    blocks = await _list_blocks(store, request.deployment, period)
+    runs = await _list_values(
+        store, layout.RUN_KIND, {"deployment": request.deployment}
     )
-    audit = await trail.verify(store, question.deployment, _tips(blocks))
+    audit = await trail.verify(store, request.deployment, _collect_tips(blocks))
     if not audit.readable:
         raise exceptions.StoreError(f"The object API failed: {audit.reason}.")
     sound = sound_entries(audit)
-    stored = history.Stored(runs, blocks, history.gone_daemons(sound))
-    known_ms = min(period.to_ms + LOOK_AHEAD_MS, question.known_ms)
+    stored = history.StoredEvidence(runs, blocks, history.gone_daemons(sound))
+    known_ms = min(period.to_ms + LOOK_AHEAD_MS, request.known_ms)
     end_ms = max(period.to_ms, known_ms)
-    histories = history.build(stored, question.deployment, end_ms)
+    histories = history.build_histories(stored, request.deployment, end_ms)
     # The audit trail notes the end of a roll, so it is the least exact.
     accepted = {
-        **_rolled(sound),
+        **_acceptances_in_trail(sound),
         **judging_bundles.accepted_by_daemons(histories),
-        **await _head(store, question.deployment),
+        **await _read_head_acceptance(store, request.deployment),
     }
     evidence = judging.Evidence(
         histories, accepted, audit_gaps(audit, period.to_ms)
     )
     judgements = judging.judge(
-        evidence, period, question.every_ms, question.tolerance_ms
+        evidence, period, request.every_ms, request.tolerance_ms
     )
-    return Assessment(question, tuple(judgements), tuple(histories), audit)
+    return Assessment(request, tuple(judgements), tuple(histories), audit)
 
 
 def sound_entries(audit: trail.AuditReport) -> list[dict[str, Any]]:
     """Returns the audit entries against which nothing speaks."""
-    bad = {problem.sequence for problem in audit.problems}
-    return [item for item in audit.entries if item.get("sequence") not in bad]
+    damaged = {problem.sequence for problem in audit.problems}
+    return [
+        item for item in audit.entries if item.get("sequence") not in damaged
+    ]
 
 
 def audit_gaps(
     audit: trail.AuditReport, until_ms: int
-) -> list[history.Unknown]:
+) -> list[history.EvidenceGap]:
     """Returns the times between the sound neighbours of damaged entries."""
     times = {
         item["sequence"]: item["at_ms"]
         for item in sound_entries(audit)
         if isinstance(item.get("at_ms"), int)
     }
-    gaps: list[history.Unknown] = []
+    gaps: list[history.EvidenceGap] = []
     for problem in audit.problems:
         before = [at for n, at in times.items() if n < problem.sequence]
         after = [at for n, at in times.items() if n > problem.sequence]
         why = f"Audit trail: {problem.detail}"
         gaps.append(
-            history.Unknown(
+            history.EvidenceGap(
                 "", max(before, default=0), min(after, default=until_ms), why
             )
         )
     return gaps
 
 
-async def carried_tips(
+async def read_carried_tips(
     store: interface.ObjectStore, deployment: str, period: judging.Period
 ) -> set[chain.Tip]:
     """Returns the audit tips that daemons carried in a period.
@@ -171,10 +175,10 @@
     Raises:
         StoreError: The object API did not answer.
     """
-    return _tips(await _blocks(store, deployment, period))
+    return _collect_tips(await _list_blocks(store, deployment, period))
 
 
-def _tips(blocks: Sequence[Mapping[str, Any]]) -> set[chain.Tip]:
+def _collect_tips(blocks: Sequence[Mapping[str, Any]]) -> set[chain.Tip]:
     """Collects the audit tips that daemons carried in their summaries."""
     tips: set[chain.Tip] = set()
     for block in blocks:
@@ -183,7 +187,7 @@
             if not isinstance(record, dict):
                 continue
             tips.add(
-                trail.tip_from(
+                trail.parse_tip(
                     {
                         "sequence": record.get("audit_sequence"),
                         "digest": record.get("audit_digest"),
@@ -193,7 +197,7 @@
     return tips
 
 
-async def _blocks(
+async def _list_blocks(
     store: interface.ObjectStore, deployment: str, period: judging.Period
 ) -> list[dict[str, Any]]:
     """Lists blocks by day, from the day before, as blocks span midnight."""
@@ -201,12 +205,12 @@
     day_ms = period.from_ms // DAY_MS * DAY_MS - DAY_MS
     while day_ms <= period.to_ms:
         labels = {"deployment": deployment, "day": layout.day_of(day_ms)}
-        blocks += await _values(store, layout.BLOCK_KIND, labels)
+        blocks += await _list_values(store, layout.BLOCK_KIND, labels)
         day_ms += DAY_MS
     return blocks
 
 
-async def _values(
+async def _list_values(
     store: interface.ObjectStore, kind: str, labels: dict[str, str]
 ) -> list[dict[str, Any]]:
     outcome = await store.list(kind, labels)
@@ -215,7 +219,7 @@
     return [item.value for item in outcome.items]
 
 
-async def _head(
+async def _read_head_acceptance(
     store: interface.ObjectStore, deployment: str
 ) -> dict[int, int]:
     head = await reading.read_head(store, deployment)
@@ -225,7 +229,9 @@
     return {head.accepted.manifest.version: accepted_ms}
 
 
-def _rolled(entries: Sequence[Mapping[str, Any]]) -> dict[int, int]:
+def _acceptances_in_trail(
+    entries: Sequence[Mapping[str, Any]],
+) -> dict[int, int]:
     """Returns the versions that the audit trail says were accepted."""
     rolled: dict[int, int] = {}
     for entry in entries:
--- a/banyantiller/evidence/audit.py
+++ b/banyantiller/evidence/audit.py
@@ -30,10 +30,10 @@
 log = structlog.get_logger("banyantiller.evidence")
 
 MAX_DETAIL_BYTES = 65_536
-MOST_CONFLICTS = 40
-MOST_FAILURES = 6
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.8
+MAX_CONFLICTS = 40
+MAX_FAILURES = 6
+INITIAL_PAUSE_S = 0.05
+MAX_PAUSE_S = 0.8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
         "at_ms": round(wall() * 1000),
         "nonce": secrets.token_hex(16),
     }
-    for attempt in range(MOST_CONFLICTS):
+    for attempt in range(MAX_CONFLICTS):
         try:
             tip = await trail.read_tip(store, deployment)
         except trail.UnreadableError as error:
@@ -116,14 +116,16 @@
     name = trail.entry_name(entry["deployment"], entry["sequence"])
     labels = {"deployment": entry["deployment"]}
     pending = False
-    for attempt in range(MOST_FAILURES):
+    for attempt in range(MAX_FAILURES):
         outcome = await store.create(trail.ENTRY_KIND, name, entry, labels)
         if isinstance(outcome, interface.Found):
             return Appended(entry["sequence"], entry["digest"])
         if isinstance(outcome, interface.Conflict):
-            held = await _holds(store, name, entry) if pending else False
-            if held is not None:
-                return _appended(entry) if held else None
+            is_stored = (
+                await _is_stored(store, name, entry) if pending else False
+            )
+            if is_stored is not None:
+                return _appended(entry) if is_stored else None
         pending = pending or isinstance(outcome, interface.Unknown)
         await asyncio.sleep(_pause(attempt))
     reason = getattr(outcome, "reason", "The object API did not answer.")
@@ -131,14 +133,14 @@
 
 
 def _pause(attempt: int) -> float:
-    return min(FIRST_PAUSE_S * 2.0**attempt, LONGEST_PAUSE_S)
+    return min(INITIAL_PAUSE_S * 2.0**attempt, MAX_PAUSE_S)
 
 
 def _appended(entry: dict[str, Any]) -> Appended:
     return Appended(entry["sequence"], entry["digest"])
 
 
-async def _holds(
+async def _is_stored(
     store: interface.ObjectStore, name: str, entry: dict[str, Any]
 ) -> bool | None:
     """Tells whether the stored entry is ours; None if it can't be read."""
@@ -154,14 +156,14 @@
     """Raises the recorded tip; a failure only costs a longer search."""
     value = {"sequence": appended.sequence, "digest": appended.digest}
     labels = {"deployment": deployment}
-    for _ in range(MOST_FAILURES):
+    for _ in range(MAX_FAILURES):
         found = await store.get(trail.TIP_KIND, deployment)
         if isinstance(found, interface.Missing):
             outcome = await store.create(
                 trail.TIP_KIND, deployment, value, labels
             )
         elif isinstance(found, interface.Found):
-            if trail.tip_from(found.item.value).sequence >= appended.sequence:
+            if trail.parse_tip(found.item.value).sequence >= appended.sequence:
                 return
             outcome = await store.update(found.item, value)
         else:
--- a/banyantiller/evidence/backlog.py
+++ b/banyantiller/evidence/backlog.py
@@ -2,7 +2,7 @@
 
 from banyantiller.evidence import summary as summaries
 
-MOST_PENDING = 20
+MAX_PENDING = 20
 
 
 class Backlog:
@@ -16,18 +16,20 @@
         most_requests: Most breaches that one summary lists.
     """
 
-    def __init__(self, most_requests: int, most: int = MOST_PENDING) -> None:
+    def __init__(
+        self, most_requests: int, max_pending: int = MAX_PENDING
+    ) -> None:
         self.pending: list[summaries.Summary] = []
         self.most_requests = most_requests
-        self.most = most
+        self.max_pending = max_pending
 
-    def add(self, summary: summaries.Summary) -> None:
+    def add_summary(self, summary: summaries.Summary) -> None:
         """Adds the latest summary."""
         self.pending.append(summary)
-        if len(self.pending) > self.most:
+        if len(self.pending) > self.max_pending:
             self._join()
 
-    def take(self) -> list[summaries.Summary]:
+    def take_all(self) -> list[summaries.Summary]:
         """Removes and returns all summaries, oldest first."""
         taken = self.pending
         self.pending = []
--- a/banyantiller/evidence/charts.py
+++ b/banyantiller/evidence/charts.py
@@ -23,7 +23,7 @@
 MILLISECONDS = 1000
 
 
-def answers(found: Assessment) -> str:
+def draw_verdicts(found: Assessment) -> str:
     """Draws when each promise held, was broken or is not known."""
 
     def draw(axes: Any) -> None:
@@ -40,23 +40,28 @@
         axes.set_yticks(range(len(names)), [str(name) for name in names])
         axes.invert_yaxis()
 
-    return _draw(found, draw, "held (green), broken (red), not known (grey)")
+    return _render_chart(
+        found, draw, "held (green), broken (red), not known (grey)"
+    )
 
 
-def calls(found: Assessment) -> str:
+def draw_calls(found: Assessment) -> str:
     """Draws calls and failed calls a second over time."""
 
     def draw(axes: Any) -> None:
-        for label, count in (("calls", _calls), ("failed", _failed)):
+        for label, count in (
+            ("calls", _call_count),
+            ("failed", _failed_call_count),
+        ):
             points = _rates(found.histories, count)
             axes.step(*points, where="post", label=label)
         axes.set_ylabel("1/s")
         axes.legend(loc="upper left", frameon=False)
 
-    return _draw(found, draw, "calls a second over all daemons")
+    return _render_chart(found, draw, "calls a second over all daemons")
 
 
-def latencies(found: Assessment) -> str:
+def draw_latencies(found: Assessment) -> str:
     """Draws the median and the 99th percentile over time."""
 
     def draw(axes: Any) -> None:
@@ -73,10 +78,10 @@
         axes.set_ylabel("ms")
         axes.legend(loc="upper left", frameon=False)
 
-    return _draw(found, draw, "time from request head to end of answer")
+    return _render_chart(found, draw, "time from request head to end of answer")
 
 
-def bundles(found: Assessment) -> str:
+def draw_bundle_delays(found: Assessment) -> str:
     """Draws the delay from acceptance to force at each daemon."""
 
     def draw(axes: Any) -> None:
@@ -94,10 +99,12 @@
         )
         axes.set_ylabel("s")
 
-    return _draw(found, draw, "delay from acceptance of a bundle to force")
+    return _render_chart(
+        found, draw, "delay from acceptance of a bundle to force"
+    )
 
 
-def coverage(found: Assessment) -> str:
+def draw_coverage(found: Assessment) -> str:
     """Draws the times for which each daemon's evidence is sound."""
 
     def draw(axes: Any) -> None:
@@ -105,25 +112,31 @@
         for history in found.histories:
             row = names.index(history.run.daemon)
             for summary in history.summaries:
-                _bar(axes, row, summary.from_ms, summary.to_ms, HELD_COLOUR)
+                _draw_bar(
+                    axes, row, summary.from_ms, summary.to_ms, HELD_COLOUR
+                )
             for gap in history.unknown:
-                _bar(axes, row, gap.from_ms, gap.to_ms, NOT_KNOWN_COLOUR)
+                _draw_bar(axes, row, gap.from_ms, gap.to_ms, NOT_KNOWN_COLOUR)
         axes.set_yticks(range(len(names)), names)
 
-    return _draw(found, draw, "sound evidence by daemon (green), none (grey)")
+    return _render_chart(
+        found, draw, "sound evidence by daemon (green), none (grey)"
+    )
 
 
-def _bar(axes: Any, row: int, from_ms: int, to_ms: int, colour: str) -> None:
+def _draw_bar(
+    axes: Any, row: int, from_ms: int, to_ms: int, colour: str
+) -> None:
     start, end = _time(from_ms), _time(to_ms)
     axes.barh(row, end - start, left=start, color=colour)
 
 
-def _draw(found: Assessment, draw: plots.Draw, title: str) -> str:
+def _render_chart(found: Assessment, draw: plots.Draw, title: str) -> str:
     """Draws one plot over the whole period."""
 
     def over_period(axes: Any) -> None:
         draw(axes)
-        period = found.question.period
+        period = found.request.period
         axes.set_xlim(_time(period.from_ms), _time(period.to_ms))
         axes.figure.autofmt_xdate()
 
@@ -134,11 +147,11 @@
     return datetime.datetime.fromtimestamp(at_ms / MILLISECONDS, datetime.UTC)
 
 
-def _calls(summary: Summary) -> int:
+def _call_count(summary: Summary) -> int:
     return sum(summary.calls.values())
 
 
-def _failed(summary: Summary) -> int:
+def _failed_call_count(summary: Summary) -> int:
     return sum(summary.errors.values())
 
 
--- a/banyantiller/evidence/cleanup.py
+++ b/banyantiller/evidence/cleanup.py
@@ -16,8 +16,8 @@
 log = structlog.get_logger("banyantiller.evidence")
 
 DAY_MS = 86_400_000
-MOST_DAYS_LATE = 3
-MOST_DELETED = 50
+MAX_DAYS_LATE = 3
+MAX_DELETED = 50
 
 
 async def remove_expired(
@@ -39,7 +39,7 @@
     Returns:
         Number of objects removed.
     """
-    late_days = rng.randint(1, MOST_DAYS_LATE)
+    late_days = rng.randint(1, MAX_DAYS_LATE)
     limit_ms = now_ms - retention_days * DAY_MS
     day = layout.day_of(limit_ms - late_days * DAY_MS)
     labels = {"deployment": deployment, "day": day}
@@ -48,7 +48,7 @@
     expired += [item for item in runs if _ended_before(item, limit_ms)]
     rng.shuffle(expired)
     removed = 0
-    for item in expired[:MOST_DELETED]:
+    for item in expired[:MAX_DELETED]:
         outcome = await store.delete(item)
         if isinstance(outcome, interface.Unavailable | interface.Unknown):
             break
@@ -69,7 +69,7 @@
 
 def _ended_before(item: interface.StoredObject, limit_ms: int) -> bool:
     try:
-        run = layout.run_from(item.value)
+        run = layout.parse_run(item.value)
     except msgspec.ValidationError:
         return False
     return 0 < run.ended_ms < limit_ms
--- a/banyantiller/evidence/counts.py
+++ b/banyantiller/evidence/counts.py
@@ -52,17 +52,17 @@
 
     def add_item(self, name: str, item: Any) -> None:
         """Adds to a bounded list, or counts what does not fit."""
-        most = summaries.LISTS.get(name, self.most_requests)
-        if len(self.lists[name]) < most:
+        limit = summaries.LISTS.get(name, self.most_requests)
+        if len(self.lists[name]) < limit:
             self.lists[name].append(item)
         else:
             self.omitted[name] += 1
 
     def bounded_calls(self) -> dict[str, int]:
         """Returns calls by service; the least used ones together."""
-        if len(self.calls) <= summaries.MOST_SERVICES:
+        if len(self.calls) <= summaries.MAX_SERVICES:
             return dict(self.calls)
-        kept = dict(self.calls.most_common(summaries.MOST_SERVICES))
+        kept = dict(self.calls.most_common(summaries.MAX_SERVICES))
         kept[OTHER_SERVICES] = self.calls.total() - sum(kept.values())
         return kept
 
--- a/banyantiller/evidence/history.py
+++ b/banyantiller/evidence/history.py
@@ -18,7 +18,7 @@
 GONE_ACTION = "daemon_gone"
 
 
-class Unknown(NamedTuple):
+class EvidenceGap(NamedTuple):
     """A time for which a daemon's evidence is missing.
 
     Attributes:
@@ -48,11 +48,11 @@
     run: layout.Run
     ended_ms: int
     summaries: tuple[summaries.Summary, ...]
-    unknown: tuple[Unknown, ...]
+    unknown: tuple[EvidenceGap, ...]
     living: bool = False
 
 
-class Stored(NamedTuple):
+class StoredEvidence(NamedTuple):
     """Evidence as read from the object API.
 
     Attributes:
@@ -73,12 +73,12 @@
     damaged: dict[int, str]
 
 
-def announced(values: Iterable[Mapping[str, Any]]) -> list[layout.Run]:
+def read_runs(values: Iterable[Mapping[str, Any]]) -> list[layout.Run]:
     """Reads the objects of runs; unreadable ones are left out."""
     runs: list[layout.Run] = []
     for value in values:
         try:
-            runs.append(layout.run_from(dict(value)))
+            runs.append(layout.parse_run(dict(value)))
         except msgspec.ValidationError:
             continue
     return runs
@@ -101,7 +101,9 @@
     return gone
 
 
-def build(stored: Stored, deployment: str, now_ms: int) -> list[RunHistory]:
+def build_histories(
+    stored: StoredEvidence, deployment: str, now_ms: int
+) -> list[RunHistory]:
     """Builds the histories of all known runs, by daemon and start.
 
     Args:
@@ -109,27 +111,27 @@
         deployment: Fleet.
         now_ms: End of the time that is looked at.
     """
-    records = _records_by_run(stored, deployment)
+    records = _group_by_run(stored, deployment)
     runs = {key: item.run for key, item in records.items()}
-    for run in _unannounced(records.values(), runs, deployment):
+    for run in _find_unannounced(records.values(), runs, deployment):
         key = (run.daemon, run.started_ms)
         runs[key] = run
         records[key] = _Records(run, {}, {})
     histories: list[RunHistory] = []
     for key in sorted(records):
         gone_ms = _gone_ms(records[key], stored.gone)
-        limit_ms = _limit(runs, key, gone_ms, now_ms)
-        history = _history(records[key], limit_ms)
+        limit_ms = _latest_possible_end(runs, key, gone_ms, now_ms)
+        history = _build_history(records[key], limit_ms)
         living = history.ended_ms == now_ms
         histories.append(history._replace(living=living))
     return histories
 
 
-def _records_by_run(
-    stored: Stored, deployment: str
+def _group_by_run(
+    stored: StoredEvidence, deployment: str
 ) -> dict[tuple[str, int], _Records]:
     found: dict[tuple[str, int], _Records] = {}
-    for run in announced(stored.runs):
+    for run in read_runs(stored.runs):
         found[run.daemon, run.started_ms] = _Records(run, {}, {})
     raw: dict[tuple[str, int], dict[int, list[Any]]] = {}
     for block in stored.blocks:
@@ -138,9 +140,9 @@
             continue
         key = (run_of.daemon, run_of.started_ms)
         found.setdefault(key, _Records(run_of, {}, {}))
-        _collect(raw.setdefault(key, {}), block.get("records"))
+        _collect_records(raw.setdefault(key, {}), block.get("records"))
     for key, by_sequence in raw.items():
-        sound, damaged = _check(by_sequence)
+        sound, damaged = _check_records(by_sequence)
         found[key] = found[key]._replace(sound=sound, damaged=damaged)
     return found
 
@@ -150,12 +152,12 @@
 ) -> layout.Run | None:
     value = {"deployment": deployment, "ended_ms": 0, **block}
     try:
-        return layout.run_from(value)
+        return layout.parse_run(value)
     except msgspec.ValidationError:
         return None
 
 
-def _collect(by_sequence: dict[int, list[Any]], records: Any) -> None:
+def _collect_records(by_sequence: dict[int, list[Any]], records: Any) -> None:
     if not isinstance(records, list):
         return
     for place, record in enumerate(records):
@@ -166,7 +168,7 @@
             by_sequence.setdefault(sequence, []).append(record)
 
 
-def _check(
+def _check_records(
     by_sequence: dict[int, list[Any]],
 ) -> tuple[dict[int, summaries.Summary], dict[int, str]]:
     damaged: dict[int, str] = {}
@@ -191,7 +193,7 @@
     return decoded, damaged
 
 
-def _unannounced(
+def _find_unannounced(
     records: Iterable[_Records],
     runs: Mapping[tuple[str, int], layout.Run],
     deployment: str,
@@ -205,7 +207,7 @@
         for summary in item.sound.values():
             for member in summary.members:
                 known = starts.setdefault(member.daemon, [])
-                if _near(member.incarnation, known):
+                if _is_near(member.incarnation, known):
                     continue
                 known.append(member.incarnation)
                 unseen.append(
@@ -216,7 +218,7 @@
     return unseen
 
 
-def _near(incarnation: int, starts: Iterable[int]) -> bool:
+def _is_near(incarnation: int, starts: Iterable[int]) -> bool:
     return any(
         abs(incarnation - start) <= INCARNATION_TOLERANCE_MS for start in starts
     )
@@ -232,7 +234,7 @@
     return gone_ms
 
 
-def _limit(
+def _latest_possible_end(
     runs: Mapping[tuple[str, int], layout.Run],
     key: tuple[str, int],
     gone_ms: int | None,
@@ -249,33 +251,33 @@
     return min(limits)
 
 
-def _history(records: _Records, limit_ms: int) -> RunHistory:
+def _build_history(records: _Records, limit_ms: int) -> RunHistory:
     run = records.run
     ended_ms = min(limit_ms, run.ended_ms) if run.ended_ms else limit_ms
     sequences = sorted(records.sound)
     sound = tuple(records.sound[sequence] for sequence in sequences)
     if sound and sound[-1].final:
         ended_ms = sound[-1].to_ms
-    unknown: list[Unknown] = []
+    unknown: list[EvidenceGap] = []
     reached_ms = run.started_ms
     expected = chain.FIRST_SEQUENCE
     for sequence, summary in zip(sequences, sound, strict=True):
         if sequence != expected or (
             summary.from_ms - reached_ms > GAP_TOLERANCE_MS
         ):
-            why = _why(records, expected, sequence)
+            why = _gap_reason(records, expected, sequence)
             unknown.append(
-                Unknown(run.daemon, reached_ms, summary.from_ms, why)
+                EvidenceGap(run.daemon, reached_ms, summary.from_ms, why)
             )
         reached_ms = max(reached_ms, summary.to_ms)
         expected = sequence + 1
     if reached_ms < ended_ms:
-        why = _why_no_more(records, bool(sound))
-        unknown.append(Unknown(run.daemon, reached_ms, ended_ms, why))
+        why = _tail_gap_reason(records, bool(sound))
+        unknown.append(EvidenceGap(run.daemon, reached_ms, ended_ms, why))
     return RunHistory(run, ended_ms, sound, tuple(unknown))
 
 
-def _why(records: _Records, expected: int, found: int) -> str:
+def _gap_reason(records: _Records, expected: int, found: int) -> str:
     for sequence in range(expected, found):
         if sequence in records.damaged:
             return records.damaged[sequence]
@@ -286,7 +288,7 @@
     return f"Records {expected} to {found - 1} are missing."
 
 
-def _why_no_more(records: _Records, reported: bool) -> str:
+def _tail_gap_reason(records: _Records, reported: bool) -> str:
     later = [n for n in records.damaged if n > max(records.sound, default=0)]
     if later:
         return records.damaged[min(later)]
--- a/banyantiller/evidence/judging.py
+++ b/banyantiller/evidence/judging.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from banyantiller.evidence import judging_bundles, judging_probes
-from banyantiller.evidence.history import RunHistory, Unknown
+from banyantiller.evidence.history import EvidenceGap, RunHistory
 from banyantiller.evidence.promises import Promise
 from banyantiller.evidence.summary import Summary
 from banyantiller.evidence.verdicts import (
@@ -17,7 +17,7 @@
     Finding,
     Held,
     Judgement,
-    Named,
+    NamedBreach,
     NotKnown,
     Verdict,
 )
@@ -34,7 +34,7 @@
 
     histories: Sequence[RunHistory]
     accepted: dict[int, int]
-    audit_gaps: Sequence[Unknown]
+    audit_gaps: Sequence[EvidenceGap]
 
 
 class Period(NamedTuple):
@@ -60,13 +60,13 @@
     """
     judgements: list[Judgement] = []
     for promise in Promise:
-        for part in parts(period, every_ms):
+        for part in split_period(period, every_ms):
             verdict = _verdict(evidence, promise, part, tolerance_ms)
             judgements.append(Judgement(promise, *part, verdict))
     return judgements
 
 
-def parts(period: Period, every_ms: int) -> list[Period]:
+def split_period(period: Period, every_ms: int) -> list[Period]:
     """Cuts a period at multiples of `every_ms`."""
     cut: list[Period] = []
     start = period.from_ms
@@ -77,14 +77,14 @@
     return cut
 
 
-def joined(judgements: Sequence[Judgement]) -> list[Judgement]:
+def join_judgements(judgements: Sequence[Judgement]) -> list[Judgement]:
     """Joins neighbouring parts of one promise with the same answer."""
     result: list[Judgement] = []
     for item in judgements:
         last = result[-1] if result else None
         verdict = None
         if last is not None and last.promise is item.promise:
-            verdict = _both(last.verdict, item.verdict)
+            verdict = _join_verdicts(last.verdict, item.verdict)
         if last is None or verdict is None:
             result.append(item)
         else:
@@ -92,20 +92,20 @@
     return result
 
 
-def _both(first: Verdict, second: Verdict) -> Verdict | None:
+def _join_verdicts(first: Verdict, second: Verdict) -> Verdict | None:
     """Returns one verdict for two neighbouring parts, None if they differ."""
     match first, second:
         case Held(), Held():
             return Held(first.calls + second.calls)
         case NotKnown(), NotKnown():
-            unknown = connected(first.unknown + second.unknown)
+            unknown = join_gaps(first.unknown + second.unknown)
             return NotKnown(first.since_ms, unknown)
     return None
 
 
-def connected(unknown: Sequence[Unknown]) -> tuple[Unknown, ...]:
+def join_gaps(unknown: Sequence[EvidenceGap]) -> tuple[EvidenceGap, ...]:
     """Joins touching times of one daemon that have the same reason."""
-    result: list[Unknown] = []
+    result: list[EvidenceGap] = []
     for item in sorted(unknown, key=lambda part: (part[0], part.why, part[1])):
         last = result[-1] if result else None
         if (
@@ -123,28 +123,28 @@
     evidence: Evidence, promise: Promise, part: Period, tolerance_ms: int
 ) -> Verdict:
     histories = evidence.histories
-    finding = _seen_breaches(histories, promise, part)
+    finding = _reported_breaches(histories, promise, part)
     unknown = _coverage(histories, part) + finding.unknown
     if promise is Promise.MEASURING_IN_BUDGET:
-        more = judging_probes.find(histories, part)
-        finding = _together(finding, more)
-        unknown += more.unknown
+        rule_finding = judging_probes.judge_probes(histories, part)
+        finding = _merge_findings(finding, rule_finding)
+        unknown += rule_finding.unknown
     if promise is Promise.BUNDLE_IN_FORCE:
-        more = judging_bundles.find(
+        rule_finding = judging_bundles.judge_bundles(
             histories, evidence.accepted, part, tolerance_ms
         )
-        finding = _together(finding, more)
-        unknown += more.unknown
+        finding = _merge_findings(finding, rule_finding)
+        unknown += rule_finding.unknown
         unknown += _overlapping(evidence.audit_gaps, part)
     unknown = tuple(sorted(set(unknown), key=lambda item: item.from_ms))
     if finding.named or finding.unnamed:
         return Broken(finding.named, finding.unnamed, unknown)
     if unknown:
         return NotKnown(unknown[0].from_ms, unknown)
-    return Held(_calls(histories, part))
+    return Held(_count_calls(histories, part))
 
 
-def _together(first: Finding, second: Finding) -> Finding:
+def _merge_findings(first: Finding, second: Finding) -> Finding:
     return Finding(
         first.named + second.named,
         first.unnamed + second.unnamed,
@@ -152,33 +152,37 @@
     )
 
 
-def _seen_breaches(
+def _reported_breaches(
     histories: Sequence[RunHistory], promise: Promise, part: Period
 ) -> Finding:
-    named: list[Named] = []
+    named: list[NamedBreach] = []
     unnamed = 0
     for history in histories:
         for summary in history.summaries:
             listed = [b for b in summary.breaches if b.promise == promise]
             for breach in listed:
-                at_ms = _within(breach.at_ms, summary)
+                at_ms = _clamp_to_period(breach.at_ms, summary)
                 if part.from_ms <= at_ms < part.to_ms:
                     named.append(
-                        Named(
+                        NamedBreach(
                             history.run.daemon,
                             breach.request_id,
                             breach.detail,
                             breach.at_ms,
                         )
                     )
-            if part.from_ms <= _within(summary.to_ms, summary) < part.to_ms:
+            if (
+                part.from_ms
+                <= _clamp_to_period(summary.to_ms, summary)
+                < part.to_ms
+            ):
                 counted = summary.breach_counts.get(promise, 0)
                 unnamed += max(0, counted - len(listed))
     named.sort(key=lambda item: item.at_ms)
     return Finding(tuple(named), unnamed)
 
 
-def _within(at_ms: int, summary: Summary) -> int:
+def _clamp_to_period(at_ms: int, summary: Summary) -> int:
     """Moves a time into the summary's period, whose end is exclusive."""
     last_ms = max(summary.from_ms, summary.to_ms - 1)
     return min(max(at_ms, summary.from_ms), last_ms)
@@ -186,27 +190,27 @@
 
 def _coverage(
     histories: Sequence[RunHistory], part: Period
-) -> tuple[Unknown, ...]:
-    unknown: list[Unknown] = []
+) -> tuple[EvidenceGap, ...]:
+    unknown: list[EvidenceGap] = []
     for history in histories:
         unknown += _overlapping(history.unknown, part)
         unknown += _overlapping(_unlisted_members(history), part)
-    return tuple(unknown) + _nobody(histories, part)
+    return tuple(unknown) + _times_without_daemon(histories, part)
 
 
-def _unlisted_members(history: RunHistory) -> tuple[Unknown, ...]:
+def _unlisted_members(history: RunHistory) -> tuple[EvidenceGap, ...]:
     """Lists when a run that wrote nothing itself may have been left out."""
     why = "Some changes of members were only counted."
     return tuple(
-        Unknown(history.run.daemon, summary.from_ms, summary.to_ms, why)
+        EvidenceGap(history.run.daemon, summary.from_ms, summary.to_ms, why)
         for summary in history.summaries
         if summary.omitted.get("members")
     )
 
 
 def _overlapping(
-    unknown: Sequence[Unknown], part: Period
-) -> tuple[Unknown, ...]:
+    unknown: Sequence[EvidenceGap], part: Period
+) -> tuple[EvidenceGap, ...]:
     return tuple(
         item._replace(
             from_ms=max(item.from_ms, part.from_ms),
@@ -217,30 +221,30 @@
     )
 
 
-def _nobody(
+def _times_without_daemon(
     histories: Sequence[RunHistory], part: Period
-) -> tuple[Unknown, ...]:
+) -> tuple[EvidenceGap, ...]:
     """Lists the times at which no daemon is known to have lived."""
-    unknown: list[Unknown] = []
+    unknown: list[EvidenceGap] = []
     reached_ms = part.from_ms
     why = "No daemon reported."
     for history in sorted(histories, key=lambda item: item.run.started_ms):
         started_ms = min(history.run.started_ms, part.to_ms)
         if started_ms > reached_ms:
-            unknown.append(Unknown("", reached_ms, started_ms, why))
+            unknown.append(EvidenceGap("", reached_ms, started_ms, why))
         reached_ms = max(reached_ms, history.ended_ms)
         if reached_ms >= part.to_ms:
             return tuple(unknown)
     if reached_ms < part.to_ms:
-        unknown.append(Unknown("", reached_ms, part.to_ms, why))
+        unknown.append(EvidenceGap("", reached_ms, part.to_ms, why))
     return tuple(unknown)
 
 
-def _calls(histories: Sequence[RunHistory], part: Period) -> int:
+def _count_calls(histories: Sequence[RunHistory], part: Period) -> int:
     """Counts the calls of summaries that end within the part."""
     return sum(
         sum(summary.calls.values())
         for history in histories
         for summary in history.summaries
-        if part.from_ms <= _within(summary.to_ms, summary) < part.to_ms
+        if part.from_ms <= _clamp_to_period(summary.to_ms, summary) < part.to_ms
     )
--- a/banyantiller/evidence/judging_bundles.py
+++ b/banyantiller/evidence/judging_bundles.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, NamedTuple
 
-from banyantiller.evidence.history import RunHistory, Unknown
-from banyantiller.evidence.verdicts import Finding, Named
+from banyantiller.evidence.history import EvidenceGap, RunHistory
+from banyantiller.evidence.verdicts import Finding, NamedBreach
 
 if TYPE_CHECKING:
     from banyantiller.evidence.judging import Period
@@ -14,7 +14,7 @@
 NEVER_MS = 1 << 62
 
 
-class _Due(NamedTuple):
+class _DueVersion(NamedTuple):
     """A version that has to be in force in a run by a time."""
 
     version: int
@@ -22,7 +22,7 @@
     due_ms: int
 
 
-class _Reached(NamedTuple):
+class _ReachedVersion(NamedTuple):
     """When a run reached a version.
 
     Attributes:
@@ -36,7 +36,7 @@
     exact: bool
 
 
-def find(
+def judge_bundles(
     histories: Sequence[RunHistory],
     accepted: dict[int, int],
     part: "Period",
@@ -53,17 +53,19 @@
     """
     findings: list[Finding] = []
     for history in histories:
-        findings.append(_reverts(history, part))
-        findings.append(_unlisted(history, part))
-        findings.append(_superseded(history, accepted, part, tolerance_ms))
+        findings.append(_find_reverts(history, part))
+        findings.append(_unlisted_bundles(history, part))
+        findings.append(
+            _superseded_bundles(history, accepted, part, tolerance_ms)
+        )
     for version, accepted_ms in sorted(accepted.items()):
         if not part.from_ms <= accepted_ms < part.to_ms:
             continue
         for history in histories:
             started_ms = history.run.started_ms
             due_ms = max(accepted_ms, started_ms) + IN_FORCE_LIMIT_MS
-            due = _Due(version, accepted_ms, due_ms)
-            findings.append(_delay(history, due, tolerance_ms))
+            due = _DueVersion(version, accepted_ms, due_ms)
+            findings.append(_judge_delay(history, due, tolerance_ms))
     return Finding(
         tuple(item for finding in findings for item in finding.named),
         0,
@@ -81,44 +83,46 @@
     }
 
 
-def _delay(history: RunHistory, due: _Due, tolerance_ms: int) -> Finding:
+def _judge_delay(
+    history: RunHistory, due: _DueVersion, tolerance_ms: int
+) -> Finding:
     """Judges when one run applied one accepted version or a later one."""
     if history.ended_ms < due.due_ms:
         if history.living:
-            return _unsure(history, due, "It is not due yet.")
+            return _not_known(history, due, "It is not due yet.")
         return Finding()
-    if _nothing_in_force(history, due):
+    if _had_no_bundle(history, due):
         return Finding()
-    reached = _reached(history, due.version)
+    reached = _find_reached(history, due.version)
     if reached.at_ms <= due.due_ms - tolerance_ms:
         early = reached.at_ms < due.accepted_ms - tolerance_ms
         if early and reached.listed:
-            return _unsure(history, due, "The clocks differ too much.")
+            return _not_known(history, due, "The clocks differ too much.")
         return Finding()
     late_ms = due.due_ms + tolerance_ms
     if reached.at_ms <= late_ms:
         why = "The delay is too near the limit for the clocks."
-        return _unsure(history, due, why)
+        return _not_known(history, due, why)
     if not reached.exact:
-        return _unsure(history, due, "Some bundles were only counted.")
+        return _not_known(history, due, "Some bundles were only counted.")
     if _has_gap(history, due.accepted_ms, late_ms):
-        return _unsure(history, due, "Evidence is missing when it was due.")
-    return Finding((_late(history, due, reached.at_ms),))
+        return _not_known(history, due, "Evidence is missing when it was due.")
+    return Finding((_late_breach(history, due, reached.at_ms),))
 
 
-def _reached(history: RunHistory, version: int) -> _Reached:
+def _find_reached(history: RunHistory, version: int) -> _ReachedVersion:
     for summary in history.summaries:
         for bundle in summary.bundles:
             if bundle.version >= version:
-                return _Reached(bundle.at_ms, True, True)
+                return _ReachedVersion(bundle.at_ms, True, True)
         if summary.version >= version:
             if summary.omitted.get("bundles"):
-                return _Reached(summary.to_ms, False, False)
-            return _Reached(summary.from_ms, False, True)
-    return _Reached(NEVER_MS, False, True)
+                return _ReachedVersion(summary.to_ms, False, False)
+            return _ReachedVersion(summary.from_ms, False, True)
+    return _ReachedVersion(NEVER_MS, False, True)
 
 
-def _nothing_in_force(history: RunHistory, due: _Due) -> bool:
+def _had_no_bundle(history: RunHistory, due: _DueVersion) -> bool:
     """Whether the run had no bundle, and so refused calls, when due."""
     if history.run.started_ms < due.accepted_ms:
         return False
@@ -132,9 +136,9 @@
     return covered and not earlier
 
 
-def _reverts(history: RunHistory, part: "Period") -> Finding:
+def _find_reverts(history: RunHistory, part: "Period") -> Finding:
     """Finds versions that went down within a run."""
-    named: list[Named] = []
+    named: list[NamedBreach] = []
     highest = 0
     for summary in history.summaries:
         for bundle in summary.bundles:
@@ -145,18 +149,18 @@
                     f" version {highest}."
                 )
                 named.append(
-                    Named(history.run.daemon, "", detail, bundle.at_ms)
+                    NamedBreach(history.run.daemon, "", detail, bundle.at_ms)
                 )
             highest = max(highest, bundle.version)
     return Finding(tuple(named))
 
 
-def _unlisted(history: RunHistory, part: "Period") -> Finding:
+def _unlisted_bundles(history: RunHistory, part: "Period") -> Finding:
     """Finds the times for which not all bundles are listed, so any order."""
     why = "Some bundles were only counted."
     return Finding(
         unknown=tuple(
-            Unknown(
+            EvidenceGap(
                 history.run.daemon,
                 max(summary.from_ms, part.from_ms),
                 min(summary.to_ms, part.to_ms),
@@ -170,14 +174,14 @@
     )
 
 
-def _superseded(
+def _superseded_bundles(
     history: RunHistory,
     accepted: dict[int, int],
     part: "Period",
     tolerance_ms: int,
 ) -> Finding:
     """Finds bundles applied after a newer one had to be in force."""
-    named: list[Named] = []
+    named: list[NamedBreach] = []
     for summary in history.summaries:
         for bundle in summary.bundles:
             if not part.from_ms <= bundle.at_ms < part.to_ms:
@@ -194,7 +198,7 @@
                     f" version {max(newer)} had been accepted before."
                 )
                 named.append(
-                    Named(history.run.daemon, "", detail, bundle.at_ms)
+                    NamedBreach(history.run.daemon, "", detail, bundle.at_ms)
                 )
     return Finding(tuple(named))
 
@@ -206,19 +210,23 @@
     )
 
 
-def _unsure(history: RunHistory, due: _Due, why: str) -> Finding:
+def _not_known(history: RunHistory, due: _DueVersion, why: str) -> Finding:
     detail = f"Version {due.version}: {why}"
     return Finding(
         unknown=(
-            Unknown(history.run.daemon, due.accepted_ms, due.due_ms, detail),
+            EvidenceGap(
+                history.run.daemon, due.accepted_ms, due.due_ms, detail
+            ),
         )
     )
 
 
-def _late(history: RunHistory, due: _Due, reached_ms: int) -> Named:
+def _late_breach(
+    history: RunHistory, due: _DueVersion, reached_ms: int
+) -> NamedBreach:
     since_ms = max(due.accepted_ms, history.run.started_ms)
     when = "not at all"
     if reached_ms != NEVER_MS:
         when = f"after {(reached_ms - since_ms) / 1000:.1f} s"
     detail = f"Version {due.version} came into force {when}."
-    return Named(history.run.daemon, "", detail, due.due_ms)
+    return NamedBreach(history.run.daemon, "", detail, due.due_ms)
--- a/banyantiller/evidence/judging_probes.py
+++ b/banyantiller/evidence/judging_probes.py
@@ -3,18 +3,18 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from banyantiller.evidence.history import RunHistory, Unknown
+from banyantiller.evidence.history import EvidenceGap, RunHistory
 from banyantiller.evidence.summary import UNKNOWN_RATE, Summary
-from banyantiller.evidence.verdicts import Finding, Named
+from banyantiller.evidence.verdicts import Finding, NamedBreach
 
 if TYPE_CHECKING:
     from banyantiller.evidence.judging import Period
 
 MILLISECONDS = 1000
-EDGE_S = 2.0
+EDGE_TOLERANCE_S = 2.0
 
 
-def find(histories: Sequence[RunHistory], part: "Period") -> Finding:
+def judge_probes(histories: Sequence[RunHistory], part: "Period") -> Finding:
     """Compares the probes of all daemons with each service's budget.
 
     Summaries don't end where the part does, so the budget is taken over the
@@ -30,8 +30,8 @@
     if not summaries:
         return Finding()
     services = sorted({name for item in summaries for name in item.probes})
-    named: list[Named] = []
-    unknown: list[Unknown] = []
+    named: list[NamedBreach] = []
+    unknown: list[EvidenceGap] = []
     for service in services:
         _judge_service(service, summaries, part, named, unknown)
     return Finding(tuple(named), 0, tuple(unknown))
@@ -41,32 +41,32 @@
     service: str,
     summaries: Sequence[Summary],
     part: "Period",
-    named: list[Named],
-    unknown: list[Unknown],
+    named: list[NamedBreach],
+    unknown: list[EvidenceGap],
 ) -> None:
     spent = [
         item.probes[service] for item in summaries if service in item.probes
     ]
     if any(item.rate == UNKNOWN_RATE for item in spent):
         why = f"A daemon did not know the budget of service '{service}'."
-        unknown.append(Unknown("", part.from_ms, part.to_ms, why))
+        unknown.append(EvidenceGap("", part.from_ms, part.to_ms, why))
         return
     sent = sum(item.sent for item in spent)
     span_s = _span_s(summaries)
-    most = _allowed(max(item.rate for item in spent), span_s)
-    least = _allowed(min(item.rate for item in spent), span_s)
-    if sent > most:
+    max_allowed = _allowed_probes(max(item.rate for item in spent), span_s)
+    min_allowed = _allowed_probes(min(item.rate for item in spent), span_s)
+    if sent > max_allowed:
         detail = (
             f"Service '{service}': {sent} probes in {span_s:.0f} s; the budget"
-            f" allows {most:.0f}."
+            f" allows {max_allowed:.0f}."
         )
-        named.append(Named("", "", detail, part.from_ms))
-    elif sent > least:
+        named.append(NamedBreach("", "", detail, part.from_ms))
+    elif sent > min_allowed:
         why = f"The budget of service '{service}' changed within the period."
-        unknown.append(Unknown("", part.from_ms, part.to_ms, why))
+        unknown.append(EvidenceGap("", part.from_ms, part.to_ms, why))
 
 
-def _allowed(rate: float, span_s: float) -> float:
+def _allowed_probes(rate: float, span_s: float) -> float:
     """Returns the probes that a budget allows in a span.
 
     At the edges of a span one probe more than the rate says may fall into
@@ -74,7 +74,7 @@
     """
     if rate <= 0:
         return 0.0
-    return rate * span_s + max(1.0, rate * EDGE_S)
+    return rate * span_s + max(1.0, rate * EDGE_TOLERANCE_S)
 
 
 def _overlaps(summary: Summary, part: "Period") -> bool:
--- a/banyantiller/evidence/layout.py
+++ b/banyantiller/evidence/layout.py
@@ -66,7 +66,7 @@
     return run._asdict()
 
 
-def run_from(value: dict[str, Any]) -> Run:
+def parse_run(value: dict[str, Any]) -> Run:
     """Reads a run's object.
 
     Raises:
@@ -87,7 +87,7 @@
     }
 
 
-def seal(summary: summaries.Summary, tip: chain.Tip) -> dict[str, Any]:
+def seal_summary(summary: summaries.Summary, tip: chain.Tip) -> dict[str, Any]:
     """Returns the record that follows `tip` in a run's chain."""
     return chain.sealed(
         {
--- a/banyantiller/evidence/recorder.py
+++ b/banyantiller/evidence/recorder.py
@@ -16,8 +16,8 @@
 log = structlog.get_logger("banyantiller.evidence")
 
 MILLISECONDS = 1000
-MAX_ID = 64
-MOST_WATCHED_SERVERS = 4096
+MAX_ID_CHARS = 64
+MAX_WATCHED_SERVERS = 4096
 BY_BUNDLE = "bundle"
 
 ServerKey = tuple[str, str]
@@ -113,7 +113,7 @@
         left = self.leaving.get((event.service, event.server))
         suspect = event.error is not None or event.cut or event.attempts > 1
         if suspect or left is not None:
-            self._judge(event, left)
+            self._judge_call(event, left)
 
     def bundle_in_force(self, event: events.BundleInForce) -> None:
         """Notes a bundle that came into force."""
@@ -131,7 +131,7 @@
 
     def bundle_refused(self, event: events.BundleRefused) -> None:
         """Notes a bundle that was refused."""
-        reason = event.reason[: summaries.MAX_TEXT]
+        reason = event.reason[: summaries.MAX_TEXT_CHARS]
         at_ms = _milliseconds(event.at)
         self.counts.add_item(
             "refused",
@@ -153,7 +153,7 @@
         key = (event.service, event.server)
         if key in self.leaving:
             return
-        if len(self.leaving) < MOST_WATCHED_SERVERS:
+        if len(self.leaving) < MAX_WATCHED_SERVERS:
             self.leaving[key] = LeavingServer(event.at, event.reason)
         self.counts.add_item(
             "leaving",
@@ -192,9 +192,11 @@
                 "evidence: an unknown promise was named.", promise=event.promise
             )
             return
-        self._breach(event.promise, event.request_id, event.detail, event.at)
+        self._record_breach(
+            event.promise, event.request_id, event.detail, event.at
+        )
 
-    def audit_tip(self, sequence: int, digest: str) -> None:
+    def record_audit_tip(self, sequence: int, digest: str) -> None:
         """Notes the end of the audit trail as this daemon saw it."""
         if sequence >= self.audit_sequence:
             self.audit_sequence = sequence
@@ -239,7 +241,7 @@
         self.counts = counting.PeriodCounts(self.most_requests)
         return summary
 
-    def _judge(
+    def _judge_call(
         self, event: events.CallFinished, left: LeavingServer | None
     ) -> None:
         now = self.wall()
@@ -250,11 +252,13 @@
         allowed_s = self.allowed_s.get(
             event.service, options.DrainPolicy().stop_within_s
         )
-        leaving = rules.Leaving(self.draining, since_s, allowed_s)
-        for breach in rules.breaches(event, leaving):
-            self._breach(breach.promise, event.request_id, breach.detail, now)
+        leaving = rules.LeavingState(self.draining, since_s, allowed_s)
+        for breach in rules.find_breaches(event, leaving):
+            self._record_breach(
+                breach.promise, event.request_id, breach.detail, now
+            )
 
-    def _breach(
+    def _record_breach(
         self, promise: str, request_id: str, detail: str, at: float
     ) -> None:
         log.error(
@@ -268,8 +272,8 @@
             "breaches",
             summaries.BreachSeen(
                 str(promise),
-                request_id[:MAX_ID],
-                detail[: summaries.MAX_TEXT],
+                request_id[:MAX_ID_CHARS],
+                detail[: summaries.MAX_TEXT_CHARS],
                 _milliseconds(at),
             ),
         )
--- a/banyantiller/evidence/rules.py
+++ b/banyantiller/evidence/rules.py
@@ -25,7 +25,7 @@
     detail: str
 
 
-class Leaving(NamedTuple):
+class LeavingState(NamedTuple):
     """State of leaving around a call.
 
     Attributes:
@@ -40,19 +40,19 @@
     allowed_s: float = 0.0
 
 
-def breaches(event: CallFinished, leaving: Leaving) -> list[Breach]:
+def find_breaches(event: CallFinished, leaving: LeavingState) -> list[Breach]:
     """Lists the promises that a call shows to be broken."""
     found = [
-        _at_most_once(event),
-        _not_run(event),
-        _whole_answer(event),
-        _shutdown(event, leaving),
-        _leaving_server(event, leaving),
+        _repeated_run(event),
+        _not_run_although_sent(event),
+        _incomplete_answer(event),
+        _cut_by_shutdown(event, leaving),
+        _sent_to_leaving_server(event, leaving),
     ]
     return [breach for breach in found if breach is not None]
 
 
-def tries_that_may_have_run(event: CallFinished) -> int:
+def count_attempts_possibly_run(event: CallFinished) -> int:
     """Counts tries that wrote bytes and were not refused as not run."""
     shed = event.shed
     if event.error is ErrorKind.BACKEND_SHED:
@@ -60,18 +60,18 @@
     return max(0, event.attempts - shed)
 
 
-def _at_most_once(event: CallFinished) -> Breach | None:
-    tries = tries_that_may_have_run(event)
-    if event.idempotent or tries <= 1:
+def _repeated_run(event: CallFinished) -> Breach | None:
+    attempts = count_attempts_possibly_run(event)
+    if event.idempotent or attempts <= 1:
         return None
     return Breach(
         Promise.AT_MOST_ONCE,
-        f"A non-idempotent request was sent {tries} times.",
+        f"A non-idempotent request was sent {attempts} times.",
     )
 
 
-def _not_run(event: CallFinished) -> Breach | None:
-    if event.told is not Ran.NO or not tries_that_may_have_run(event):
+def _not_run_although_sent(event: CallFinished) -> Breach | None:
+    if event.told is not Ran.NO or not count_attempts_possibly_run(event):
         return None
     return Breach(
         Promise.NOT_RUN_IS_NOT_RUN,
@@ -83,7 +83,7 @@
     return event.cut and event.error not in CALLER_FAULTS
 
 
-def _whole_answer(event: CallFinished) -> Breach | None:
+def _incomplete_answer(event: CallFinished) -> Breach | None:
     if not _was_cut(event):
         return None
     return Breach(
@@ -92,7 +92,9 @@
     )
 
 
-def _shutdown(event: CallFinished, leaving: Leaving) -> Breach | None:
+def _cut_by_shutdown(
+    event: CallFinished, leaving: LeavingState
+) -> Breach | None:
     if not _was_cut(event):
         return None
     if leaving.daemon:
@@ -108,7 +110,9 @@
     )
 
 
-def _leaving_server(event: CallFinished, leaving: Leaving) -> Breach | None:
+def _sent_to_leaving_server(
+    event: CallFinished, leaving: LeavingState
+) -> Breach | None:
     if leaving.since_s is None or leaving.since_s <= leaving.allowed_s:
         return None
     return Breach(
--- a/banyantiller/evidence/summary.py
+++ b/banyantiller/evidence/summary.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-MOST_BUNDLES = 50
-MOST_REFUSALS = 10
-MOST_MEMBERS = 100
-MOST_LEAVING = 50
-MOST_SERVICES = 200
-MAX_TEXT = 120
+MAX_BUNDLES = 50
+MAX_REFUSALS = 10
+MAX_MEMBERS = 100
+MAX_LEAVING = 50
+MAX_SERVICES = 200
+MAX_TEXT_CHARS = 120
 UNKNOWN_RATE = -1.0
 
 
@@ -139,10 +139,10 @@
 FIELD_TYPES = typing.get_type_hints(Summary)
 
 LISTS: dict[str, int] = {
-    "bundles": MOST_BUNDLES,
-    "refused": MOST_REFUSALS,
-    "members": MOST_MEMBERS,
-    "leaving": MOST_LEAVING,
+    "bundles": MAX_BUNDLES,
+    "refused": MAX_REFUSALS,
+    "members": MAX_MEMBERS,
+    "leaving": MAX_LEAVING,
 }
 
 
@@ -163,8 +163,8 @@
         msgspec.ValidationError: A field has the wrong type or is missing.
     """
     known = {
-        name: msgspec.convert(record[name], kind)
-        for name, kind in FIELD_TYPES.items()
+        name: msgspec.convert(record[name], field_type)
+        for name, field_type in FIELD_TYPES.items()
         if name in record
     }
     try:
@@ -187,27 +187,27 @@
     omitted = Counter(first.omitted)
     omitted.update(second.omitted)
     lists: dict[str, Any] = {}
-    for name, most in {**LISTS, "breaches": most_requests}.items():
+    for name, limit in {**LISTS, "breaches": most_requests}.items():
         items = getattr(first, name) + getattr(second, name)
-        lists[name] = items[:most]
-        omitted[name] += max(0, len(items) - most)
+        lists[name] = items[:limit]
+        omitted[name] += max(0, len(items) - limit)
     return Summary(
         from_ms=first.from_ms,
         to_ms=second.to_ms,
         started=first.started,
         final=second.final,
         merged=first.merged + second.merged,
-        calls=added(first.calls, second.calls),
-        errors=added(first.errors, second.errors),
+        calls=add_counts(first.calls, second.calls),
+        errors=add_counts(first.errors, second.errors),
         cut=first.cut + second.cut,
         runs=first.runs + second.runs,
         attempts=first.attempts + second.attempts,
         retries=first.retries + second.retries,
-        latency=added(first.latency, second.latency),
+        latency=add_counts(first.latency, second.latency),
         version=second.version,
         probes=_merged_probes(first.probes, second.probes),
         store_down_ms=first.store_down_ms + second.store_down_ms,
-        breach_counts=added(first.breach_counts, second.breach_counts),
+        breach_counts=add_counts(first.breach_counts, second.breach_counts),
         omitted={name: count for name, count in omitted.items() if count},
         audit_sequence=second.audit_sequence or first.audit_sequence,
         audit_digest=second.audit_digest or first.audit_digest,
@@ -215,7 +215,7 @@
     )
 
 
-def added(
+def add_counts(
     first: Mapping[str, int], second: Mapping[str, int]
 ) -> dict[str, int]:
     """Adds two tables of counts."""
--- a/banyantiller/evidence/trail.py
+++ b/banyantiller/evidence/trail.py
@@ -59,11 +59,11 @@
     Returns:
         The tip; sequence 0 for an empty trail.
     """
-    hint = await _get(store, TIP_KIND, deployment)
-    if hint is None:
+    recorded = await _get(store, TIP_KIND, deployment)
+    if recorded is None:
         tip = await _listed_tip(store, deployment)
     else:
-        tip = tip_from(hint.value)
+        tip = parse_tip(recorded.value)
     while True:
         entry = await _get(
             store, ENTRY_KIND, entry_name(deployment, tip.sequence + 1)
@@ -73,17 +73,17 @@
         tip = chain.Tip(tip.sequence + 1, str(entry.value.get("digest")))
 
 
-async def present_tip(
+async def read_recorded_tip(
     store: interface.ObjectStore, deployment: str
 ) -> chain.Tip | None:
     """Reads the recorded tip alone, in one call; None if it can't be read."""
     outcome = await store.get(TIP_KIND, deployment)
     if not isinstance(outcome, interface.Found):
         return None
-    return tip_from(outcome.item.value)
+    return parse_tip(outcome.item.value)
 
 
-def tip_from(value: Any) -> chain.Tip:
+def parse_tip(value: Any) -> chain.Tip:
     """Reads a tip from a stored value; an unusable one counts as empty."""
     if not isinstance(value, dict):
         return chain.Tip()
@@ -115,16 +115,16 @@
     """
     tips = [tip for tip in seen if tip.sequence > 0]
     try:
-        hint = await _get(store, TIP_KIND, deployment)
-        if hint is not None:
-            tips.append(tip_from(hint.value))
+        recorded = await _get(store, TIP_KIND, deployment)
+        if recorded is not None:
+            tips.append(parse_tip(recorded.value))
         records, foreign = await _read_entries(store, deployment, tips)
     except UnreadableError as error:
         return AuditReport(False, str(error), (), (), chain.Tip(), 0)
     problems = foreign + _check(records, tips)
     ordered = tuple(records[sequence] for sequence in sorted(records))
     return AuditReport(
-        True, "", ordered, tuple(problems), _last(records), len(tips)
+        True, "", ordered, tuple(problems), _last_tip(records), len(tips)
     )
 
 
@@ -149,11 +149,11 @@
     store: interface.ObjectStore, deployment: str, tips: list[chain.Tip]
 ) -> tuple[dict[int, dict[str, Any]], list[chain.Problem]]:
     """Lists the entries, again while the list is older than a tip."""
-    wanted = max((tip.sequence for tip in tips), default=0)
+    min_sequence = max((tip.sequence for tip in tips), default=0)
     for attempt in range(STALE_READS):
         items = await _list(store, deployment)
         records, foreign = _by_sequence(items, deployment)
-        if max(records, default=0) >= wanted:
+        if max(records, default=0) >= min_sequence:
             break
         await asyncio.sleep(STALE_PAUSE_S * 2.0**attempt)
     return records, foreign
@@ -180,10 +180,10 @@
     """Finds the last entry when no tip is recorded."""
     items = await _list(store, deployment)
     records, _ = _by_sequence(items, deployment)
-    return _last(records)
+    return _last_tip(records)
 
 
-def _last(records: dict[int, dict[str, Any]]) -> chain.Tip:
+def _last_tip(records: dict[int, dict[str, Any]]) -> chain.Tip:
     if not records:
         return chain.Tip()
     sequence = max(records)
--- a/banyantiller/evidence/verdicts.py
+++ b/banyantiller/evidence/verdicts.py
@@ -3,11 +3,11 @@
 import dataclasses
 from typing import NamedTuple
 
-from banyantiller.evidence.history import Unknown
+from banyantiller.evidence.history import EvidenceGap
 from banyantiller.evidence.promises import Promise
 
 
-class Named(NamedTuple):
+class NamedBreach(NamedTuple):
     """One breach.
 
     Attributes:
@@ -44,9 +44,9 @@
         unknown: Times of the period for which more may have happened.
     """
 
-    named: tuple[Named, ...]
+    named: tuple[NamedBreach, ...]
     unnamed: int
-    unknown: tuple[Unknown, ...]
+    unknown: tuple[EvidenceGap, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     """
 
     since_ms: int
-    unknown: tuple[Unknown, ...]
+    unknown: tuple[EvidenceGap, ...]
 
 
 Verdict = Held | Broken | NotKnown
@@ -83,6 +83,6 @@
         unknown: Times that the rule can't judge.
     """
 
-    named: tuple[Named, ...] = ()
+    named: tuple[NamedBreach, ...] = ()
     unnamed: int = 0
-    unknown: tuple[Unknown, ...] = ()
+    unknown: tuple[EvidenceGap, ...] = ()
--- a/banyantiller/evidence/writer.py
+++ b/banyantiller/evidence/writer.py
@@ -20,10 +20,10 @@
 
 log = structlog.get_logger("banyantiller.evidence")
 
-MOST_DELAY_S = 10.0
+MAX_DELAY_S = 10.0
 PERIODS_PER_TIP = 10
 BLOCKS_PER_CLEANUP = 12
-FINISH_S = 5.0
+FINISH_TIMEOUT_S = 5.0
 FINISH_PAUSE_S = 0.25
 
 
@@ -86,12 +86,12 @@
         """Announces the daemon, then writes one summary a period."""
         if not self.started:
             self.started = True
-            self.backlog.add(self.recorder.close_period(started=True))
+            self.backlog.add_summary(self.recorder.close_period(started=True))
             await self.flush()
         periods = 0
         while True:
             await asyncio.sleep(self._until_boundary())
-            self.backlog.add(self.recorder.close_period())
+            self.backlog.add_summary(self.recorder.close_period())
             await asyncio.sleep(self._delay())
             if periods % PERIODS_PER_TIP == 0:
                 await self._read_audit_tip()
@@ -105,8 +105,8 @@
         ended without a word.
         """
         loop = asyncio.get_running_loop()
-        limit = loop.time() + FINISH_S
-        self.backlog.add(
+        limit = loop.time() + FINISH_TIMEOUT_S
+        self.backlog.add_summary(
             self.recorder.close_period(started=not self.started, final=True)
         )
         self.started = True
@@ -124,11 +124,11 @@
         Returns:
             Whether everything is known to be stored.
         """
-        if not self.announced and not await self._announce():
+        if not self.announced and not await self._announce_run():
             return False
         while True:
             if not self.sealed:
-                self._seal()
+                self._seal_pending()
             if not self.sealed:
                 return True
             if not await self._store_sealed():
@@ -138,24 +138,24 @@
                 )
                 return False
 
-    def _seal(self) -> None:
-        for summary in self.backlog.take():
-            record = layout.seal(summary, self.tip)
+    def _seal_pending(self) -> None:
+        for summary in self.backlog.take_all():
+            record = layout.seal_summary(summary, self.tip)
             self.tip = chain.Tip(record["sequence"], record["digest"])
             self.sealed.append(record)
 
     async def _store_sealed(self) -> bool:
         """Stores the first sealed records that fit into a block."""
         if self._block_is_full():
-            await self._next_block()
-        count = self._fitting()
-        fresh = self.sealed[:count]
-        value = layout.block_value(self.run_info, self.records + fresh)
+            await self._begin_next_block()
+        count = self._count_fitting()
+        added_records = self.sealed[:count]
+        value = layout.block_value(self.run_info, self.records + added_records)
         stored = await self._write_block(value)
         if stored is None:
             return False
         self.item = stored
-        self.records = self.records + fresh
+        self.records = self.records + added_records
         self.sealed = self.sealed[count:]
         return True
 
@@ -168,7 +168,7 @@
             layout.MAX_BLOCK_BYTES
         )
 
-    def _fitting(self) -> int:
+    def _count_fitting(self) -> int:
         """Returns how many sealed records go into the present block."""
         room = layout.RECORDS_PER_BLOCK - len(self.records)
         count = min(room, len(self.sealed))
@@ -181,8 +181,8 @@
     def _size(self, records: list[dict[str, Any]]) -> int:
         return len(chain.canonical(records))
 
-    async def _next_block(self) -> None:
-        self._leave_block()
+    async def _begin_next_block(self) -> None:
+        self._advance_block()
         if self.block % BLOCKS_PER_CLEANUP == self.random.randrange(
             BLOCKS_PER_CLEANUP
         ):
@@ -194,7 +194,7 @@
                 self.random,
             )
 
-    def _leave_block(self) -> None:
+    def _advance_block(self) -> None:
         self.block += 1
         self.item = None
         self.records = []
@@ -226,7 +226,7 @@
             return None
         if isinstance(found, interface.Missing):
             if self.item is not None:
-                self._altered(name)
+                self._abandon_altered_block(name)
             return None
         stored = found.item.value.get("records")
         if stored == value["records"]:
@@ -234,7 +234,7 @@
         if stored == self.records:
             self.item = found.item
         elif not self._is_older(stored):
-            self._altered(name)
+            self._abandon_altered_block(name)
         return None
 
     def _is_older(self, stored: Any) -> bool:
@@ -243,12 +243,12 @@
             return False
         return stored == self.records[: len(stored)]
 
-    def _altered(self, name: str) -> None:
+    def _abandon_altered_block(self, name: str) -> None:
         """Goes on in a new block; the chain shows what was altered."""
         log.error("evidence: a stored block was altered.", name=name)
-        self._leave_block()
+        self._advance_block()
 
-    async def _announce(self) -> bool:
+    async def _announce_run(self) -> bool:
         run = self.run_info
         outcome = await self.store.create(
             layout.RUN_KIND,
@@ -271,9 +271,11 @@
         return isinstance(outcome, interface.Found)
 
     async def _read_audit_tip(self) -> None:
-        tip = await trail.present_tip(self.store, self.run_info.deployment)
+        tip = await trail.read_recorded_tip(
+            self.store, self.run_info.deployment
+        )
         if tip is not None:
-            self.recorder.audit_tip(tip.sequence, tip.digest)
+            self.recorder.record_audit_tip(tip.sequence, tip.digest)
 
     def _until_boundary(self) -> float:
         now = self.wall()
@@ -282,7 +284,7 @@
 
     def _delay(self) -> float:
         """Spreads the writes of the fleet over part of the period."""
-        return self.random.uniform(0, min(self.period_s / 2, MOST_DELAY_S))
+        return self.random.uniform(0, min(self.period_s / 2, MAX_DELAY_S))
 
 
 async def _until_done(step: Callable[[], Awaitable[bool]]) -> None:
--- a/banyantiller/tests/commands/test_evidence.py
+++ b/banyantiller/tests/commands/test_evidence.py
@@ -57,8 +57,8 @@
             if cut:
                 first.kernel.emit(samples.call(cut, cut=True))
             await asyncio.sleep(LIFE_S - 50)
-            await first.end()
-            await (second.die() if die else second.end())
+            await first.shut_down()
+            await (second.crash() if die else second.shut_down())
 
         self.run_paused(scenario())
 
--- a/banyantiller/tests/daemon/test_held.py
+++ b/banyantiller/tests/daemon/test_held.py
@@ -16,11 +16,11 @@
     """Judges the whole life of the daemons, after their end."""
     now = whole_path.WALL + asyncio.get_running_loop().time()
     store = memory.MemoryStore(fleet.table)
-    settled = await assessment.settled(
+    settled = await assessment.find_judgeable_period(
         store, samples.DEPLOYMENT, round(now * 1000)
     )
     period = judging.Period(settled.first_ms, settled.until_ms)
-    question = assessment.Question(
+    question = assessment.AssessmentRequest(
         samples.DEPLOYMENT, period, 3_600_000_000, 500, settled.known_ms
     )
     found = await assessment.assess(store, question)
--- a/banyantiller/tests/evidence/judging_case.py
+++ b/banyantiller/tests/evidence/judging_case.py
@@ -20,7 +20,7 @@
         self.table = table.ObjectTable()
         self.store = memory.MemoryStore(self.table)
 
-    def play(
+    def run_script(
         self,
         script: Callable[[DaemonParts, DaemonParts], Awaitable[None]],
         **options_of_second: Any,
@@ -38,7 +38,7 @@
 
         self.run_paused(scenario())
 
-    def ask(
+    def assess(
         self, until_s: float, since_s: float = 0.0, every_s: float = 3600.0
     ) -> dict[Promise, list[Verdict]]:
         """Judges a time given in seconds since the daemons' start."""
@@ -46,28 +46,32 @@
             round((samples.EPOCH + since_s) * 1000),
             round((samples.EPOCH + until_s) * 1000),
         )
-        question = assessment.Question(
+        request = assessment.AssessmentRequest(
             samples.FLEET, period, round(every_s * 1000), 500
         )
-        found = self.run_paused(assessment.assess(self.store, question))
+        found = self.run_paused(assessment.assess(self.store, request))
         answers: dict[Promise, list[Verdict]] = {}
         for item in found.judgements:
             answers.setdefault(item.promise, []).append(item.verdict)
         return answers
 
-    def since(self, verdict: Verdict) -> float:
+    def unknown_since_s(self, verdict: Verdict) -> float:
         self.assertIsInstance(verdict, NotKnown)
         return verdict.since_ms / 1000 - samples.EPOCH
 
-    def assert_all(self, kind: type, answers: dict[Promise, Any]) -> None:
+    def assert_all(
+        self, verdict_type: type, answers: dict[Promise, Any]
+    ) -> None:
         for promise, verdicts in answers.items():
             for verdict in verdicts:
-                self.assertIsInstance(verdict, kind, f"{promise}: {verdict}")
+                self.assertIsInstance(
+                    verdict, verdict_type, f"{promise}: {verdict}"
+                )
 
 
-async def quiet(first: DaemonParts, second: DaemonParts) -> None:
+async def end_gracefully(first: DaemonParts, second: DaemonParts) -> None:
     """Both daemons see a call and end gracefully after 100 s."""
     first.kernel.emit(samples.call())
     await asyncio.sleep(100)
-    await first.end()
-    await second.end()
+    await first.shut_down()
+    await second.shut_down()
--- a/banyantiller/tests/evidence/samples.py
+++ b/banyantiller/tests/evidence/samples.py
@@ -14,22 +14,22 @@
 
 def settings(daemon: str = "b1", **evidence: Any) -> defaults.Settings:
     """Makes settings with a period of 10 s unless told otherwise."""
-    here = defaults.Endpoint("127.0.0.1", 0)
+    endpoint = defaults.Endpoint("127.0.0.1", 0)
     return defaults.Settings(
         deployment=FLEET,
         daemon=daemon,
         zone="zone-c",
-        callers=defaults.CallerSettings(here),
-        admin=here,
-        peers=defaults.PeerSettings(here),
-        object_api=defaults.ObjectApiSettings(here),
+        callers=defaults.CallerSettings(endpoint),
+        admin=endpoint,
+        peers=defaults.PeerSettings(endpoint),
+        object_api=defaults.ObjectApiSettings(endpoint),
         evidence=defaults.EvidenceSettings(**{"period_s": 10.0, **evidence}),
     )
 
 
 def call(request_id: str = "r1", **changes: Any) -> events.CallFinished:
     """Makes a successful idempotent call."""
-    plain = events.CallFinished(
+    successful = events.CallFinished(
         request_id=request_id,
         service="registry",
         idempotent=True,
@@ -42,7 +42,7 @@
         duration_s=0.01,
         bundle=1,
     )
-    return plain._replace(**changes)
+    return successful._replace(**changes)
 
 
 class DaemonParts:
@@ -75,12 +75,12 @@
         """Starts the writer's task."""
         self.kernel.start("evidence", self.writer.run)
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Ends gracefully."""
         await self.kernel.stop()
         await self.writer.finish()
 
-    async def die(self) -> None:
+    async def crash(self) -> None:
         """Ends without a word."""
         await self.kernel.stop()
 
--- a/banyantiller/tests/evidence/test_audit.py
+++ b/banyantiller/tests/evidence/test_audit.py
@@ -74,12 +74,12 @@
 
         async def scenario() -> audit.AppendOutcome:
             store = self.store
-            other = memory.MemoryStore(self.table)
+            other_store = memory.MemoryStore(self.table)
             create = store.create
 
             async def lose(*args: Any) -> interface.CreateOutcome:
                 store.create = create
-                await self.append("other", other)
+                await self.append("other", other_store)
                 return interface.Unknown("no answer")
 
             store.create = lose
@@ -208,8 +208,8 @@
     def test_stale_list_is_read_again_and_not_called_truncated(self) -> None:
         async def scenario() -> audit.AuditReport:
             self.store.serve_stale(True)
-            other = memory.MemoryStore(self.table)
-            outcome = await self.append("roll", other)
+            other_store = memory.MemoryStore(self.table)
+            outcome = await self.append("roll", other_store)
             tip = chain.Tip(outcome.sequence, outcome.digest)
             loop = asyncio.get_running_loop()
             loop.call_later(0.01, self.store.serve_stale, False)
--- a/banyantiller/tests/evidence/test_judging.py
+++ b/banyantiller/tests/evidence/test_judging.py
@@ -8,46 +8,46 @@
 from banyantiller.bundle import options
 from banyantiller.evidence import audit, chain, layout
 from banyantiller.evidence.promises import Promise
-from banyantiller.evidence.summary import MOST_MEMBERS
+from banyantiller.evidence.summary import MAX_MEMBERS
 from banyantiller.evidence.verdicts import Broken, Held, NotKnown, Verdict
 from banyantiller.kernel import events
 from banyantiller.tests.evidence import samples
-from banyantiller.tests.evidence.judging_case import JudgingCase, quiet
+from banyantiller.tests.evidence.judging_case import JudgingCase, end_gracefully
 
 DaemonParts = samples.DaemonParts
 
 
 class CoverageTest(JudgingCase):
     def test_all_reported_and_nothing_was_broken(self) -> None:
-        self.play(quiet)
-        answers = self.ask(90)
+        self.run_script(end_gracefully)
+        answers = self.assess(90)
         self.assert_all(Held, answers)
         self.assertEqual(1, answers[Promise.AT_MOST_ONCE][0].calls)
 
     def test_without_any_evidence_nothing_is_claimed(self) -> None:
-        self.assert_all(NotKnown, self.ask(90))
+        self.assert_all(NotKnown, self.assess(90))
 
     def test_time_after_the_graceful_end_of_all_is_not_claimed(self) -> None:
-        self.play(quiet)
-        verdict = self.ask(200)[Promise.AT_MOST_ONCE][0]
-        self.assertTrue(100 <= self.since(verdict) < 106)
+        self.run_script(end_gracefully)
+        verdict = self.assess(200)[Promise.AT_MOST_ONCE][0]
+        self.assertTrue(100 <= self.unknown_since_s(verdict) < 106)
 
     def test_daemon_that_died_without_a_word(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(45)
-            await second.die()
+            await second.crash()
             await asyncio.sleep(100)
 
-        self.play(script)
-        verdict = self.ask(120)[Promise.AT_MOST_ONCE][0]
-        self.assertAlmostEqual(40, self.since(verdict), 1)
+        self.run_script(script)
+        verdict = self.assess(120)[Promise.AT_MOST_ONCE][0]
+        self.assertAlmostEqual(40, self.unknown_since_s(verdict), 1)
         self.assertEqual({"b2"}, {item.daemon for item in verdict.unknown})
-        self.assert_all(Held, self.ask(40))
+        self.assert_all(Held, self.assess(40))
 
     def test_operator_states_that_a_dead_daemon_is_gone(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(45)
-            await second.die()
+            await second.crash()
             await asyncio.sleep(100)
             gone_ms = round((samples.EPOCH + 60) * 1000)
             detail = {"daemon": "b2", "gone_ms": gone_ms}
@@ -55,22 +55,22 @@
                 self.store, "fleet", "daemon_gone", "awa", detail, first.wall
             )
 
-        self.play(script)
-        self.assert_all(Held, self.ask(120, since_s=60))
-        self.assert_all(NotKnown, self.ask(60, since_s=30))
+        self.run_script(script)
+        self.assert_all(Held, self.assess(120, since_s=60))
+        self.assert_all(NotKnown, self.assess(60, since_s=30))
 
     def test_restart_under_the_same_name_ends_the_unknown_time(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(45)
-            await second.die()
+            await second.crash()
             await asyncio.sleep(30)
-            again = DaemonParts(self.table, "b2")
-            again.start()
+            restarted = DaemonParts(self.table, "b2")
+            restarted.start()
             await asyncio.sleep(60)
-            await again.kernel.stop()
+            await restarted.kernel.stop()
 
-        self.play(script)
-        answers = self.ask(120, every_s=10)
+        self.run_script(script)
+        answers = self.assess(120, every_s=10)
         kinds = [type(item) for item in answers[Promise.WHOLE_OWN_ANSWER]]
         self.assertEqual([Held] * 4, kinds[:4])
         self.assertEqual([NotKnown] * 4, kinds[4:8])
@@ -83,32 +83,32 @@
             first.kernel.emit(events.MemberChanged("b3", "alive", started_ms))
             await asyncio.sleep(84)
 
-        self.play(script)
-        verdict = self.ask(80)[Promise.AT_MOST_ONCE][0]
+        self.run_script(script)
+        verdict = self.assess(80)[Promise.AT_MOST_ONCE][0]
         self.assertIn("b3", {item.daemon for item in verdict.unknown})
 
     def test_members_that_were_only_counted(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             start_ms = round(samples.EPOCH * 1000)
             await asyncio.sleep(15)
-            for _ in range(MOST_MEMBERS):
+            for _ in range(MAX_MEMBERS):
                 flap = events.MemberChanged("b2", "suspect", start_ms)
                 first.kernel.emit(flap)
             silent = events.MemberChanged("b3", "alive", start_ms)
             first.kernel.emit(silent)
-            await quiet(first, second)
+            await end_gracefully(first, second)
 
-        self.play(script)
-        self.assert_all(NotKnown, self.ask(90))
+        self.run_script(script)
+        self.assert_all(NotKnown, self.assess(90))
 
     def test_own_run_seen_by_a_peer_with_a_clock_near_by(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             started_ms = second.writer.run_info.started_ms + 40
             first.kernel.emit(events.MemberChanged("b2", "alive", started_ms))
-            await quiet(first, second)
+            await end_gracefully(first, second)
 
-        self.play(script)
-        self.assert_all(Held, self.ask(90))
+        self.run_script(script)
+        self.assert_all(Held, self.assess(90))
 
 
 class OutageTest(JudgingCase):
@@ -121,8 +121,8 @@
             second.store.faults.down = False
             await asyncio.sleep(50)
 
-        self.play(script)
-        answers = self.ask(600)
+        self.run_script(script)
+        answers = self.assess(600)
         self.assertIsInstance(answers[Promise.AT_MOST_ONCE][0], Held)
         broken = answers[Promise.WHOLE_OWN_ANSWER][0]
         self.assertEqual(["r1"], [item.request_id for item in broken.named])
@@ -133,19 +133,19 @@
             second.store.faults.down = True
             await asyncio.sleep(60)
             second.kernel.emit(samples.call("r1", cut=True))
-            await second.end()
+            await second.shut_down()
             await asyncio.sleep(100)
 
-        self.play(script)
-        answers = self.ask(150)
+        self.run_script(script)
+        answers = self.assess(150)
         self.assertAlmostEqual(
-            30, self.since(answers[Promise.WHOLE_OWN_ANSWER][0]), 1
+            30, self.unknown_since_s(answers[Promise.WHOLE_OWN_ANSWER][0]), 1
         )
 
     def test_store_down_while_asking_is_an_error(self) -> None:
-        self.play(quiet)
+        self.run_script(end_gracefully)
         self.store.faults.down = True
-        self.assertRaises(exceptions.StoreError, self.ask, 90)
+        self.assertRaises(exceptions.StoreError, self.assess, 90)
 
 
 class AlterationTest(JudgingCase):
@@ -161,10 +161,10 @@
         def change(records: list[Any]) -> None:
             records[3]["calls"] = {"registry": 5}
 
-        self.play(quiet)
+        self.run_script(end_gracefully)
         self.alter(change)
         kinds = [
-            type(v) for v in self.ask(90, every_s=10)[Promise.AT_MOST_ONCE]
+            type(v) for v in self.assess(90, every_s=10)[Promise.AT_MOST_ONCE]
         ]
         self.assertEqual(1, kinds.count(NotKnown))
         self.assertIs(NotKnown, kinds[2])
@@ -175,7 +175,7 @@
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(25)
             second.kernel.emit(samples.call("r1", cut=True))
-            await quiet(first, second)
+            await end_gracefully(first, second)
 
         def change(records: list[Any]) -> None:
             for index, record in enumerate(records):
@@ -183,22 +183,22 @@
                     del record["breaches"], record["breach_counts"]
                     records[index] = chain.sealed(record)
 
-        self.play(script)
-        before = self.ask(90)[Promise.WHOLE_OWN_ANSWER][0]
+        self.run_script(script)
+        before = self.assess(90)[Promise.WHOLE_OWN_ANSWER][0]
         self.assertEqual(["r1"], [item.request_id for item in before.named])
         self.alter(change)
-        after = self.ask(90)[Promise.WHOLE_OWN_ANSWER][0]
+        after = self.assess(90)[Promise.WHOLE_OWN_ANSWER][0]
         self.assertIsInstance(after, NotKnown)
 
     def test_removed_record(self) -> None:
-        self.play(quiet)
+        self.run_script(end_gracefully)
         self.alter(lambda records: records.pop(4))
-        verdict = self.ask(90)[Promise.AT_MOST_ONCE][0]
+        verdict = self.assess(90)[Promise.AT_MOST_ONCE][0]
         self.assertIn("missing", verdict.unknown[0].why)
 
     def test_second_record_of_the_same_number(self) -> None:
         """Someone adds a block with another version of a record."""
-        self.play(quiet)
+        self.run_script(end_gracefully)
         item = next(
             item
             for item in self.table.list(layout.BLOCK_KIND).items
@@ -208,36 +208,36 @@
         value = {**item.value, "records": [forged]}
         name = item.name + "x"
         self.table.create(layout.BLOCK_KIND, name, value, item.labels)
-        verdict = self.ask(90)[Promise.AT_MOST_ONCE][0]
+        verdict = self.assess(90)[Promise.AT_MOST_ONCE][0]
         self.assertIn("exists twice", verdict.unknown[0].why)
 
     def test_removed_end(self) -> None:
-        self.play(quiet)
+        self.run_script(end_gracefully)
         blocks = [
             item
             for item in self.table.list(layout.BLOCK_KIND).items
             if item.value["daemon"] == "b2"
         ]
         self.table.delete(blocks[-1])
-        verdict = self.ask(110)[Promise.AT_MOST_ONCE][0]
+        verdict = self.assess(110)[Promise.AT_MOST_ONCE][0]
         self.assertIn("last summary", verdict.unknown[0].why)
 
     def test_garbage_in_place_of_a_block(self) -> None:
         def change(records: list[Any]) -> None:
             records[:] = [7, {"sequence": 2}, {"sequence": "x"}, None]
 
-        self.play(quiet)
+        self.run_script(end_gracefully)
         self.alter(change)
-        self.assert_all(NotKnown, self.ask(90))
+        self.assert_all(NotKnown, self.assess(90))
 
     def test_all_evidence_of_a_daemon_removed_but_its_announcement(
         self,
     ) -> None:
-        self.play(quiet)
+        self.run_script(end_gracefully)
         for item in self.table.list(layout.BLOCK_KIND).items:
             if item.value["daemon"] == "b2":
                 self.table.delete(item)
-        self.assert_all(NotKnown, self.ask(90))
+        self.assert_all(NotKnown, self.assess(90))
 
     def test_damaged_audit_trail_leaves_bundles_unknown(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
@@ -246,13 +246,13 @@
                     self.store, "fleet", "roll", "awa", {}, first.wall
                 )
                 await asyncio.sleep(10)
-            await quiet(first, second)
+            await end_gracefully(first, second)
 
-        self.play(script)
-        self.assert_all(Held, self.ask(90))
+        self.run_script(script)
+        self.assert_all(Held, self.assess(90))
         entry = self.table.list("auditentries").items[1]
         self.table.delete(entry)
-        answers = self.ask(90, every_s=30)
+        answers = self.assess(90, every_s=30)
         kinds = [type(v) for v in answers[Promise.BUNDLE_IN_FORCE]]
         self.assertEqual([NotKnown, Held, Held], kinds)
         self.assertIsInstance(answers[Promise.AT_MOST_ONCE][0], Held)
@@ -263,11 +263,11 @@
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(15)
             second.kernel.emit(samples.call("r1", idempotent=False, attempts=2))
-            await first.die()
+            await first.crash()
             await asyncio.sleep(100)
 
-        self.play(script)
-        verdict = self.ask(60)[Promise.AT_MOST_ONCE][0]
+        self.run_script(script)
+        verdict = self.assess(60)[Promise.AT_MOST_ONCE][0]
         self.assertIsInstance(verdict, Broken)
         self.assertEqual("r1", verdict.named[0].request_id)
         self.assertEqual("b1", verdict.unknown[0].daemon)
@@ -276,20 +276,20 @@
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for index in range(7):
                 second.kernel.emit(samples.call(f"r{index}", cut=True))
-            await quiet(first, second)
+            await end_gracefully(first, second)
 
-        self.play(script, most_requests=3)
-        verdict = self.ask(90)[Promise.WHOLE_OWN_ANSWER][0]
+        self.run_script(script, most_requests=3)
+        verdict = self.assess(90)[Promise.WHOLE_OWN_ANSWER][0]
         self.assertEqual((3, 4), (len(verdict.named), verdict.unnamed))
 
     def test_breach_belongs_to_one_part_only(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(25)
             second.kernel.emit(samples.call("r1", cut=True))
-            await quiet(first, second)
+            await end_gracefully(first, second)
 
-        self.play(script)
-        verdicts = self.ask(90, every_s=10)[Promise.WHOLE_OWN_ANSWER]
+        self.run_script(script)
+        verdicts = self.assess(90, every_s=10)[Promise.WHOLE_OWN_ANSWER]
         kinds = [type(verdict) for verdict in verdicts]
         self.assertEqual(1, kinds.count(Broken))
         self.assertIs(Broken, kinds[2])
@@ -302,10 +302,10 @@
                 for _ in range(count):
                     event = events.ProbeCharged("registry", parts.wall())
                     parts.kernel.emit(event)
-            await quiet(first, second)
+            await end_gracefully(first, second)
 
-        self.play(script)
-        return self.ask(90)[Promise.MEASURING_IN_BUDGET][0]
+        self.run_script(script)
+        return self.assess(90)[Promise.MEASURING_IN_BUDGET][0]
 
     def test_probes_within_the_budget(self) -> None:
         self.assertIsInstance(self.probes(85), Held)
@@ -325,10 +325,10 @@
                 for _ in range(50):
                     event = events.ProbeCharged("registry", parts.wall())
                     parts.kernel.emit(event)
-            await quiet(first, second)
+            await end_gracefully(first, second)
 
-        self.play(script)
-        verdict = self.ask(90)[Promise.MEASURING_IN_BUDGET][0]
+        self.run_script(script)
+        verdict = self.assess(90)[Promise.MEASURING_IN_BUDGET][0]
         self.assertIsInstance(verdict, NotKnown)
 
     def test_probes_without_a_known_budget(self) -> None:
--- a/banyantiller/tests/evidence/test_judging_bundles.py
+++ b/banyantiller/tests/evidence/test_judging_bundles.py
@@ -5,7 +5,7 @@
 from banyantiller.bundle import manifest, reading
 from banyantiller.evidence import audit
 from banyantiller.evidence.promises import Promise
-from banyantiller.evidence.summary import MOST_BUNDLES
+from banyantiller.evidence.summary import MAX_BUNDLES
 from banyantiller.evidence.verdicts import Broken, Held, NotKnown, Verdict
 from banyantiller.tests.evidence import samples
 from banyantiller.tests.evidence.judging_case import JudgingCase
@@ -33,8 +33,8 @@
                 second.bundle(version, accepted_at)
             await asyncio.sleep(100 - now())
 
-        self.play(script, clock_offset_s=offset_s)
-        return self.ask(until_s)[Promise.BUNDLE_IN_FORCE][0]
+        self.run_script(script, clock_offset_s=offset_s)
+        return self.assess(until_s)[Promise.BUNDLE_IN_FORCE][0]
 
     def test_in_force_in_time(self) -> None:
         self.assertIsInstance(self.judged({1: 0.2, 2: 3.0}), Held)
@@ -42,15 +42,15 @@
     def test_order_of_bundles_that_were_only_counted(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(20)
-            for version in (*range(1, MOST_BUNDLES + 2), MOST_BUNDLES):
+            for version in (*range(1, MAX_BUNDLES + 2), MAX_BUNDLES):
                 for parts in (first, second):
                     parts.bundle(version, samples.EPOCH + 20)
             await asyncio.sleep(80)
-            await first.end()
-            await second.end()
+            await first.shut_down()
+            await second.shut_down()
 
-        self.play(script)
-        verdict = self.ask(90)[Promise.BUNDLE_IN_FORCE][0]
+        self.run_script(script)
+        verdict = self.assess(90)[Promise.BUNDLE_IN_FORCE][0]
         self.assertIsInstance(verdict, NotKnown)
         self.assertIn("only counted", verdict.unknown[0].why)
 
@@ -80,8 +80,8 @@
             first.bundle(2, first.wall())
             await asyncio.sleep(70)
 
-        self.play(script)
-        verdict = self.ask(90)[Promise.BUNDLE_IN_FORCE][0]
+        self.run_script(script)
+        verdict = self.assess(90)[Promise.BUNDLE_IN_FORCE][0]
         self.assertIn("not at all", verdict.named[0].detail)
 
     def test_evidence_missing_when_the_version_was_due(self) -> None:
@@ -93,16 +93,16 @@
             await asyncio.sleep(29)
             first.bundle(2, first.wall())
             await asyncio.sleep(2)
-            await second.die()
+            await second.crash()
             await asyncio.sleep(30)
-            again = DaemonParts(self.table, "b2")
-            again.start()
-            again.bundle(2, samples.EPOCH + 29)
+            restarted = DaemonParts(self.table, "b2")
+            restarted.start()
+            restarted.bundle(2, samples.EPOCH + 29)
             await asyncio.sleep(30)
-            await again.kernel.stop()
+            await restarted.kernel.stop()
 
-        self.play(script)
-        verdict = self.ask(80, every_s=10)[Promise.BUNDLE_IN_FORCE][2]
+        self.run_script(script)
+        verdict = self.assess(80, every_s=10)[Promise.BUNDLE_IN_FORCE][2]
         self.assertIsInstance(verdict, NotKnown)
         self.assertIn("Evidence is missing", verdict.unknown[0].why)
 
@@ -117,7 +117,7 @@
                 await asyncio.sleep(0.05)
             await asyncio.sleep(80)
 
-        self.play(script)
+        self.run_script(script)
         accepted_at = samples.EPOCH + 10.2 + 0.05 * 98
         detail = {"version": 100, "result": "rolled"}
         self.run_paused(
@@ -130,7 +130,7 @@
                 lambda: accepted_at,
             )
         )
-        verdict = self.ask(90)[Promise.BUNDLE_IN_FORCE][0]
+        verdict = self.assess(90)[Promise.BUNDLE_IN_FORCE][0]
         self.assertIsInstance(verdict, NotKnown)
         self.assertIn("only counted", verdict.unknown[0].why)
 
@@ -144,8 +144,8 @@
             await asyncio.sleep(95)
             await third.kernel.stop()
 
-        self.play(script)
-        self.assert_all(Held, self.ask(90))
+        self.run_script(script)
+        self.assert_all(Held, self.assess(90))
 
     def test_accepted_head_that_no_daemon_has_seen(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
@@ -162,8 +162,8 @@
             self.table.create(reading.HEADS, "fleet", value)
             await asyncio.sleep(80)
 
-        self.play(script)
-        verdict = self.ask(90)[Promise.BUNDLE_IN_FORCE][0]
+        self.run_script(script)
+        verdict = self.assess(90)[Promise.BUNDLE_IN_FORCE][0]
         self.assertIsInstance(verdict, Broken)
 
     def test_revert_within_a_run(self) -> None:
@@ -175,8 +175,8 @@
             second.bundle(1, samples.EPOCH)
             await asyncio.sleep(99)
 
-        self.play(script)
-        verdict = self.ask(90)[Promise.BUNDLE_IN_FORCE][0]
+        self.run_script(script)
+        verdict = self.assess(90)[Promise.BUNDLE_IN_FORCE][0]
         self.assertIn("after version 2", verdict.named[0].detail)
 
     def test_restart_with_an_older_bundle(self) -> None:
@@ -185,17 +185,17 @@
                 parts.bundle(1, samples.EPOCH)
                 parts.bundle(2, samples.EPOCH + 0.1)
             await asyncio.sleep(30)
-            await second.end()
-            again = DaemonParts(self.table, "b2")
-            again.start()
-            again.bundle(1, samples.EPOCH)
+            await second.shut_down()
+            restarted = DaemonParts(self.table, "b2")
+            restarted.start()
+            restarted.bundle(1, samples.EPOCH)
             await asyncio.sleep(2)
-            again.bundle(2, samples.EPOCH + 0.1)
+            restarted.bundle(2, samples.EPOCH + 0.1)
             await asyncio.sleep(60)
-            await again.kernel.stop()
+            await restarted.kernel.stop()
 
-        self.play(script)
-        verdict = self.ask(80)[Promise.BUNDLE_IN_FORCE][0]
+        self.run_script(script)
+        verdict = self.assess(80)[Promise.BUNDLE_IN_FORCE][0]
         self.assertIsInstance(verdict, Broken)
         self.assertIn("although version 2", verdict.named[0].detail)
 
@@ -211,8 +211,8 @@
             await asyncio.sleep(69)
             await third.kernel.stop()
 
-        self.play(script)
-        self.assert_all(Held, self.ask(90))
+        self.run_script(script)
+        self.assert_all(Held, self.assess(90))
 
     def test_version_known_only_from_the_audit_trail(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
@@ -225,7 +225,7 @@
             )
             await asyncio.sleep(80)
 
-        self.play(script)
-        verdict = self.ask(90)[Promise.BUNDLE_IN_FORCE][0]
+        self.run_script(script)
+        verdict = self.assess(90)[Promise.BUNDLE_IN_FORCE][0]
         self.assertIsInstance(verdict, Broken)
         self.assertEqual(2, len(verdict.named))
--- a/banyantiller/tests/evidence/test_recorder.py
+++ b/banyantiller/tests/evidence/test_recorder.py
@@ -21,14 +21,16 @@
             samples.settings(most_requests=2), self.kernel, lambda: self.now
         )
 
-    def broken(self, *calls: events.CallFinished) -> list[tuple[str, str]]:
+    def breaches_after(
+        self, *calls: events.CallFinished
+    ) -> list[tuple[str, str]]:
         for call in calls:
             self.kernel.emit(call)
-        closed = self.recorder.close_period()
-        return [(item.promise, item.request_id) for item in closed.breaches]
+        summary = self.recorder.close_period()
+        return [(item.promise, item.request_id) for item in summary.breaches]
 
     def test_sound_calls_break_nothing(self) -> None:
-        sound = [
+        harmless = [
             samples.call(),
             samples.call(attempts=3, error=ErrorKind.CONNECTION_LOST),
             samples.call(idempotent=False, attempts=1),
@@ -41,27 +43,29 @@
             samples.call(cut=True, error=ErrorKind.CALLER_GONE),
             samples.call(cut=True, error=ErrorKind.BODY_TIMEOUT),
         ]
-        self.assertEqual([], self.broken(*sound))
+        self.assertEqual([], self.breaches_after(*harmless))
 
     def test_second_run_of_a_non_idempotent_request(self) -> None:
-        found = self.broken(samples.call("r2", idempotent=False, attempts=2))
+        found = self.breaches_after(
+            samples.call("r2", idempotent=False, attempts=2)
+        )
         self.assertEqual([("at_most_once", "r2")], found)
 
     def test_told_not_run_after_bytes_were_sent(self) -> None:
-        found = self.broken(
+        found = self.breaches_after(
             samples.call("r3", error=ErrorKind.NO_SERVER, told=Ran.NO)
         )
         self.assertEqual([("not_run_is_not_run", "r3")], found)
 
     def test_cut_answer(self) -> None:
-        found = self.broken(
+        found = self.breaches_after(
             samples.call("r4", cut=True, error=ErrorKind.CONNECTION_LOST)
         )
         self.assertEqual([("whole_own_answer", "r4")], found)
 
     def test_cut_while_the_daemon_drains(self) -> None:
         self.kernel.emit(events.DaemonDraining(self.now))
-        found = self.broken(samples.call("r5", cut=True))
+        found = self.breaches_after(samples.call("r5", cut=True))
         self.assertIn(("shutdown_cuts_nothing", "r5"), found)
 
     def test_request_to_a_leaving_server(self) -> None:
@@ -69,26 +73,36 @@
             "registry", (), drain=options.DrainPolicy(stop_within_s=2.0)
         )
         self.recorder.configure([service])
-        left = events.ServerLeaving("registry", "s1", "vm_list", self.now)
-        self.kernel.emit(left)
+        leaving_event = events.ServerLeaving(
+            "registry", "s1", "vm_list", self.now
+        )
+        self.kernel.emit(leaving_event)
         self.now += 2.5
-        self.assertEqual([], self.broken(samples.call(duration_s=0.6)))
+        self.assertEqual([], self.breaches_after(samples.call(duration_s=0.6)))
         late = samples.call("r6", duration_s=0.6, sent_after_s=0.2)
-        self.assertEqual([("leaving_server_spared", "r6")], self.broken(late))
+        self.assertEqual(
+            [("leaving_server_spared", "r6")], self.breaches_after(late)
+        )
 
     def test_first_sign_of_leaving_counts(self) -> None:
         for reason in ("drain_answer", "vm_list"):
-            left = events.ServerLeaving("registry", "s1", reason, self.now)
-            self.kernel.emit(left)
+            leaving_event = events.ServerLeaving(
+                "registry", "s1", reason, self.now
+            )
+            self.kernel.emit(leaving_event)
             self.now += 2.0
-        self.assertEqual(1, len(self.broken(samples.call(duration_s=0.1))))
+        self.assertEqual(
+            1, len(self.breaches_after(samples.call(duration_s=0.1)))
+        )
 
     def test_server_that_came_back_is_not_leaving(self) -> None:
-        left = events.ServerLeaving("registry", "s1", "vm_list", self.now)
-        self.kernel.emit(left)
+        leaving_event = events.ServerLeaving(
+            "registry", "s1", "vm_list", self.now
+        )
+        self.kernel.emit(leaving_event)
         self.kernel.emit(events.ServerReturned("registry", "s1", self.now))
         self.now += 60
-        self.assertEqual([], self.broken(samples.call()))
+        self.assertEqual([], self.breaches_after(samples.call()))
 
     def test_server_taken_out_by_a_bundle_and_put_back(self) -> None:
         server = options.BackendServer("s1", "127.0.0.1", 80)
@@ -96,15 +110,17 @@
         self.recorder.configure([with_server])
         self.recorder.configure([with_server._replace(servers=())])
         self.now += 60
-        late = self.broken(samples.call("r9"))
+        late = self.breaches_after(samples.call("r9"))
         self.assertEqual([("leaving_server_spared", "r9")], late)
         self.recorder.configure([with_server])
-        self.assertEqual([], self.broken(samples.call()))
+        self.assertEqual([], self.breaches_after(samples.call()))
 
     def test_cut_while_the_server_leaves(self) -> None:
-        left = events.ServerLeaving("registry", "s1", "drain_answer", self.now)
-        self.kernel.emit(left)
-        found = self.broken(samples.call("r7", cut=True))
+        leaving_event = events.ServerLeaving(
+            "registry", "s1", "drain_answer", self.now
+        )
+        self.kernel.emit(leaving_event)
+        found = self.breaches_after(samples.call("r7", cut=True))
         self.assertIn(("shutdown_cuts_nothing", "r7"), found)
 
     def test_breach_seen_by_another_part(self) -> None:
@@ -112,15 +128,15 @@
             events.PromiseBroken("at_most_once", "r8", "Granted twice.", 1.0)
         )
         self.kernel.emit(events.PromiseBroken("no_such", "r9", "", 1.0))
-        self.assertEqual([("at_most_once", "r8")], self.broken())
+        self.assertEqual([("at_most_once", "r8")], self.breaches_after())
 
     def test_named_requests_are_bounded_and_counted(self) -> None:
         for index in range(5):
             self.kernel.emit(samples.call(f"r{index}", cut=True))
-        closed = self.recorder.close_period()
-        self.assertEqual(2, len(closed.breaches))
-        self.assertEqual({"breaches": 3}, closed.omitted)
-        self.assertEqual({"whole_own_answer": 5}, closed.breach_counts)
+        summary = self.recorder.close_period()
+        self.assertEqual(2, len(summary.breaches))
+        self.assertEqual({"breaches": 3}, summary.omitted)
+        self.assertEqual({"whole_own_answer": 5}, summary.breach_counts)
 
     def test_store_outage_is_timed_over_periods(self) -> None:
         self.kernel.emit(events.StoreState(False, self.now))
@@ -133,8 +149,8 @@
 
     def test_clock_set_back_gives_no_negative_period(self) -> None:
         self.now -= 50
-        closed = self.recorder.close_period()
-        self.assertEqual(closed.from_ms, closed.to_ms)
+        summary = self.recorder.close_period()
+        self.assertEqual(summary.from_ms, summary.to_ms)
 
     def test_probes_carry_their_budget(self) -> None:
         self.recorder.configure([options.Service("registry", ())])
@@ -161,10 +177,10 @@
         self.assertEqual(summary, summaries.decode({**encoded, "new": 1}))
 
     def test_backlog_stays_bounded_and_counts_stay_exact(self) -> None:
-        queue = backlog.Backlog(most_requests=3, most=4)
+        pending_summaries = backlog.Backlog(most_requests=3, max_pending=4)
         for index in range(100):
             breach = summaries.BreachSeen("at_most_once", f"r{index}", "", 0)
-            queue.add(
+            pending_summaries.add_summary(
                 summaries.Summary(
                     index,
                     index + 1,
@@ -173,7 +189,7 @@
                     breach_counts={"at_most_once": 1},
                 )
             )
-        pending = queue.take()
+        pending = pending_summaries.take_all()
         self.assertEqual(4, len(pending))
         self.assertEqual(200, sum(item.calls["a"] for item in pending))
         self.assertEqual(100, sum(item.merged for item in pending))
--- a/banyantiller/tests/evidence/test_writer.py
+++ b/banyantiller/tests/evidence/test_writer.py
@@ -31,7 +31,7 @@
             parts = samples.DaemonParts(self.table)
             parts.start()
             await asyncio.sleep(301)
-            await parts.end()
+            await parts.shut_down()
             self.assertEqual(32 - 4 + 1, parts.store.calls["update"])
 
         self.run_paused(scenario())
@@ -51,14 +51,14 @@
             parts = samples.DaemonParts(self.table)
             parts.start()
             await asyncio.sleep(15)
-            run = layout.run_from(
+            run = layout.parse_run(
                 self.table.list(layout.RUN_KIND).items[0].value
             )
             self.assertEqual((0, 10_000), (run.ended_ms, run.period_ms))
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
-        run = layout.run_from(self.table.list(layout.RUN_KIND).items[0].value)
+        run = layout.parse_run(self.table.list(layout.RUN_KIND).items[0].value)
         self.assertTrue(run.ended_ms > run.started_ms)
 
     def test_outage_keeps_counts_and_says_what_was_merged(self) -> None:
@@ -72,7 +72,7 @@
                 await asyncio.sleep(10)
             parts.store.faults.down = False
             await asyncio.sleep(20)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
@@ -91,7 +91,7 @@
             for _ in range(12):
                 parts.store.faults.lose_answers = 1
                 await asyncio.sleep(10)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
@@ -109,7 +109,7 @@
             await asyncio.sleep(60)
             parts.store.faults.slow_s = 0.0
             await asyncio.sleep(40)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
@@ -127,7 +127,7 @@
             await asyncio.sleep(30)
             parts.store.serve_stale(False)
             await asyncio.sleep(8)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         self.assertEqual(1, len(self.blocks()))
@@ -142,7 +142,7 @@
             block.value["records"][1]["to_ms"] += 1
             self.table.update(block, block.value)
             await asyncio.sleep(35)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
@@ -160,7 +160,7 @@
             await asyncio.sleep(35)
             self.table.delete(self.blocks()[0])
             await asyncio.sleep(35)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
@@ -172,7 +172,7 @@
             parts = samples.DaemonParts(self.table)
             parts.store.faults.down = True
             before = asyncio.get_running_loop().time()
-            await parts.end()
+            await parts.shut_down()
             self.assertTrue(asyncio.get_running_loop().time() - before < 6)
 
         self.run_paused(scenario())
@@ -187,7 +187,7 @@
                     request_id = f"{index:060d}"
                     parts.kernel.emit(samples.call(request_id, cut=True))
                 await asyncio.sleep(10)
-            await parts.end()
+            await parts.shut_down()
             self.assertEqual([], parts.writer.sealed)
 
         self.run_paused(scenario())
@@ -201,7 +201,7 @@
             self.table.create(trail.TIP_KIND, samples.FLEET, tip)
             parts.start()
             await asyncio.sleep(20)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         last = self.records()[max(self.records())]
