--- a/banyantiller/evidence/__init__.py
+++ b/banyantiller/evidence/__init__.py
@@ -1,1 +1,1 @@
-"""Evidence of what held, and the audit trail."""
+"""Evidence of kept and broken promises, and the audit trail."""
--- a/banyantiller/evidence/assessment.py
+++ b/banyantiller/evidence/assessment.py
@@ -1,4 +1,4 @@
-"""Reads all evidence of a period and judges it."""
+"""Reads the evidence of a period and judges the promises from it."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
@@ -22,15 +22,15 @@
 
 
 class AssessmentRequest(NamedTuple):
-    """What is asked.
+    """Fleet and period to judge.
 
     Attributes:
-        deployment: Fleet.
-        period: Time that is judged.
-        every_ms: Length of the parts that are judged one by one.
+        deployment: Name of the fleet.
+        period: Period to judge.
+        every_ms: Length of the parts that are judged separately.
         tolerance_ms: Largest assumed difference between two clocks.
-        known_ms: Time up to which every daemon had time to report; what is
-            known between the period's end and then is used as well.
+        known_ms: Time up to which every daemon had time to report. Evidence
+            between the end of the period and this time is used as well.
     """
 
     deployment: str
@@ -41,13 +41,13 @@
 
 
 class Assessment(NamedTuple):
-    """What was found.
+    """Result of judging a period.
 
     Attributes:
-        request: What was asked.
-        judgements: By promise and part.
-        histories: Runs of daemons.
-        audit: The check of the audit trail.
+        request: Fleet and period that were judged.
+        judgements: Judgements in order of promise and part.
+        histories: Histories of the known runs.
+        audit: Result of checking the audit trail.
     """
 
     request: AssessmentRequest
@@ -57,11 +57,11 @@
 
 
 class JudgeablePeriod(NamedTuple):
-    """What can be judged now.
+    """Period for which all evidence is due.
 
     Attributes:
-        first_ms: Start of the first known daemon.
-        until_ms: End of the latest time of which everything is due.
+        first_ms: Start of the earliest known run.
+        until_ms: Latest time for which all evidence is due.
         known_ms: Time up to which every daemon had time to report.
     """
 
@@ -73,7 +73,7 @@
 async def find_judgeable_period(
     store: interface.ObjectStore, deployment: str, now_ms: int
 ) -> JudgeablePeriod:
-    """Finds out up to when daemons had time to report.
+    """Finds the period for which every daemon had time to report.
 
     Args:
         store: The object API.
@@ -104,10 +104,10 @@
 async def assess(
     store: interface.ObjectStore, request: AssessmentRequest
 ) -> Assessment:
-    """Reads and judges.
+    """Reads the evidence of a period and judges every promise.
 
     Raises:
-        StoreError: The object API did not answer; nothing can be said.
+        StoreError: The object API did not answer, so nothing can be judged.
     """
     period = request.period
     blocks = await _list_blocks(store, request.deployment, period)
@@ -122,7 +122,8 @@
     known_ms = min(period.to_ms + LOOK_AHEAD_MS, request.known_ms)
     end_ms = max(period.to_ms, known_ms)
     histories = history.build_histories(stored, request.deployment, end_ms)
-    # The audit trail notes the end of a roll, so it is the least exact.
+    # The audit trail records when a roll ended, which is the least exact of
+    # the three sources, so the others override it.
     accepted = {
         **_acceptances_in_trail(sound),
         **judging_bundles.accepted_by_daemons(histories),
@@ -138,7 +139,7 @@
 
 
 def sound_entries(audit: trail.AuditReport) -> list[dict[str, Any]]:
-    """Returns the audit entries against which nothing speaks."""
+    """Returns the audit entries for which the check found no problem."""
     damaged = {problem.sequence for problem in audit.problems}
     return [
         item for item in audit.entries if item.get("sequence") not in damaged
@@ -148,7 +149,7 @@
 def audit_gaps(
     audit: trail.AuditReport, until_ms: int
 ) -> list[history.EvidenceGap]:
-    """Returns the times between the sound neighbours of damaged entries."""
+    """Returns the spans between the sound neighbours of damaged entries."""
     times = {
         item["sequence"]: item["at_ms"]
         for item in sound_entries(audit)
@@ -170,7 +171,7 @@
 async def read_carried_tips(
     store: interface.ObjectStore, deployment: str, period: judging.Period
 ) -> set[chain.Tip]:
-    """Returns the audit tips that daemons carried in a period.
+    """Returns the audit tips in the summaries of a period.
 
     Raises:
         StoreError: The object API did not answer.
@@ -179,7 +180,7 @@
 
 
 def _collect_tips(blocks: Sequence[Mapping[str, Any]]) -> set[chain.Tip]:
-    """Collects the audit tips that daemons carried in their summaries."""
+    """Collects the audit tips that the summaries contain."""
     tips: set[chain.Tip] = set()
     for block in blocks:
         records = block.get("records")
@@ -200,7 +201,7 @@
 async def _list_blocks(
     store: interface.ObjectStore, deployment: str, period: judging.Period
 ) -> list[dict[str, Any]]:
-    """Lists blocks by day, from the day before, as blocks span midnight."""
+    """Lists blocks by day; starts a day early, as blocks can span midnight."""
     blocks: list[dict[str, Any]] = []
     day_ms = period.from_ms // DAY_MS * DAY_MS - DAY_MS
     while day_ms <= period.to_ms:
@@ -232,7 +233,7 @@
 def _acceptances_in_trail(
     entries: Sequence[Mapping[str, Any]],
 ) -> dict[int, int]:
-    """Returns the versions that the audit trail says were accepted."""
+    """Returns acceptance times by version, from roll results in the trail."""
     rolled: dict[int, int] = {}
     for entry in entries:
         detail = entry.get("detail")
--- a/banyantiller/evidence/audit.py
+++ b/banyantiller/evidence/audit.py
@@ -1,8 +1,9 @@
 """Appends to the audit trail of changes in the object API.
 
-An entry is created only if no object of its number exists, and it carries
-the digest of the entry before it, so racing writers can't fork the trail. A
-lost answer is settled by reading the entry's nonce back.
+An entry is created only if no object with its sequence number exists, and it
+contains the digest of the entry before it, so concurrent writers can't fork
+the trail. After a lost response, the stored entry's nonce shows whether the
+write succeeded.
 """
 
 import asyncio
@@ -46,14 +47,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotAppended:
-    """The entry is certainly not part of the trail."""
+    """The entry is definitely not part of the trail."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotKnown:
-    """Nobody can tell yet whether the entry is part of the trail."""
+    """It is undetermined whether the entry is part of the trail."""
 
     reason: str
 
@@ -73,14 +74,14 @@
 
     Args:
         store: The object API.
-        deployment: Fleet whose trail it is.
-        action: What was done, such as "propose".
-        operator: Who did it.
-        detail: JSON-compatible particulars, at most 64 KB encoded.
+        deployment: Name of the fleet.
+        action: Action that was performed, such as "propose".
+        operator: Name of the operator who performed it.
+        detail: JSON-compatible details, at most 64 KB encoded.
         wall: Returns wall-clock seconds.
 
     Returns:
-        `Appended` only after the object API has shown the entry.
+        `Appended` only after the object API has confirmed the entry.
     """
     if len(chain.canonical(detail)) > MAX_DETAIL_BYTES:
         return NotAppended(f"The detail exceeds {MAX_DETAIL_BYTES} bytes.")
@@ -103,13 +104,13 @@
         if outcome is not None:
             return outcome
         await asyncio.sleep(_pause(attempt))
-    return NotAppended("Other writers were first each time.")
+    return NotAppended("Each attempt lost to another writer.")
 
 
 async def _append_after(
     store: interface.ObjectStore, tip: chain.Tip, content: dict[str, Any]
 ) -> AppendOutcome | None:
-    """Creates the entry after `tip`; None if another writer was first."""
+    """Creates the entry after `tip`; None if another writer took its place."""
     entry = chain.sealed(
         {**content, "sequence": tip.sequence + 1, "previous": tip.digest}
     )
@@ -143,7 +144,7 @@
 async def _is_stored(
     store: interface.ObjectStore, name: str, entry: dict[str, Any]
 ) -> bool | None:
-    """Tells whether the stored entry is ours; None if it can't be read."""
+    """Returns whether this writer's entry is stored; None if unreadable."""
     outcome = await store.get(trail.ENTRY_KIND, name)
     if isinstance(outcome, interface.Found):
         return bool(outcome.item.value.get("nonce") == entry["nonce"])
@@ -153,7 +154,7 @@
 async def _record_tip(
     store: interface.ObjectStore, deployment: str, appended: Appended
 ) -> None:
-    """Raises the recorded tip; a failure only costs a longer search."""
+    """Advances the recorded tip; a failure only makes later searches longer."""
     value = {"sequence": appended.sequence, "digest": appended.digest}
     labels = {"deployment": deployment}
     for _ in range(MAX_FAILURES):
@@ -170,4 +171,4 @@
             break
         if isinstance(outcome, interface.Found):
             return
-    log.warning("evidence: the recorded tip of the audit trail is behind.")
+    log.warning("evidence: the recorded audit trail tip could not be updated.")
--- a/banyantiller/evidence/backlog.py
+++ b/banyantiller/evidence/backlog.py
@@ -1,4 +1,4 @@
-"""A bounded queue of summaries that could not be written yet."""
+"""A bounded queue of summaries that are not written yet."""
 
 from banyantiller.evidence import summary as summaries
 
@@ -6,14 +6,15 @@
 
 
 class Backlog:
-    """Keeps summaries in order; joins neighbours when there are too many.
+    """Queues summaries in order and merges neighbours when it is full.
 
-    Counts stay exact. What is lost is resolution in time and, in the
-    summary, the items counted in `omitted`.
+    Merging keeps counts exact. It loses time resolution and the list items
+    that the merged summary counts in `omitted`.
 
     Attributes:
         pending: Summaries, oldest first.
-        most_requests: Most breaches that one summary lists.
+        most_requests: Maximum number of breaches that one summary lists.
+        max_pending: Maximum number of queued summaries.
     """
 
     def __init__(
@@ -24,7 +25,7 @@
         self.max_pending = max_pending
 
     def add_summary(self, summary: summaries.Summary) -> None:
-        """Adds the latest summary."""
+        """Appends a summary; merges two others if the queue is full."""
         self.pending.append(summary)
         if len(self.pending) > self.max_pending:
             self._join()
@@ -36,7 +37,7 @@
         return taken
 
     def _join(self) -> None:
-        """Joins the neighbours that cover the fewest periods together."""
+        """Merges the two neighbours that together cover the fewest periods."""
         pairs = range(len(self.pending) - 1)
         at = min(pairs, key=self._periods)
         joined = summaries.merge(
--- a/banyantiller/evidence/chain.py
+++ b/banyantiller/evidence/chain.py
@@ -1,4 +1,4 @@
-"""Hash chains: how a missing or altered record is found.
+"""Hash chains, which reveal missing and altered records.
 
 Each record carries its sequence number, the digest of the record before it
 and its own digest over all other fields. The functions here are pure.
@@ -16,7 +16,7 @@
 
 
 class Damage(enum.StrEnum):
-    """What is wrong with a record of a chain."""
+    """Kind of damage to a record of a chain."""
 
     MISSING = "missing"
     ALTERED = "altered"
@@ -27,12 +27,12 @@
 
 
 class Problem(NamedTuple):
-    """One damaged place of a chain.
+    """One damaged record of a chain.
 
     Attributes:
-        sequence: Sequence number concerned.
-        damage: What is wrong.
-        detail: One sentence.
+        sequence: Sequence number of the damaged record.
+        damage: Kind of damage.
+        detail: Description in one sentence.
     """
 
     sequence: int
@@ -41,7 +41,7 @@
 
 
 class Tip(NamedTuple):
-    """The last record of a chain as someone saw it.
+    """The last record of a chain, as observed at some time.
 
     Attributes:
         sequence: Its sequence number, 0 for an empty chain.
@@ -69,7 +69,7 @@
 
 
 def check_record(sequence: int, record: Mapping[str, Any]) -> Problem | None:
-    """Checks one record by itself.
+    """Checks one record without its neighbours.
 
     Args:
         sequence: Sequence number by which the record was found.
@@ -100,8 +100,8 @@
 
     Args:
         records: Records by the sequence number under which they are stored.
-            The first one present may start later than 1 only if the caller
-            checks that itself.
+            The lowest sequence number isn't checked here: a caller that
+            needs a chain to start at 1 checks that itself.
 
     Returns:
         Problems in order of sequence.
@@ -125,14 +125,14 @@
 def check_tips(
     records: Mapping[int, Mapping[str, Any]], tips: Iterable[Tip]
 ) -> list[Problem]:
-    """Checks a chain against tips that others saw.
+    """Checks a chain against tips that were observed earlier.
 
     Args:
         records: Records by sequence number.
-        tips: Tips that were seen at any time.
+        tips: Tips that were observed at any time.
 
     Returns:
-        One problem for each tip that the chain does not contain any more.
+        One problem for each tip that the chain no longer contains.
     """
     last = max(records, default=0)
     problems: list[Problem] = []
--- a/banyantiller/evidence/charts.py
+++ b/banyantiller/evidence/charts.py
@@ -1,4 +1,4 @@
-"""Plots for the report, as SVG; needs the optional extra `report`."""
+"""Charts for the report, as SVG; needs the optional extra `report`."""
 
 import datetime
 from collections.abc import Callable, Sequence
@@ -24,7 +24,7 @@
 
 
 def draw_verdicts(found: Assessment) -> str:
-    """Draws when each promise held, was broken or is not known."""
+    """Draws the verdict for each promise over time."""
 
     def draw(axes: Any) -> None:
         names = list(Promise)
@@ -46,7 +46,7 @@
 
 
 def draw_calls(found: Assessment) -> str:
-    """Draws calls and failed calls a second over time."""
+    """Draws the rates of calls and failed calls over time."""
 
     def draw(axes: Any) -> None:
         for label, count in (
@@ -62,7 +62,7 @@
 
 
 def draw_latencies(found: Assessment) -> str:
-    """Draws the median and the 99th percentile over time."""
+    """Draws the 50th and 99th percentiles of call durations over time."""
 
     def draw(axes: Any) -> None:
         periods = _merged_latency(found.histories)
@@ -82,7 +82,7 @@
 
 
 def draw_bundle_delays(found: Assessment) -> str:
-    """Draws the delay from acceptance to force at each daemon."""
+    """Draws each daemon's delay from acceptance to coming into force."""
 
     def draw(axes: Any) -> None:
         seen = [
@@ -105,7 +105,7 @@
 
 
 def draw_coverage(found: Assessment) -> str:
-    """Draws the times for which each daemon's evidence is sound."""
+    """Draws the spans for which each daemon's evidence is sound."""
 
     def draw(axes: Any) -> None:
         names = sorted({item.run.daemon for item in found.histories})
@@ -132,7 +132,7 @@
 
 
 def _render_chart(found: Assessment, draw: plots.Draw, title: str) -> str:
-    """Draws one plot over the whole period."""
+    """Renders one chart over the whole period as a data URI."""
 
     def over_period(axes: Any) -> None:
         draw(axes)
@@ -158,7 +158,7 @@
 def _rates(
     histories: Sequence[RunHistory], count: Callable[[Summary], int]
 ) -> tuple[list[datetime.datetime], list[float]]:
-    """Adds up the daemons' rates; each is constant within a summary."""
+    """Sums the daemons' rates, each taken as constant within a summary."""
     steps: dict[int, float] = {}
     for history in histories:
         for summary in history.summaries:
@@ -180,7 +180,7 @@
 def _merged_latency(
     histories: Sequence[RunHistory],
 ) -> dict[int, dict[str, int]]:
-    """Adds up the daemons' durations by end of period."""
+    """Sums the daemons' duration counts by period."""
     merged: dict[int, dict[str, int]] = {}
     for history in histories:
         for summary in history.summaries:
--- a/banyantiller/evidence/cleanup.py
+++ b/banyantiller/evidence/cleanup.py
@@ -1,8 +1,8 @@
-"""Removes evidence that is older than its retention, a little at a time.
+"""Removes expired evidence in small passes.
 
-Every writer does this now and then, so that the evidence of daemons that no
-longer exist goes too. Each pass is bounded; passes over the fleet remove
-more than the fleet writes.
+Every writer runs a pass from time to time, so the evidence of daemons that no
+longer exist is removed as well. Each pass is bounded; all passes of a fleet
+together remove more than the fleet writes.
 """
 
 import random
@@ -27,14 +27,14 @@
     retention_days: int,
     rng: random.Random,
 ) -> int:
-    """Removes some blocks, and some ended runs, past their retention.
+    """Removes some blocks and ended runs that exceed their retention.
 
     Args:
         store: The object API.
-        deployment: Fleet.
+        deployment: Name of the fleet.
         now_ms: Wall-clock milliseconds.
         retention_days: Days for which evidence is kept.
-        rng: Chooses the day and the order.
+        rng: Random source that selects the day and the order of removal.
 
     Returns:
         Number of objects removed.
@@ -54,7 +54,7 @@
             break
         removed += isinstance(outcome, interface.Found)
     if removed:
-        log.info("evidence: expired objects were removed.", removed=removed)
+        log.info("evidence: removed expired objects.", removed=removed)
     return removed
 
 
--- a/banyantiller/evidence/counts.py
+++ b/banyantiller/evidence/counts.py
@@ -1,4 +1,4 @@
-"""What one period has counted so far."""
+"""Counters of the current period."""
 
 from collections import Counter
 from typing import Any
@@ -11,12 +11,12 @@
 
 
 class PeriodCounts:
-    """Counters and bounded lists of the present period.
+    """Counters and bounded lists of the current period.
 
     Attributes:
-        most_requests: Most breaches that are listed.
+        most_requests: Maximum number of breaches that are listed.
         lists: Items by name of the summary's list.
-        omitted: Items that did not fit, by name of the list.
+        omitted: Number of items beyond the bound, by name of the list.
     """
 
     def __init__(self, most_requests: int) -> None:
@@ -51,7 +51,7 @@
             self.cut += 1
 
     def add_item(self, name: str, item: Any) -> None:
-        """Adds to a bounded list, or counts what does not fit."""
+        """Adds an item to a bounded list, or counts it if the list is full."""
         limit = summaries.LISTS.get(name, self.most_requests)
         if len(self.lists[name]) < limit:
             self.lists[name].append(item)
@@ -59,7 +59,7 @@
             self.omitted[name] += 1
 
     def bounded_calls(self) -> dict[str, int]:
-        """Returns calls by service; the least used ones together."""
+        """Returns calls by service; combines those with the fewest calls."""
         if len(self.calls) <= summaries.MAX_SERVICES:
             return dict(self.calls)
         kept = dict(self.calls.most_common(summaries.MAX_SERVICES))
@@ -69,7 +69,7 @@
     def probes_spent(
         self, rates: dict[str, float]
     ) -> dict[str, summaries.ProbesSpent]:
-        """Returns probes by service with the budget known here."""
+        """Returns probes by service, each with its budget if known."""
         return {
             service: summaries.ProbesSpent(
                 sent, rates.get(service, summaries.UNKNOWN_RATE)
--- a/banyantiller/evidence/history.py
+++ b/banyantiller/evidence/history.py
@@ -1,8 +1,8 @@
-"""Puts stored evidence together into one history for each run.
+"""Builds one history for each run from the stored evidence.
 
-Everything here is pure. A record that was altered is not used, and each
-time for which a daemon should have reported and did not is listed, so that
-nothing is claimed for it.
+All functions are pure. Altered records are not used. Each span for which a
+daemon should have reported and did not is listed as a gap, so that nothing is
+judged as held in it.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -19,13 +19,13 @@
 
 
 class EvidenceGap(NamedTuple):
-    """A time for which a daemon's evidence is missing.
+    """A span for which evidence is missing.
 
     Attributes:
         daemon: Name of the daemon, empty for the whole fleet.
-        from_ms: Start.
-        to_ms: End.
-        why: One sentence.
+        from_ms: Start, wall-clock milliseconds.
+        to_ms: End, wall-clock milliseconds.
+        why: Reason in one sentence.
     """
 
     daemon: str
@@ -35,14 +35,14 @@
 
 
 class RunHistory(NamedTuple):
-    """What is known of one life of a daemon.
+    """Evidence of one run of a daemon.
 
     Attributes:
-        run: The run as announced, or as peers saw it.
-        ended_ms: Last time at which it may have lived.
+        run: The run as announced, or as its peers reported it.
+        ended_ms: Latest time at which the run can have ended.
         summaries: Sound summaries in order.
-        unknown: Times without sound evidence.
-        living: Whether it may go on after `ended_ms`.
+        unknown: Spans without sound evidence.
+        living: Whether the run may continue after `ended_ms`.
     """
 
     run: layout.Run
@@ -56,9 +56,9 @@
     """Evidence as read from the object API.
 
     Attributes:
-        runs: Values of the runs' objects.
+        runs: Values of the run objects.
         blocks: Values of the blocks.
-        gone: Time at which an operator stated that a daemon is gone, by
+        gone: Times at which daemons were gone, as operators stated, by
             daemon.
     """
 
@@ -74,7 +74,7 @@
 
 
 def read_runs(values: Iterable[Mapping[str, Any]]) -> list[layout.Run]:
-    """Reads the objects of runs; unreadable ones are left out."""
+    """Parses run objects and skips unreadable ones."""
     runs: list[layout.Run] = []
     for value in values:
         try:
@@ -107,9 +107,9 @@
     """Builds the histories of all known runs, by daemon and start.
 
     Args:
-        stored: What was read.
-        deployment: Fleet.
-        now_ms: End of the time that is looked at.
+        stored: Evidence from the object API.
+        deployment: Name of the fleet.
+        now_ms: End of the time span that the histories cover.
     """
     records = _group_by_run(stored, deployment)
     runs = {key: item.run for key, item in records.items()}
@@ -198,7 +198,7 @@
     runs: Mapping[tuple[str, int], layout.Run],
     deployment: str,
 ) -> list[layout.Run]:
-    """Finds runs that peers saw and that wrote nothing themselves."""
+    """Finds runs that peers reported and that wrote nothing themselves."""
     starts: dict[str, list[int]] = {}
     for daemon, started_ms in runs:
         starts.setdefault(daemon, []).append(started_ms)
@@ -225,7 +225,7 @@
 
 
 def _gone_ms(records: _Records, gone: Mapping[str, int]) -> int | None:
-    """Returns when a run was stated to be gone, unless it reported later."""
+    """Returns when a run was gone, as stated, unless it reported later."""
     gone_ms = gone.get(records.run.daemon)
     if gone_ms is None or gone_ms < records.run.started_ms:
         return None
@@ -240,7 +240,7 @@
     gone_ms: int | None,
     now_ms: int,
 ) -> int:
-    """Returns the last time at which a run can have lived."""
+    """Returns the latest time at which a run can have ended."""
     daemon, started_ms = key
     limits = [now_ms]
     limits += [
@@ -295,7 +295,7 @@
     if records.run.ended_ms:
         return "The last summary of this run is missing."
     if not records.run.period_ms:
-        return "Other daemons saw this run; it has written nothing."
+        return "Peers reported this run; it has written nothing."
     if reported:
-        return "No summary since; it ended without a word or can't write."
+        return "No summary since; the daemon crashed or can't write."
     return "It announced itself and has written no summary."
--- a/banyantiller/evidence/judging.py
+++ b/banyantiller/evidence/judging.py
@@ -1,8 +1,8 @@
-"""Judges from histories which promises held; pure.
+"""Judges from histories which promises held; all functions are pure.
 
-`Held` needs every known daemon to have reported, in sound records, for the
-whole period. A breach that was seen is `Broken` whatever else is unknown.
-Everything between is `NotKnown`, with the first unknown time and the reason.
+`Held` requires sound records of every known daemon for the whole period. A
+reported breach gives `Broken`, whatever else is unknown. All other cases give
+`NotKnown`, with the start of the first gap and the reasons.
 """
 
 from collections.abc import Sequence
@@ -24,12 +24,12 @@
 
 
 class Evidence(NamedTuple):
-    """All that a judgement rests on.
+    """Input of a judgement.
 
     Attributes:
         histories: Histories of all known runs.
         accepted: Acceptance times by version, from all sources.
-        audit_gaps: Times for which the audit trail is damaged.
+        audit_gaps: Spans for which the audit trail is damaged.
     """
 
     histories: Sequence[RunHistory]
@@ -38,7 +38,7 @@
 
 
 class Period(NamedTuple):
-    """A period that is judged, in wall-clock milliseconds."""
+    """A period to judge, in wall-clock milliseconds."""
 
     from_ms: int
     to_ms: int
@@ -53,7 +53,7 @@
     """Judges every promise for each part of a period.
 
     Args:
-        evidence: What is known.
+        evidence: Histories, acceptance times and audit gaps.
         period: The whole period.
         every_ms: Length of the parts.
         tolerance_ms: Largest assumed difference between two clocks.
@@ -67,7 +67,7 @@
 
 
 def split_period(period: Period, every_ms: int) -> list[Period]:
-    """Cuts a period at multiples of `every_ms`."""
+    """Splits a period at multiples of `every_ms`."""
     cut: list[Period] = []
     start = period.from_ms
     while start < period.to_ms:
@@ -78,7 +78,7 @@
 
 
 def join_judgements(judgements: Sequence[Judgement]) -> list[Judgement]:
-    """Joins neighbouring parts of one promise with the same answer."""
+    """Joins neighbouring parts of one promise that have the same verdict."""
     result: list[Judgement] = []
     for item in judgements:
         last = result[-1] if result else None
@@ -104,7 +104,7 @@
 
 
 def join_gaps(unknown: Sequence[EvidenceGap]) -> tuple[EvidenceGap, ...]:
-    """Joins touching times of one daemon that have the same reason."""
+    """Joins adjacent gaps of one daemon that have the same reason."""
     result: list[EvidenceGap] = []
     for item in sorted(unknown, key=lambda part: (part[0], part.why, part[1])):
         last = result[-1] if result else None
@@ -183,7 +183,7 @@
 
 
 def _clamp_to_period(at_ms: int, summary: Summary) -> int:
-    """Moves a time into the summary's period, whose end is exclusive."""
+    """Clamps a time to the summary's period, whose end is exclusive."""
     last_ms = max(summary.from_ms, summary.to_ms - 1)
     return min(max(at_ms, summary.from_ms), last_ms)
 
@@ -199,7 +199,7 @@
 
 
 def _unlisted_members(history: RunHistory) -> tuple[EvidenceGap, ...]:
-    """Lists when a run that wrote nothing itself may have been left out."""
+    """Lists the spans in which an unannounced run may have been omitted."""
     why = "Some changes of members were only counted."
     return tuple(
         EvidenceGap(history.run.daemon, summary.from_ms, summary.to_ms, why)
@@ -224,7 +224,7 @@
 def _times_without_daemon(
     histories: Sequence[RunHistory], part: Period
 ) -> tuple[EvidenceGap, ...]:
-    """Lists the times at which no daemon is known to have lived."""
+    """Lists the spans in which no daemon is known to have run."""
     unknown: list[EvidenceGap] = []
     reached_ms = part.from_ms
     why = "No daemon reported."
--- a/banyantiller/evidence/judging_bundles.py
+++ b/banyantiller/evidence/judging_bundles.py
@@ -1,4 +1,4 @@
-"""Judges whether accepted bundles came into force in time and stayed; pure."""
+"""Judges delays and reverts of accepted bundles; all functions are pure."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, NamedTuple
@@ -15,7 +15,7 @@
 
 
 class _DueVersion(NamedTuple):
-    """A version that has to be in force in a run by a time."""
+    """A version and the time by which a run must have it in force."""
 
     version: int
     accepted_ms: int
@@ -26,9 +26,9 @@
     """When a run reached a version.
 
     Attributes:
-        at_ms: Time, `NEVER_MS` for not at all.
+        at_ms: Time, or `NEVER_MS` if the run did not reach it.
         listed: Whether the change itself was listed, with its time.
-        exact: Whether it can't have been earlier without being listed.
+        exact: Whether an earlier change would have been listed.
     """
 
     at_ms: int
@@ -42,14 +42,14 @@
     part: "Period",
     tolerance_ms: int,
 ) -> Finding:
-    """Judges delays of the bundles accepted in a part, and reverts in it.
+    """Judges the delays of bundles accepted in a part, and reverts in it.
 
     Args:
         histories: Histories of all known runs.
         accepted: Acceptance times by version.
-        part: Time of acceptance of the bundles that are judged.
+        part: Period in which the judged bundles were accepted.
         tolerance_ms: Largest assumed difference between two clocks. A delay
-            nearer to the limit than that is not known.
+            that differs from the limit by less is not known.
     """
     findings: list[Finding] = []
     for history in histories:
@@ -74,7 +74,7 @@
 
 
 def accepted_by_daemons(histories: Sequence[RunHistory]) -> dict[int, int]:
-    """Returns the acceptance times by version that daemons learned."""
+    """Returns the acceptance times by version that daemons reported."""
     return {
         bundle.version: bundle.accepted_ms
         for history in histories
@@ -86,7 +86,7 @@
 def _judge_delay(
     history: RunHistory, due: _DueVersion, tolerance_ms: int
 ) -> Finding:
-    """Judges when one run applied one accepted version or a later one."""
+    """Judges the delay until a run applied a version or a later one."""
     if history.ended_ms < due.due_ms:
         if history.living:
             return _not_known(history, due, "It is not due yet.")
@@ -123,7 +123,7 @@
 
 
 def _had_no_bundle(history: RunHistory, due: _DueVersion) -> bool:
-    """Whether the run had no bundle, and so refused calls, when due."""
+    """Returns whether the run had no bundle, so rejected calls, when due."""
     if history.run.started_ms < due.accepted_ms:
         return False
     earlier = [
@@ -137,7 +137,7 @@
 
 
 def _find_reverts(history: RunHistory, part: "Period") -> Finding:
-    """Finds versions that went down within a run."""
+    """Finds bundles older than an earlier one of the same run."""
     named: list[NamedBreach] = []
     highest = 0
     for summary in history.summaries:
@@ -156,7 +156,7 @@
 
 
 def _unlisted_bundles(history: RunHistory, part: "Period") -> Finding:
-    """Finds the times for which not all bundles are listed, so any order."""
+    """Finds spans with unlisted bundles, whose order is unknown."""
     why = "Some bundles were only counted."
     return Finding(
         unknown=tuple(
@@ -180,7 +180,7 @@
     part: "Period",
     tolerance_ms: int,
 ) -> Finding:
-    """Finds bundles applied after a newer one had to be in force."""
+    """Finds bundles applied after a newer one was due."""
     named: list[NamedBreach] = []
     for summary in history.summaries:
         for bundle in summary.bundles:
--- a/banyantiller/evidence/judging_probes.py
+++ b/banyantiller/evidence/judging_probes.py
@@ -1,4 +1,4 @@
-"""Judges the measuring budget over the fleet; pure."""
+"""Judges the probe budget of the fleet; all functions are pure."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
@@ -17,9 +17,10 @@
 def judge_probes(histories: Sequence[RunHistory], part: "Period") -> Finding:
     """Compares the probes of all daemons with each service's budget.
 
-    Summaries don't end where the part does, so the budget is taken over the
-    whole time that the counted summaries span. While the budget changed, the
-    largest one decides about a breach and the least one about keeping it.
+    Summaries don't end where the part does, so the budget is computed for the
+    whole span of the counted summaries. If the budget changed in it, more
+    probes than the largest budget allows are a breach, and the promise held
+    only if the smallest budget covers them.
     """
     summaries = [
         summary
@@ -69,8 +70,8 @@
 def _allowed_probes(rate: float, span_s: float) -> float:
     """Returns the probes that a budget allows in a span.
 
-    At the edges of a span one probe more than the rate says may fall into
-    it, and clocks differ.
+    One probe above the rate is tolerated because of the edges of a span, and
+    `EDGE_TOLERANCE_S` seconds of the rate because clocks differ.
     """
     if rate <= 0:
         return 0.0
@@ -78,7 +79,7 @@
 
 
 def _overlaps(summary: Summary, part: "Period") -> bool:
-    """Whether they share a time; an empty summary counts as an instant."""
+    """Returns whether they overlap; an empty summary counts as an instant."""
     end_ms = max(summary.to_ms, summary.from_ms + 1)
     return summary.from_ms < part.to_ms and end_ms > part.from_ms
 
--- a/banyantiller/evidence/latency.py
+++ b/banyantiller/evidence/latency.py
@@ -1,8 +1,9 @@
 """Compact counts of durations for summaries.
 
-Buckets grow by an eighth of a power of two. An HDR histogram takes about
-3 microseconds a call in CPython, which the data path can't spare a second
-time beside the metrics' own; a bucket number takes a fraction of that.
+Each power of two has eight buckets. Recording to an HDR histogram takes about
+3 microseconds a call in CPython, which is too slow for the data path in
+addition to the histogram of the metrics. Computing a bucket number takes a
+fraction of that.
 """
 
 from collections.abc import Mapping
@@ -13,7 +14,7 @@
 
 
 def bucket_of(duration_s: float) -> int:
-    """Returns the bucket of a duration, in order of duration."""
+    """Returns the bucket of a duration; longer ones get no lower number."""
     micros = int(duration_s * MICROSECONDS)
     if micros < SUB_BUCKETS:
         return max(micros, 0)
@@ -22,7 +23,7 @@
 
 
 def upper_s(bucket: int) -> float:
-    """Returns the least duration above a bucket, in seconds."""
+    """Returns the exclusive upper bound of a bucket, in seconds."""
     if bucket < SUB_BUCKETS:
         return (bucket + 1) / MICROSECONDS
     shift = (bucket >> SUB_BITS) - 1
@@ -31,14 +32,14 @@
 
 
 def percentile_s(counts: Mapping[str, int], percent: float) -> float | None:
-    """Returns the upper bound of a percentile, in seconds.
+    """Returns an upper bound of a percentile, in seconds.
 
     Args:
-        counts: Calls by bucket number as text.
+        counts: Calls by bucket number, as decimal text.
         percent: From 0 to 100.
 
     Returns:
-        None without calls.
+        The upper bound, or None if there are no calls.
     """
     total = sum(counts.values())
     if not total:
--- a/banyantiller/evidence/layout.py
+++ b/banyantiller/evidence/layout.py
@@ -1,9 +1,9 @@
-"""How evidence is laid out in the object API.
+"""Layout of evidence in the object API.
 
-A run is one life of a daemon, named by its start. `evidenceruns` holds one
-object a run, written at the start and at the graceful end. `evidence` holds
-blocks of a run's summaries; the records of all blocks of a run form one hash
-chain.
+A run is one incarnation of a daemon, identified by its start time.
+`evidenceruns` holds one object for each run, written at its start and at its
+graceful shutdown. `evidence` holds blocks of a run's summaries; the records of
+all blocks of a run form one hash chain.
 """
 
 import datetime
@@ -22,15 +22,15 @@
 
 
 class Run(NamedTuple):
-    """One life of a daemon.
+    """One incarnation of a daemon.
 
     Attributes:
-        deployment: Fleet.
+        deployment: Name of the fleet.
         daemon: Name of the daemon.
         zone: Its availability zone.
         started_ms: Start, wall-clock milliseconds.
-        period_ms: Intended period of its summaries.
-        ended_ms: Graceful end, 0 before.
+        period_ms: Configured period of its summaries, 0 if unknown.
+        ended_ms: Graceful shutdown, wall-clock milliseconds; 0 before it.
     """
 
     deployment: str
@@ -51,7 +51,7 @@
 
 
 def day_of(at_ms: int) -> str:
-    """Returns the UTC date of a time, as the label of a block."""
+    """Returns the UTC date of a time, in the form of the `day` label."""
     at = datetime.datetime.fromtimestamp(at_ms / MILLISECONDS, datetime.UTC)
     return at.date().isoformat()
 
@@ -62,12 +62,12 @@
 
 
 def run_value(run: Run) -> dict[str, Any]:
-    """Returns the JSON value of a run's object."""
+    """Returns the JSON value of a run object."""
     return run._asdict()
 
 
 def parse_run(value: dict[str, Any]) -> Run:
-    """Reads a run's object.
+    """Parses a run object.
 
     Raises:
         msgspec.ValidationError: The value is not a run.
--- a/banyantiller/evidence/promises.py
+++ b/banyantiller/evidence/promises.py
@@ -1,8 +1,8 @@
-"""The closed list of promises that are judged, and what each one needs.
+"""All promises that are judged, and how each one is judged.
 
-`banyantiller held` answers for each promise and period whether it held, was
-broken, or is not known. The table says by what evidence, and what that
-evidence can't show.
+`banyantiller held` prints for each promise and period whether it held, was
+broken, or is not known. `STATEMENTS` names the evidence for each promise and
+the limits of that evidence.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class Promise(enum.StrEnum):
-    """Every promise that the product makes."""
+    """All promises that the product makes."""
 
     MEASURING_IN_BUDGET = "measuring_in_budget"
     WHOLE_OWN_ANSWER = "whole_own_answer"
@@ -22,12 +22,12 @@
 
 
 class Statement(NamedTuple):
-    """What is promised and how it is judged.
+    """A promise and how it is judged.
 
     Attributes:
         text: The promise in one sentence.
-        judged_by: How a breach shows in the evidence.
-        blind_to: What the evidence can't show.
+        judged_by: Evidence that shows a breach.
+        blind_to: Breaches that the evidence can't show.
     """
 
     text: str
@@ -40,7 +40,7 @@
         "Probes of all daemons together stay within each service's budget.",
         "The sum of the probes that daemons counted, against the budget over"
         " the same time.",
-        "Probes of a daemon that died before its next summary.",
+        "Probes of a daemon that crashed before its next summary.",
     ),
     Promise.WHOLE_OWN_ANSWER: Statement(
         "Every caller receives the whole answer to its own request.",
@@ -57,23 +57,24 @@
     ),
     Promise.AT_MOST_ONCE: Statement(
         "A non-idempotent request runs at most once.",
-        "More than one try, of one call, that wrote bytes to a server and was"
-        " not refused by it as not run.",
-        "What backend servers do among themselves, a key granted twice, and"
-        " requests that callers repeat without an idempotency key.",
+        "More than one attempt of one call that wrote bytes to a server and"
+        " that the server did not reject as not run.",
+        "Requests between backend servers, a key granted twice, and requests"
+        " that callers repeat without an idempotency key.",
     ),
     Promise.LEAVING_SERVER_SPARED: Statement(
         "A leaving server gets no new requests after a few seconds.",
-        "A call whose answered or last try was sent later than the set time"
-        " after the daemon learned that the server is leaving.",
+        "A call whose answered or last attempt was sent later than the"
+        " configured time after the daemon learned that the server is leaving.",
         "A server that leaves without telling the platform or any daemon, and"
-        " a try without an answer after which the call was tried elsewhere.",
+        " an attempt without an answer after which the call was retried on"
+        " another server.",
     ),
     Promise.SHUTDOWN_CUTS_NOTHING: Statement(
         "A graceful shutdown of a server or a daemon cuts no request.",
         "An answer that was cut while its daemon or its server was leaving,"
         " and a call in flight at the drain limit.",
-        "Shutdowns that were killed: the daemon can't report them.",
+        "Daemons killed during their shutdown, as they can't report it.",
     ),
     Promise.BUNDLE_IN_FORCE: Statement(
         "An accepted bundle is in force everywhere within seconds and never"
--- a/banyantiller/evidence/recorder.py
+++ b/banyantiller/evidence/recorder.py
@@ -1,4 +1,4 @@
-"""Turns kernel events into one bounded summary for each period."""
+"""Aggregates kernel events into one bounded summary for each period."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -24,25 +24,31 @@
 
 
 class LeavingServer(NamedTuple):
-    """When a server was learned to be leaving, in wall-clock seconds."""
+    """When and why a server was found leaving.
+
+    Attributes:
+        at: Time, wall-clock seconds.
+        reason: Source of the information, such as `vm_list`.
+    """
 
     at: float
     reason: str
 
 
 class Recorder:
-    """Counts what the present period has shown.
+    """Records the events of the current period.
 
     Attributes:
         wall: Returns wall-clock seconds.
-        most_requests: Most breaches that a summary lists.
-        from_ms: Start of the present period.
+        most_requests: Maximum number of breaches that a summary lists.
+        from_ms: Start of the current period.
         draining: Whether this daemon began its graceful shutdown.
-        leaving: What is known of each leaving server, by service and server.
+        leaving: Leaving servers, by service and server.
         servers: Servers of the bundle in force, by service and server.
-        allowed_s: Time for new requests to a leaving server, by service.
-        rates: Budget of probes a second of the whole fleet, by service.
-        counts: What the present period has counted.
+        allowed_s: Seconds for which a leaving server may still get new
+            requests, by service.
+        rates: Budget of the whole fleet in probes per second, by service.
+        counts: Counters of the current period.
     """
 
     def __init__(self, wall: Callable[[], float], most_requests: int) -> None:
@@ -86,10 +92,10 @@
         return recorder
 
     def configure(self, services: Iterable[options.Service]) -> None:
-        """Takes the services of a new bundle: their limits and budgets.
+        """Applies the limits and budgets of a new bundle's services.
 
-        Servers that the bundle does not name any more are leaving from now
-        on; those that it names again are not.
+        Servers that the bundle no longer names are leaving from now on;
+        servers that it names again are not.
         """
         self.allowed_s = {}
         self.rates = {}
@@ -108,7 +114,7 @@
         self.servers = present
 
     def call_finished(self, event: events.CallFinished) -> None:
-        """Counts a call and judges it by itself."""
+        """Counts a call and checks it for breaches."""
         self.counts.add_call(event)
         left = self.leaving.get((event.service, event.server))
         suspect = event.error is not None or event.cut or event.attempts > 1
@@ -116,7 +122,7 @@
             self._judge_call(event, left)
 
     def bundle_in_force(self, event: events.BundleInForce) -> None:
-        """Notes a bundle that came into force."""
+        """Records a bundle that came into force."""
         self.version = event.version
         self.counts.add_item(
             "bundles",
@@ -130,7 +136,7 @@
         )
 
     def bundle_refused(self, event: events.BundleRefused) -> None:
-        """Notes a bundle that was refused."""
+        """Records a bundle that was refused."""
         reason = event.reason[: summaries.MAX_TEXT_CHARS]
         at_ms = _milliseconds(event.at)
         self.counts.add_item(
@@ -139,7 +145,7 @@
         )
 
     def member_changed(self, event: events.MemberChanged) -> None:
-        """Notes a change in the view of a peer."""
+        """Records a change in the view of a peer."""
         at_ms = _milliseconds(self.wall())
         self.counts.add_item(
             "members",
@@ -149,7 +155,7 @@
         )
 
     def server_leaving(self, event: events.ServerLeaving) -> None:
-        """Notes that a server is leaving, from the first sign on."""
+        """Records that a server is leaving; only the first report counts."""
         key = (event.service, event.server)
         if key in self.leaving:
             return
@@ -166,11 +172,11 @@
         )
 
     def server_returned(self, event: events.ServerReturned) -> None:
-        """Notes that a server may get requests again."""
+        """Records that a server may get requests again."""
         self.leaving.pop((event.service, event.server), None)
 
     def store_state(self, event: events.StoreState) -> None:
-        """Counts the time without the object API."""
+        """Records outages of the object API."""
         if event.reachable:
             self.counts.store_down_ms += self._down_ms(event.at)
             self.store_down_since = None
@@ -182,14 +188,15 @@
         self.counts.probes[event.service] += 1
 
     def daemon_draining(self, _: events.DaemonDraining) -> None:
-        """Notes that this daemon's graceful shutdown began."""
+        """Records that this daemon's graceful shutdown began."""
         self.draining = True
 
     def promise_broken(self, event: events.PromiseBroken) -> None:
-        """Notes a breach that another part saw."""
+        """Records a breach that another module found."""
         if event.promise not in list(Promise):
             log.error(
-                "evidence: an unknown promise was named.", promise=event.promise
+                "evidence: breach names an unknown promise.",
+                promise=event.promise,
             )
             return
         self._record_breach(
@@ -197,7 +204,7 @@
         )
 
     def record_audit_tip(self, sequence: int, digest: str) -> None:
-        """Notes the end of the audit trail as this daemon saw it."""
+        """Records the tip of the audit trail unless a later one is recorded."""
         if sequence >= self.audit_sequence:
             self.audit_sequence = sequence
             self.audit_digest = digest
@@ -205,11 +212,11 @@
     def close_period(
         self, started: bool = False, final: bool = False
     ) -> summaries.Summary:
-        """Ends the period and starts the next.
+        """Closes the current period and starts the next one.
 
         Args:
             started: Whether the daemon has just started.
-            final: Whether the daemon ends gracefully now.
+            final: Whether the daemon is shutting down gracefully.
         """
         now = self.wall()
         to_ms = max(self.from_ms, _milliseconds(now))
--- a/banyantiller/evidence/rules.py
+++ b/banyantiller/evidence/rules.py
@@ -1,4 +1,4 @@
-"""Rules by which one finished call shows that a promise was broken."""
+"""Rules that find broken promises in a single finished call."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
     Attributes:
         promise: The promise.
-        detail: One sentence.
+        detail: Description in one sentence.
     """
 
     promise: Promise
@@ -26,13 +26,14 @@
 
 
 class LeavingState(NamedTuple):
-    """State of leaving around a call.
+    """Shutdown state of the daemon and the server at the end of a call.
 
     Attributes:
         daemon: Whether this daemon was draining when the call ended.
-        since_s: Time since the call's server was learned to be leaving, at
-            the start of the try that was answered; None if it is not leaving.
-        allowed_s: Time within which new requests may still reach it.
+        since_s: Seconds from when the call's server was found leaving to the
+            start of the attempt that was answered; None if the server is
+            not leaving.
+        allowed_s: Seconds for which new requests may still reach the server.
     """
 
     daemon: bool = False
@@ -53,7 +54,7 @@
 
 
 def count_attempts_possibly_run(event: CallFinished) -> int:
-    """Counts tries that wrote bytes and were not refused as not run."""
+    """Counts attempts that wrote bytes and were not rejected as not run."""
     shed = event.shed
     if event.error is ErrorKind.BACKEND_SHED:
         shed = max(shed, 1)
--- a/banyantiller/evidence/summary.py
+++ b/banyantiller/evidence/summary.py
@@ -1,8 +1,8 @@
-"""Summaries: what one daemon saw in one period, in a bounded form.
+"""Bounded summaries of what one daemon observed in one period.
 
-Times are whole wall-clock milliseconds so that they pass unchanged through
-any JSON library. Lists are bounded; what did not fit is counted in
-`omitted`, so that nobody takes a part for the whole.
+Times are integer wall-clock milliseconds, which every JSON library preserves
+exactly. Lists are bounded; `omitted` counts the items beyond the bound, so
+that a partial list is never mistaken for a complete one.
 """
 
 import typing
@@ -50,7 +50,7 @@
 
 
 class LeavingSeen(NamedTuple):
-    """A server that this daemon learned to be leaving."""
+    """A server that this daemon found leaving."""
 
     service: str
     server: str
@@ -59,7 +59,7 @@
 
 
 class BreachSeen(NamedTuple):
-    """A promise that this daemon saw broken."""
+    """A breach of a promise that this daemon observed."""
 
     promise: str
     request_id: str
@@ -72,8 +72,9 @@
 
     Attributes:
         sent: Probes in the period.
-        rate: Most probes a second by all daemons together, as this daemon
-            knew it; the least if it changed; `UNKNOWN_RATE` if it did not.
+        rate: Budget of all daemons together in probes per second, as this
+            daemon knew it; the smallest one if it changed; `UNKNOWN_RATE` if
+            the daemon did not know it.
     """
 
     sent: int
@@ -81,33 +82,34 @@
 
 
 class Summary(NamedTuple):
-    """What one daemon saw in one period.
+    """Observations of one daemon in one period.
 
     Attributes:
         from_ms: Start of the period.
         to_ms: End of the period.
-        started: Whether it is the first of its daemon's run.
-        final: Whether the daemon ended gracefully after it.
-        merged: Number of periods that were joined in it.
+        started: Whether this is the first summary of a run.
+        final: Whether the daemon shut down gracefully after it.
+        merged: Number of periods that were merged into it.
         calls: Finished calls by service.
         errors: Failed calls by error kind.
         cut: Answers that ended early.
-        runs: Non-idempotent calls of which bytes went to a server.
-        attempts: Tries that wrote at least one byte.
-        retries: Tries beyond the first of each call.
+        runs: Non-idempotent calls of which bytes were sent to a server.
+        attempts: Attempts that wrote at least one byte.
+        retries: Attempts beyond the first of each call.
         latency: Calls by bucket of duration; see `bucket_of`.
         bundles: Bundles that came into force.
         version: Version in force at the end, 0 for none.
         refused: Bundles refused.
         probes: Probes by service.
-        store_down_ms: Time for which the object API did not answer.
+        store_down_ms: Milliseconds for which the object API did not answer.
         members: Changes in the view of peers.
-        leaving: Servers learned to be leaving.
-        breaches: Broken promises, with the requests.
-        breach_counts: All breaches by promise, also those not listed.
-        omitted: Items left out of a bounded list, by name of the list.
-        audit_sequence: Last audit entry seen, 0 for none.
-        audit_digest: Its digest.
+        leaving: Servers found leaving.
+        breaches: Breaches of promises, with the request IDs.
+        breach_counts: Number of breaches by promise, unlisted ones included.
+        omitted: Number of items omitted from each bounded list, by name.
+        audit_sequence: Sequence number of the last audit entry seen, 0 for
+            none.
+        audit_digest: Digest of that entry.
     """
 
     from_ms: int
@@ -147,7 +149,7 @@
 
 
 def encode(summary: Summary) -> dict[str, Any]:
-    """Returns the JSON form: fields by name, without empty ones."""
+    """Returns the JSON form: fields by name, without default values."""
     defaults = Summary._field_defaults
     return {
         name: msgspec.to_builtins(value)
@@ -157,7 +159,7 @@
 
 
 def decode(record: Mapping[str, Any]) -> Summary:
-    """Reads the JSON form; unknown fields are ignored.
+    """Parses the JSON form; unknown fields are ignored.
 
     Raises:
         msgspec.ValidationError: A field has the wrong type or is missing.
@@ -174,12 +176,12 @@
 
 
 def merge(first: Summary, second: Summary, most_requests: int) -> Summary:
-    """Joins two neighbouring summaries into one over both periods.
+    """Merges two neighbouring summaries into one over both periods.
 
     Args:
-        first: The earlier one.
-        second: The later one.
-        most_requests: Most breaches that are listed.
+        first: The earlier summary.
+        second: The later summary.
+        most_requests: Maximum number of breaches that are listed.
 
     Returns:
         A summary whose counts are exact and whose lists are bounded.
--- a/banyantiller/evidence/trail.py
+++ b/banyantiller/evidence/trail.py
@@ -1,9 +1,9 @@
-"""Reads the audit trail: finds its end and checks it.
+"""Reads the audit trail, finds its tip and verifies it.
 
 Entry N is the object of kind `auditentries` named `DEPLOYMENT.N`, with N as
 twelve digits. The object of kind `audittips` named after the deployment
-holds the last entry that a writer saw; it shortens the search for the end
-and shows when the end was cut off.
+records the last entry that a writer saw. It shortens the search for the tip
+and reveals a truncated trail.
 """
 
 import asyncio
@@ -20,15 +20,15 @@
 
 
 class AuditReport(NamedTuple):
-    """What a check of the trail found.
+    """Result of verifying the trail.
 
     Attributes:
-        readable: Whether the trail could be read at all.
-        reason: Why it could not, or empty.
+        readable: Whether the trail could be read.
+        reason: Why it could not be read, or empty.
         entries: Entries in order of sequence, damaged ones included.
-        problems: Damaged places; none for an intact trail.
+        problems: Problems found; empty for an intact trail.
         tip: The last entry found.
-        anchors: Number of independently recorded ends compared with.
+        anchors: Number of recorded tips that the trail was checked against.
     """
 
     readable: bool
@@ -40,7 +40,7 @@
 
     @property
     def intact(self) -> bool:
-        """Whether the trail was read and nothing was found wrong."""
+        """Whether the trail was read and has no problems."""
         return self.readable and not self.problems
 
 
@@ -76,7 +76,7 @@
 async def read_recorded_tip(
     store: interface.ObjectStore, deployment: str
 ) -> chain.Tip | None:
-    """Reads the recorded tip alone, in one call; None if it can't be read."""
+    """Reads only the recorded tip, in one request; None if unreadable."""
     outcome = await store.get(TIP_KIND, deployment)
     if not isinstance(outcome, interface.Found):
         return None
@@ -84,7 +84,7 @@
 
 
 def parse_tip(value: Any) -> chain.Tip:
-    """Reads a tip from a stored value; an unusable one counts as empty."""
+    """Parses a tip from a stored value; an invalid one counts as empty."""
     if not isinstance(value, dict):
         return chain.Tip()
     sequence = value.get("sequence")
@@ -99,16 +99,16 @@
     deployment: str,
     seen: Iterable[chain.Tip] = (),
 ) -> AuditReport:
-    """Checks the whole trail.
+    """Verifies the whole trail.
 
-    Finds missing, altered, replaced and reordered entries, and a cut-off
-    end as far as a tip beyond it was recorded: by writers, in `seen` from
-    the daemons' evidence, or by the operator from an earlier check.
+    Finds missing, altered, replaced and reordered entries. Finds a truncated
+    trail only if a later tip was recorded: by a writer, or in `seen`, which
+    holds tips from the daemons' evidence or an operator's earlier check.
 
     Args:
         store: The object API.
-        deployment: Fleet whose trail is checked.
-        seen: Tips that others recorded.
+        deployment: Name of the fleet.
+        seen: Tips that were recorded outside the trail.
 
     Returns:
         The report; not readable if the object API did not answer.
@@ -148,7 +148,7 @@
 async def _read_entries(
     store: interface.ObjectStore, deployment: str, tips: list[chain.Tip]
 ) -> tuple[dict[int, dict[str, Any]], list[chain.Problem]]:
-    """Lists the entries, again while the list is older than a tip."""
+    """Lists the entries; repeats stale lists that lack a known tip."""
     min_sequence = max((tip.sequence for tip in tips), default=0)
     for attempt in range(STALE_READS):
         items = await _list(store, deployment)
--- a/banyantiller/evidence/verdicts.py
+++ b/banyantiller/evidence/verdicts.py
@@ -1,4 +1,4 @@
-"""What is answered for a promise and a period."""
+"""Verdicts on a promise in a period."""
 
 import dataclasses
 from typing import NamedTuple
@@ -8,13 +8,13 @@
 
 
 class NamedBreach(NamedTuple):
-    """One breach.
+    """One breach with its details.
 
     Attributes:
-        daemon: Daemon that saw it.
-        request_id: The request, empty if none is concerned.
-        detail: One sentence.
-        at_ms: When, by that daemon's clock.
+        daemon: Daemon that observed it, empty for the whole fleet.
+        request_id: The request, empty if the breach concerns none.
+        detail: Description in one sentence.
+        at_ms: Time by the daemon's clock, wall-clock milliseconds.
     """
 
     daemon: str
@@ -25,10 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Held:
-    """Every daemon reported for the whole period and saw no breach.
+    """Every daemon reported for the whole period and observed no breach.
 
     Attributes:
-        calls: Calls that were seen.
+        calls: Number of calls in the summaries.
     """
 
     calls: int
@@ -36,12 +36,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Broken:
-    """At least one breach was seen.
+    """At least one breach was observed.
 
     Attributes:
         named: Breaches that are listed.
-        unnamed: Further breaches that were only counted.
-        unknown: Times of the period for which more may have happened.
+        unnamed: Number of further breaches that were only counted.
+        unknown: Gaps of the period in which more breaches may have happened.
     """
 
     named: tuple[NamedBreach, ...]
@@ -51,11 +51,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotKnown:
-    """No breach was seen, but not everything was seen.
+    """No breach was observed, but the evidence is incomplete.
 
     Attributes:
-        since_ms: Start of the first unknown time.
-        unknown: All unknown times of the period.
+        since_ms: Start of the first gap.
+        unknown: All gaps of the period.
     """
 
     since_ms: int
@@ -66,7 +66,7 @@
 
 
 class Judgement(NamedTuple):
-    """The answer for one promise and one period."""
+    """The verdict on one promise in one period."""
 
     promise: Promise
     from_ms: int
@@ -75,12 +75,12 @@
 
 
 class Finding(NamedTuple):
-    """What one rule found in a period.
+    """Result of one rule for a period.
 
     Attributes:
-        named: Breaches.
-        unnamed: Breaches that were only counted.
-        unknown: Times that the rule can't judge.
+        named: Breaches that are listed.
+        unnamed: Number of breaches that were only counted.
+        unknown: Spans that the rule can't judge.
     """
 
     named: tuple[NamedBreach, ...] = ()
--- a/banyantiller/evidence/writer.py
+++ b/banyantiller/evidence/writer.py
@@ -1,8 +1,7 @@
 """The task that writes a daemon's summaries to the object API.
 
-Each period costs one write. Records of a period stay as they were first
-sent until it is known whether they were stored, so a lost answer can't make
-two chains.
+Each period takes one write. Records are resent unchanged until it is known
+whether they were stored, so a lost response can't fork the chain.
 """
 
 import asyncio
@@ -28,16 +27,16 @@
 
 
 class Writer:
-    """Writes summaries in blocks and keeps a bounded backlog.
+    """Writes summaries in blocks and queues unwritten ones in a backlog.
 
     Attributes:
-        run_info: This life of the daemon, as announced.
-        tip: Last record known to be stored, or sealed.
-        sealed: Records that were sent or are about to be.
-        block: Number of the present block.
-        item: The present block as last stored, or None.
-        records: Records known to be in the present block.
-        announced: Whether the run's object is stored.
+        run_info: This run of the daemon, as announced.
+        tip: Last sealed record, stored or not.
+        sealed: Sealed records that are not known to be stored.
+        block: Number of the current block.
+        item: The current block as last stored, or None.
+        records: Records known to be in the current block.
+        announced: Whether the run object is stored.
     """
 
     def __init__(
@@ -79,11 +78,11 @@
         wall: Callable[[], float],
         seed: int,
     ) -> "Writer":
-        """Builds a writer; `run` starts it."""
+        """Builds a writer, which `run` starts."""
         return cls(settings, store, recorder, wall, seed)
 
     async def run(self) -> None:
-        """Announces the daemon, then writes one summary a period."""
+        """Announces the run, then writes one summary for each period."""
         if not self.started:
             self.started = True
             self.backlog.add_summary(self.recorder.close_period(started=True))
@@ -99,10 +98,10 @@
             await self.flush()
 
     async def finish(self) -> None:
-        """Writes the last summary; gives up after a few seconds.
+        """Writes the final summary; gives up after `FINISH_TIMEOUT_S` seconds.
 
-        A daemon whose last summary is not stored is judged as one that
-        ended without a word.
+        A daemon whose final summary is not stored is judged like one that
+        crashed.
         """
         loop = asyncio.get_running_loop()
         limit = loop.time() + FINISH_TIMEOUT_S
@@ -116,10 +115,10 @@
                 await _until_done(self.flush)
                 await _until_done(lambda: self._close_run(ended))
         except TimeoutError:
-            log.warning("evidence: the last summary was not stored.")
+            log.warning("evidence: the final summary was not stored.")
 
     async def flush(self) -> bool:
-        """Writes what is pending.
+        """Writes all pending summaries.
 
         Returns:
             Whether everything is known to be stored.
@@ -133,7 +132,7 @@
                 return True
             if not await self._store_sealed():
                 log.warning(
-                    "evidence: a summary could not be stored yet.",
+                    "evidence: summaries are not stored yet; retrying later.",
                     pending=len(self.backlog.pending) + len(self.sealed),
                 )
                 return False
@@ -145,7 +144,7 @@
             self.sealed.append(record)
 
     async def _store_sealed(self) -> bool:
-        """Stores the first sealed records that fit into a block."""
+        """Stores as many sealed records as fit into the current block."""
         if self._block_is_full():
             await self._begin_next_block()
         count = self._count_fitting()
@@ -169,7 +168,7 @@
         )
 
     def _count_fitting(self) -> int:
-        """Returns how many sealed records go into the present block."""
+        """Returns how many sealed records fit into the current block."""
         room = layout.RECORDS_PER_BLOCK - len(self.records)
         count = min(room, len(self.sealed))
         while count > 1 and self._size(self.records + self.sealed[:count]) > (
@@ -202,7 +201,7 @@
     async def _write_block(
         self, value: dict[str, Any]
     ) -> interface.StoredObject | None:
-        """Writes the present block; None if that is not known to be done."""
+        """Writes the current block; None if it is not known to be stored."""
         name = self.run_info.block_name(self.block)
         if self.item is None:
             labels = layout.block_labels(self.run_info, self.recorder.from_ms)
@@ -220,7 +219,11 @@
     async def _read_back(
         self, name: str, value: dict[str, Any]
     ) -> interface.StoredObject | None:
-        """Settles a conflict or a lost answer."""
+        """Reads a block after a conflict or a lost response to a write.
+
+        Returns:
+            The stored block if it has the new records, otherwise None.
+        """
         found = await self.store.get(layout.BLOCK_KIND, name)
         if isinstance(found, interface.Unavailable):
             return None
@@ -238,14 +241,17 @@
         return None
 
     def _is_older(self, stored: Any) -> bool:
-        """Whether a stale read may have shown an earlier state."""
+        """Returns whether a stale read may have returned an earlier state."""
         if not isinstance(stored, list):
             return False
         return stored == self.records[: len(stored)]
 
     def _abandon_altered_block(self, name: str) -> None:
-        """Goes on in a new block; the chain shows what was altered."""
-        log.error("evidence: a stored block was altered.", name=name)
+        """Continues in a new block; the chain reveals the alteration."""
+        log.error(
+            "evidence: a stored block was altered; continuing in a new one.",
+            name=name,
+        )
         self._advance_block()
 
     async def _announce_run(self) -> bool:
@@ -283,7 +289,7 @@
         return boundary - now
 
     def _delay(self) -> float:
-        """Spreads the writes of the fleet over part of the period."""
+        """Returns a random delay in seconds that spreads the fleet's writes."""
         return self.random.uniform(0, min(self.period_s / 2, MAX_DELAY_S))
 
 
--- a/banyantiller/tests/commands/test_evidence.py
+++ b/banyantiller/tests/commands/test_evidence.py
@@ -103,7 +103,7 @@
         status, text = self.run_cli("held", "--since", "120s", "--until", "51s")
         self.assertEqual(10, status)
         self.assertRegex(text, r"not known:\n  b2 \S+ to \S+: No summary")
-        self.assertEqual(1, text.count("ended without a word"))
+        self.assertEqual(1, text.count("the daemon crashed or can't write"))
 
     def test_statement_that_a_daemon_is_gone(self) -> None:
         self.live(die=True)
--- a/banyantiller/tests/evidence/judging_case.py
+++ b/banyantiller/tests/evidence/judging_case.py
@@ -1,4 +1,4 @@
-"""What tests of the judgement share: two daemons and questions."""
+"""Shared base of the judging tests: a fleet of two daemons."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -41,7 +41,7 @@
     def assess(
         self, until_s: float, since_s: float = 0.0, every_s: float = 3600.0
     ) -> dict[Promise, list[Verdict]]:
-        """Judges a time given in seconds since the daemons' start."""
+        """Judges a period, given in seconds since the start of the daemons."""
         period = judging.Period(
             round((samples.EPOCH + since_s) * 1000),
             round((samples.EPOCH + until_s) * 1000),
@@ -70,7 +70,7 @@
 
 
 async def end_gracefully(first: DaemonParts, second: DaemonParts) -> None:
-    """Both daemons see a call and end gracefully after 100 s."""
+    """The first daemon serves a call; both shut down after 100 s."""
     first.kernel.emit(samples.call())
     await asyncio.sleep(100)
     await first.shut_down()
--- a/banyantiller/tests/evidence/samples.py
+++ b/banyantiller/tests/evidence/samples.py
@@ -1,4 +1,4 @@
-"""Small makers of settings, events and a wall clock for the tests."""
+"""Factories of settings, events and daemon parts for the tests."""
 
 import asyncio
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def settings(daemon: str = "b1", **evidence: Any) -> defaults.Settings:
-    """Makes settings with a period of 10 s unless told otherwise."""
+    """Builds settings; the default summary period is 10 s."""
     endpoint = defaults.Endpoint("127.0.0.1", 0)
     return defaults.Settings(
         deployment=FLEET,
@@ -28,7 +28,7 @@
 
 
 def call(request_id: str = "r1", **changes: Any) -> events.CallFinished:
-    """Makes a successful idempotent call."""
+    """Builds a successful idempotent call with the given changes."""
     successful = events.CallFinished(
         request_id=request_id,
         service="registry",
@@ -76,12 +76,12 @@
         self.kernel.start("evidence", self.writer.run)
 
     async def shut_down(self) -> None:
-        """Ends gracefully."""
+        """Shuts down gracefully."""
         await self.kernel.stop()
         await self.writer.finish()
 
     async def crash(self) -> None:
-        """Ends without a word."""
+        """Stops without writing the final summary."""
         await self.kernel.stop()
 
     def bundle(self, version: int, accepted_at: float) -> None:
--- a/banyantiller/tests/evidence/test_audit.py
+++ b/banyantiller/tests/evidence/test_audit.py
@@ -1,4 +1,4 @@
-"""Tests of the audit trail: races, lost answers, and damage."""
+"""Tests of the audit trail: races, lost responses, and damage."""
 
 import asyncio
 from typing import Any
@@ -62,27 +62,29 @@
         self.assertEqual(list(range(1, 9)), sequences)
         self.assertEqual([], self.check())
 
-    def test_lost_answer_is_settled_by_reading_back(self) -> None:
+    def test_lost_response_is_resolved_by_reading_back(self) -> None:
         self.store.faults.lose_answers = 1
         outcome = self.run_paused(self.append("roll"))
         self.assertIsInstance(outcome, audit.Appended)
         report = self.run_paused(audit.verify(self.store, FLEET))
         self.assertEqual(1, len(report.entries))
 
-    def test_lost_answer_of_a_losing_write_is_not_taken_for_a_win(self) -> None:
-        """The other writer's entry takes the place before the retry."""
+    def test_losing_write_with_a_lost_response_is_not_taken_for_a_success(
+        self,
+    ) -> None:
+        """Another writer's entry takes the sequence number before the retry."""
 
         async def scenario() -> audit.AppendOutcome:
             store = self.store
             other_store = memory.MemoryStore(self.table)
             create = store.create
 
-            async def lose(*args: Any) -> interface.CreateOutcome:
+            async def lose_race(*args: Any) -> interface.CreateOutcome:
                 store.create = create
                 await self.append("other", other_store)
                 return interface.Unknown("no answer")
 
-            store.create = lose
+            store.create = lose_race
             return await self.append("mine")
 
         outcome = self.run_paused(scenario())
@@ -97,7 +99,7 @@
         self.assertIsInstance(outcome, audit.NotAppended)
         self.assertEqual({}, self.table.records)
 
-    def test_write_that_may_come_late_is_not_known(self) -> None:
+    def test_write_that_may_take_effect_late_is_not_known(self) -> None:
         async def scenario() -> audit.AppendOutcome:
             create = self.store.create
 
@@ -116,14 +118,14 @@
         report = self.run_paused(audit.verify(self.store, FLEET))
         self.assertEqual(1, len(report.entries))
 
-    def test_lagging_recorded_tip_costs_reads_only(self) -> None:
+    def test_stale_recorded_tip_only_costs_extra_reads(self) -> None:
         self.run_paused(self.append_many(2))
         tip = self.item(trail.TIP_KIND, FLEET)
         self.table.update(tip, {"sequence": 0, "digest": ""})
         outcome = self.run_paused(self.append("roll"))
         self.assertEqual(3, outcome.sequence)
 
-    def test_oversized_detail_is_refused(self) -> None:
+    def test_oversized_detail_is_rejected(self) -> None:
         detail = {"text": "x" * (audit.MAX_DETAIL_BYTES + 1)}
         outcome = self.run_paused(
             audit.append(self.store, FLEET, "roll", "awa", detail, lambda: 1.0)
@@ -180,7 +182,7 @@
         self.assertEqual([(5, chain.Damage.TRUNCATED)], self.check())
 
     def test_truncated_end_with_the_recorded_tip_rewritten(self) -> None:
-        """Only a tip kept elsewhere shows it; without one it stays unseen."""
+        """Only a tip stored elsewhere reveals it."""
         seen = chain.Tip(5, self.entry(5)["digest"])
         self.remove(5)
         self.table.update(
@@ -190,7 +192,7 @@
         self.assertEqual([(5, chain.Damage.TRUNCATED)], self.check(seen))
         self.assertEqual([], self.check())
 
-    def test_rewritten_end_is_found_by_a_tip_kept_elsewhere(self) -> None:
+    def test_rewritten_end_is_found_by_a_tip_stored_elsewhere(self) -> None:
         seen = chain.Tip(5, self.entry(5)["digest"])
         self.remove(5)
         self.table.update(
@@ -200,12 +202,12 @@
         self.run_paused(self.append("forged"))
         self.assertEqual([(5, chain.Damage.REPLACED)], self.check(seen))
 
-    def test_append_after_a_removed_end_leaves_the_hole_visible(self) -> None:
+    def test_append_after_a_removed_end_leaves_the_gap_visible(self) -> None:
         self.remove(5)
         self.run_paused(self.append("roll"))
         self.assertEqual([(5, chain.Damage.MISSING)], self.check())
 
-    def test_stale_list_is_read_again_and_not_called_truncated(self) -> None:
+    def test_stale_list_is_read_again_and_not_reported_truncated(self) -> None:
         async def scenario() -> audit.AuditReport:
             self.store.serve_stale(True)
             other_store = memory.MemoryStore(self.table)
--- a/banyantiller/tests/evidence/test_judging.py
+++ b/banyantiller/tests/evidence/test_judging.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement: deaths, outages, alterations, breaches."""
+"""Tests of judging: crashes, outages, altered evidence, breaches."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,21 +18,21 @@
 
 
 class CoverageTest(JudgingCase):
-    def test_all_reported_and_nothing_was_broken(self) -> None:
+    def test_complete_evidence_without_breaches_is_held(self) -> None:
         self.run_script(end_gracefully)
         answers = self.assess(90)
         self.assert_all(Held, answers)
         self.assertEqual(1, answers[Promise.AT_MOST_ONCE][0].calls)
 
-    def test_without_any_evidence_nothing_is_claimed(self) -> None:
+    def test_without_any_evidence_nothing_is_known(self) -> None:
         self.assert_all(NotKnown, self.assess(90))
 
-    def test_time_after_the_graceful_end_of_all_is_not_claimed(self) -> None:
+    def test_time_after_the_shutdown_of_all_daemons_is_not_known(self) -> None:
         self.run_script(end_gracefully)
         verdict = self.assess(200)[Promise.AT_MOST_ONCE][0]
         self.assertTrue(100 <= self.unknown_since_s(verdict) < 106)
 
-    def test_daemon_that_died_without_a_word(self) -> None:
+    def test_crashed_daemon_is_not_known_after_its_last_summary(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(45)
             await second.crash()
@@ -44,7 +44,7 @@
         self.assertEqual({"b2"}, {item.daemon for item in verdict.unknown})
         self.assert_all(Held, self.assess(40))
 
-    def test_operator_states_that_a_dead_daemon_is_gone(self) -> None:
+    def test_operator_states_that_a_crashed_daemon_is_gone(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(45)
             await second.crash()
@@ -59,7 +59,7 @@
         self.assert_all(Held, self.assess(120, since_s=60))
         self.assert_all(NotKnown, self.assess(60, since_s=30))
 
-    def test_restart_under_the_same_name_ends_the_unknown_time(self) -> None:
+    def test_restart_under_the_same_name_ends_the_gap(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(45)
             await second.crash()
@@ -76,7 +76,7 @@
         self.assertEqual([NotKnown] * 4, kinds[4:8])
         self.assertEqual([Held] * 4, kinds[8:])
 
-    def test_daemon_that_wrote_nothing_but_was_seen_by_a_peer(self) -> None:
+    def test_daemon_without_summaries_that_a_peer_reported(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             started_ms = round(first.wall() * 1000) + 15_000
             await asyncio.sleep(16)
@@ -87,21 +87,23 @@
         verdict = self.assess(80)[Promise.AT_MOST_ONCE][0]
         self.assertIn("b3", {item.daemon for item in verdict.unknown})
 
-    def test_members_that_were_only_counted(self) -> None:
+    def test_unlisted_member_changes_are_not_known(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             start_ms = round(samples.EPOCH * 1000)
             await asyncio.sleep(15)
             for _ in range(MAX_MEMBERS):
                 flap = events.MemberChanged("b2", "suspect", start_ms)
                 first.kernel.emit(flap)
-            silent = events.MemberChanged("b3", "alive", start_ms)
-            first.kernel.emit(silent)
+            unannounced = events.MemberChanged("b3", "alive", start_ms)
+            first.kernel.emit(unannounced)
             await end_gracefully(first, second)
 
         self.run_script(script)
         self.assert_all(NotKnown, self.assess(90))
 
-    def test_own_run_seen_by_a_peer_with_a_clock_near_by(self) -> None:
+    def test_run_reported_by_a_peer_with_a_slightly_different_start(
+        self,
+    ) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             started_ms = second.writer.run_info.started_ms + 40
             first.kernel.emit(events.MemberChanged("b2", "alive", started_ms))
@@ -127,7 +129,7 @@
         broken = answers[Promise.WHOLE_OWN_ANSWER][0]
         self.assertEqual(["r1"], [item.request_id for item in broken.named])
 
-    def test_evidence_lost_by_a_death_within_an_outage(self) -> None:
+    def test_evidence_lost_by_a_shutdown_during_an_outage(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(35)
             second.store.faults.down = True
@@ -142,7 +144,7 @@
             30, self.unknown_since_s(answers[Promise.WHOLE_OWN_ANSWER][0]), 1
         )
 
-    def test_store_down_while_asking_is_an_error(self) -> None:
+    def test_store_outage_while_judging_is_an_error(self) -> None:
         self.run_script(end_gracefully)
         self.store.faults.down = True
         self.assertRaises(exceptions.StoreError, self.assess, 90)
@@ -157,7 +159,7 @@
                 self.table.update(item, item.value)
                 return
 
-    def test_altered_record_is_unknown_for_its_time_only(self) -> None:
+    def test_altered_record_is_a_gap_for_its_period_only(self) -> None:
         def change(records: list[Any]) -> None:
             records[3]["calls"] = {"registry": 5}
 
@@ -196,8 +198,8 @@
         verdict = self.assess(90)[Promise.AT_MOST_ONCE][0]
         self.assertIn("missing", verdict.unknown[0].why)
 
-    def test_second_record_of_the_same_number(self) -> None:
-        """Someone adds a block with another version of a record."""
+    def test_second_record_with_the_same_sequence_number(self) -> None:
+        """A forged block contains a different version of a stored record."""
         self.run_script(end_gracefully)
         item = next(
             item
@@ -211,7 +213,7 @@
         verdict = self.assess(90)[Promise.AT_MOST_ONCE][0]
         self.assertIn("exists twice", verdict.unknown[0].why)
 
-    def test_removed_end(self) -> None:
+    def test_removed_last_block(self) -> None:
         self.run_script(end_gracefully)
         blocks = [
             item
@@ -222,7 +224,7 @@
         verdict = self.assess(110)[Promise.AT_MOST_ONCE][0]
         self.assertIn("last summary", verdict.unknown[0].why)
 
-    def test_garbage_in_place_of_a_block(self) -> None:
+    def test_invalid_records_in_a_block(self) -> None:
         def change(records: list[Any]) -> None:
             records[:] = [7, {"sequence": 2}, {"sequence": "x"}, None]
 
@@ -230,7 +232,7 @@
         self.alter(change)
         self.assert_all(NotKnown, self.assess(90))
 
-    def test_all_evidence_of_a_daemon_removed_but_its_announcement(
+    def test_all_blocks_of_an_announced_run_removed(
         self,
     ) -> None:
         self.run_script(end_gracefully)
@@ -239,7 +241,7 @@
                 self.table.delete(item)
         self.assert_all(NotKnown, self.assess(90))
 
-    def test_damaged_audit_trail_leaves_bundles_unknown(self) -> None:
+    def test_damaged_audit_trail_makes_bundles_not_known(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for _ in range(3):
                 await audit.append(
@@ -259,7 +261,7 @@
 
 
 class BreachTest(JudgingCase):
-    def test_breach_is_told_although_another_daemon_is_unknown(self) -> None:
+    def test_breach_is_reported_despite_a_gap_of_another_daemon(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(15)
             second.kernel.emit(samples.call("r1", idempotent=False, attempts=2))
@@ -282,7 +284,7 @@
         verdict = self.assess(90)[Promise.WHOLE_OWN_ANSWER][0]
         self.assertEqual((3, 4), (len(verdict.named), verdict.unnamed))
 
-    def test_breach_belongs_to_one_part_only(self) -> None:
+    def test_breach_counts_in_one_part_only(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(25)
             second.kernel.emit(samples.call("r1", cut=True))
--- a/banyantiller/tests/evidence/test_judging_bundles.py
+++ b/banyantiller/tests/evidence/test_judging_bundles.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement of bundles in force, clocks and restarts."""
+"""Tests of judging bundles: delays, clock differences, reverts, restarts."""
 
 import asyncio
 
@@ -20,7 +20,11 @@
         until_s: float = 90.0,
         offset_s: float = 0.0,
     ) -> Verdict:
-        """Applies versions, accepted at 20 s times their number, in `b2`."""
+        """Judges versions that `b2` applies with the given delays.
+
+        Each version is accepted at 20 s times its number; `b1` applies it at
+        once.
+        """
 
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             now = asyncio.get_running_loop().time
@@ -36,10 +40,10 @@
         self.run_script(script, clock_offset_s=offset_s)
         return self.assess(until_s)[Promise.BUNDLE_IN_FORCE][0]
 
-    def test_in_force_in_time(self) -> None:
+    def test_bundle_in_force_within_the_limit(self) -> None:
         self.assertIsInstance(self.judged({1: 0.2, 2: 3.0}), Held)
 
-    def test_order_of_bundles_that_were_only_counted(self) -> None:
+    def test_order_of_unlisted_bundles_is_not_known(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             await asyncio.sleep(20)
             for version in (*range(1, MAX_BUNDLES + 2), MAX_BUNDLES):
@@ -54,25 +58,25 @@
         self.assertIsInstance(verdict, NotKnown)
         self.assertIn("only counted", verdict.unknown[0].why)
 
-    def test_in_force_late(self) -> None:
+    def test_bundle_in_force_after_the_limit(self) -> None:
         verdict = self.judged({1: 0.2, 2: 6.0})
         self.assertIsInstance(verdict, Broken)
         self.assertEqual("b2", verdict.named[0].daemon)
         self.assertIn("after 6.0 s", verdict.named[0].detail)
 
-    def test_delay_too_near_the_limit(self) -> None:
+    def test_delay_within_the_clock_tolerance_of_the_limit(self) -> None:
         self.assertIsInstance(self.judged({1: 3.8}), NotKnown)
 
-    def test_clocks_that_differ_a_bit(self) -> None:
+    def test_clocks_that_differ_within_the_tolerance(self) -> None:
         self.assertIsInstance(self.judged({1: 0.1}, offset_s=-0.4), Held)
 
-    def test_clocks_that_differ_more_than_assumed(self) -> None:
+    def test_clocks_that_differ_beyond_the_tolerance(self) -> None:
         self.assertIsInstance(self.judged({1: 0.1}, offset_s=-3.0), NotKnown)
 
     def test_version_that_is_not_due_yet(self) -> None:
         self.assertIsInstance(self.judged({1: 0.1}, until_s=22), NotKnown)
 
-    def test_version_that_never_came(self) -> None:
+    def test_version_that_never_came_into_force(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for parts in (first, second):
                 parts.bundle(1, samples.EPOCH)
@@ -85,7 +89,7 @@
         self.assertIn("not at all", verdict.named[0].detail)
 
     def test_evidence_missing_when_the_version_was_due(self) -> None:
-        """The gap lies in a later part than the acceptance."""
+        """The gap is in a later part than the acceptance."""
 
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for parts in (first, second):
@@ -106,7 +110,7 @@
         self.assertIsInstance(verdict, NotKnown)
         self.assertIn("Evidence is missing", verdict.unknown[0].why)
 
-    def test_versions_that_were_only_counted(self) -> None:
+    def test_unlisted_versions_are_not_known(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for parts in (first, second):
                 parts.bundle(1, samples.EPOCH)
@@ -134,7 +138,7 @@
         self.assertIsInstance(verdict, NotKnown)
         self.assertIn("only counted", verdict.unknown[0].why)
 
-    def test_fresh_daemon_without_a_bundle_serves_nothing(self) -> None:
+    def test_new_daemon_without_a_bundle_breaks_nothing(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for parts in (first, second):
                 parts.bundle(1, samples.EPOCH)
@@ -147,7 +151,7 @@
         self.run_script(script)
         self.assert_all(Held, self.assess(90))
 
-    def test_accepted_head_that_no_daemon_has_seen(self) -> None:
+    def test_accepted_head_that_no_daemon_applied(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for parts in (first, second):
                 parts.bundle(1, samples.EPOCH)
@@ -199,7 +203,7 @@
         self.assertIsInstance(verdict, Broken)
         self.assertIn("although version 2", verdict.named[0].detail)
 
-    def test_daemon_that_starts_later_has_its_time_from_its_start(self) -> None:
+    def test_limit_of_a_later_daemon_counts_from_its_start(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for parts in (first, second):
                 parts.bundle(1, samples.EPOCH)
--- a/banyantiller/tests/evidence/test_recorder.py
+++ b/banyantiller/tests/evidence/test_recorder.py
@@ -1,4 +1,4 @@
-"""Tests of the recorder, its rules, and the summaries' form."""
+"""Tests of the recorder, its rules, summaries and the backlog."""
 
 import random
 
@@ -29,7 +29,7 @@
         summary = self.recorder.close_period()
         return [(item.promise, item.request_id) for item in summary.breaches]
 
-    def test_sound_calls_break_nothing(self) -> None:
+    def test_calls_without_a_breach(self) -> None:
         harmless = [
             samples.call(),
             samples.call(attempts=3, error=ErrorKind.CONNECTION_LOST),
@@ -51,7 +51,7 @@
         )
         self.assertEqual([("at_most_once", "r2")], found)
 
-    def test_told_not_run_after_bytes_were_sent(self) -> None:
+    def test_reported_not_run_after_bytes_were_sent(self) -> None:
         found = self.breaches_after(
             samples.call("r3", error=ErrorKind.NO_SERVER, told=Ran.NO)
         )
@@ -84,7 +84,7 @@
             [("leaving_server_spared", "r6")], self.breaches_after(late)
         )
 
-    def test_first_sign_of_leaving_counts(self) -> None:
+    def test_first_report_of_leaving_counts(self) -> None:
         for reason in ("drain_answer", "vm_list"):
             leaving_event = events.ServerLeaving(
                 "registry", "s1", reason, self.now
@@ -95,7 +95,7 @@
             1, len(self.breaches_after(samples.call(duration_s=0.1)))
         )
 
-    def test_server_that_came_back_is_not_leaving(self) -> None:
+    def test_returned_server_is_not_leaving(self) -> None:
         leaving_event = events.ServerLeaving(
             "registry", "s1", "vm_list", self.now
         )
@@ -104,7 +104,7 @@
         self.now += 60
         self.assertEqual([], self.breaches_after(samples.call()))
 
-    def test_server_taken_out_by_a_bundle_and_put_back(self) -> None:
+    def test_server_removed_by_a_bundle_and_added_again(self) -> None:
         server = options.BackendServer("s1", "127.0.0.1", 80)
         with_server = options.Service("registry", (server,))
         self.recorder.configure([with_server])
@@ -123,14 +123,14 @@
         found = self.breaches_after(samples.call("r7", cut=True))
         self.assertIn(("shutdown_cuts_nothing", "r7"), found)
 
-    def test_breach_seen_by_another_part(self) -> None:
+    def test_breach_found_by_another_module(self) -> None:
         self.kernel.emit(
             events.PromiseBroken("at_most_once", "r8", "Granted twice.", 1.0)
         )
         self.kernel.emit(events.PromiseBroken("no_such", "r9", "", 1.0))
         self.assertEqual([("at_most_once", "r8")], self.breaches_after())
 
-    def test_named_requests_are_bounded_and_counted(self) -> None:
+    def test_listed_breaches_are_bounded_and_all_are_counted(self) -> None:
         for index in range(5):
             self.kernel.emit(samples.call(f"r{index}", cut=True))
         summary = self.recorder.close_period()
@@ -138,7 +138,7 @@
         self.assertEqual({"breaches": 3}, summary.omitted)
         self.assertEqual({"whole_own_answer": 5}, summary.breach_counts)
 
-    def test_store_outage_is_timed_over_periods(self) -> None:
+    def test_store_outage_is_measured_across_periods(self) -> None:
         self.kernel.emit(events.StoreState(False, self.now))
         self.now += 4
         self.assertEqual(4000, self.recorder.close_period().store_down_ms)
@@ -147,7 +147,7 @@
         self.now += 1
         self.assertEqual(3000, self.recorder.close_period().store_down_ms)
 
-    def test_clock_set_back_gives_no_negative_period(self) -> None:
+    def test_clock_set_back_causes_no_negative_period(self) -> None:
         self.now -= 50
         summary = self.recorder.close_period()
         self.assertEqual(summary.from_ms, summary.to_ms)
@@ -163,7 +163,7 @@
     def test_every_promise_has_a_statement(self) -> None:
         self.assertEqual(set(Promise), set(STATEMENTS))
 
-    def test_json_form_comes_back_unchanged(self) -> None:
+    def test_json_form_round_trips(self) -> None:
         summary = summaries.Summary(
             1,
             2,
@@ -199,7 +199,7 @@
             self.assertEqual(item.breach_counts["at_most_once"], named)
             self.assertTrue(len(item.breaches) <= 3)
 
-    def test_merged_probes_keep_the_least_budget(self) -> None:
+    def test_merged_probes_keep_the_smallest_budget(self) -> None:
         first = summaries.Summary(
             0, 1, probes={"a": summaries.ProbesSpent(1, 2.0)}
         )
--- a/banyantiller/tests/evidence/test_writer.py
+++ b/banyantiller/tests/evidence/test_writer.py
@@ -1,4 +1,4 @@
-"""Tests of the writer: outages, lost answers, altered blocks, retention."""
+"""Tests of the writer: outages, lost responses, alterations, retention."""
 
 import asyncio
 import random
@@ -61,7 +61,7 @@
         run = layout.parse_run(self.table.list(layout.RUN_KIND).items[0].value)
         self.assertTrue(run.ended_ms > run.started_ms)
 
-    def test_outage_keeps_counts_and_says_what_was_merged(self) -> None:
+    def test_outage_keeps_counts_and_records_merged_periods(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.start()
@@ -84,7 +84,7 @@
         self.assertTrue(len(records) < 45)
         self.assertTrue(any(r.get("merged", 1) > 1 for r in records.values()))
 
-    def test_lost_answers_make_no_second_chain(self) -> None:
+    def test_lost_responses_do_not_fork_the_chain(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.start()
@@ -98,8 +98,8 @@
         self.assertEqual([], chain.check_links(records))
         self.assertTrue(records[max(records)]["final"])
 
-    def test_late_writes_make_no_second_chain(self) -> None:
-        """Writes are answered as unknown and take effect seconds later."""
+    def test_late_writes_do_not_fork_the_chain(self) -> None:
+        """The store answers writes as unknown and applies them later."""
 
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
@@ -116,7 +116,7 @@
         self.assertEqual([], chain.check_links(records))
         self.assertTrue(records[max(records)]["final"])
 
-    def test_stale_read_after_a_lost_answer_is_no_alteration(self) -> None:
+    def test_stale_read_after_a_lost_response_is_no_alteration(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.start()
@@ -133,7 +133,7 @@
         self.assertEqual(1, len(self.blocks()))
         self.assertEqual([], chain.check_links(self.records()))
 
-    def test_altered_block_is_left_as_it_is(self) -> None:
+    def test_altered_block_is_not_overwritten(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.start()
@@ -167,7 +167,7 @@
         self.assertEqual(5, min(records))
         self.assertTrue(records[max(records)]["final"])
 
-    def test_graceful_end_is_bounded_while_the_store_is_down(self) -> None:
+    def test_graceful_shutdown_is_bounded_while_the_store_is_down(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.store.faults.down = True
@@ -178,7 +178,7 @@
         self.run_paused(scenario())
         self.assertEqual([], self.blocks())
 
-    def test_many_named_requests_stay_below_the_size_limit(self) -> None:
+    def test_many_listed_breaches_stay_below_the_size_limit(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table, most_requests=1000)
             parts.start()
@@ -194,7 +194,7 @@
         self.assertTrue(len(self.blocks()) > 1)
         self.assertEqual([], chain.check_links(self.records()))
 
-    def test_audit_tip_is_carried(self) -> None:
+    def test_summaries_contain_the_audit_tip(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             tip = {"sequence": 9, "digest": "ab"}
