--- a/banyantiller/commands/gone.py
+++ b/banyantiller/commands/gone.py
@@ -3,7 +3,7 @@
 from banyantiller import exceptions
 from banyantiller.commands import context, output, times
 from banyantiller.evidence import audit, history
-from banyantiller.evidence.audit import Appended, NotKnown
+from banyantiller.evidence.audit import Appended, AppendUnknown
 
 
 def gone(
@@ -57,7 +57,7 @@
         {"daemon": daemon, "gone_ms": gone_ms},
         session.wall,
     )
-    if isinstance(outcome, NotKnown):
+    if isinstance(outcome, AppendUnknown):
         raise exceptions.NotKnownError(
             f"It is not known whether the statement was written:"
             f" {outcome.reason}. Look at `banyantiller audit`."
--- a/banyantiller/evidence/assessment.py
+++ b/banyantiller/evidence/assessment.py
@@ -16,7 +16,7 @@
 from banyantiller.store import interface
 
 DAY_MS = 86_400_000
-SECOND_MS = 1000
+MS_PER_SECOND = 1000
 WRITE_ALLOWANCE_MS = 5000
 LOOK_AHEAD_MS = 30_000
 
@@ -226,7 +226,7 @@
     head = await reading.read_head(store, deployment)
     if not isinstance(head, outcomes.HeadFound):
         return {}
-    accepted_ms = round(head.accepted.accepted_at * SECOND_MS)
+    accepted_ms = round(head.accepted.accepted_at * MS_PER_SECOND)
     return {head.accepted.manifest.version: accepted_ms}
 
 
--- a/banyantiller/evidence/audit.py
+++ b/banyantiller/evidence/audit.py
@@ -20,10 +20,10 @@
 
 __all__ = [
     "AppendOutcome",
+    "AppendUnknown",
     "Appended",
     "AuditReport",
     "NotAppended",
-    "NotKnown",
     "append",
     "verify",
 ]
@@ -53,13 +53,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotKnown:
+class AppendUnknown:
     """It is undetermined whether the entry is part of the trail."""
 
     reason: str
 
 
-AppendOutcome = Appended | NotAppended | NotKnown
+AppendOutcome = Appended | NotAppended | AppendUnknown
 
 
 async def append(
@@ -130,7 +130,7 @@
         pending = pending or isinstance(outcome, interface.Unknown)
         await asyncio.sleep(_pause(attempt))
     reason = getattr(outcome, "reason", "The object API did not answer.")
-    return NotKnown(reason) if pending else NotAppended(reason)
+    return AppendUnknown(reason) if pending else NotAppended(reason)
 
 
 def _pause(attempt: int) -> float:
--- a/banyantiller/evidence/charts.py
+++ b/banyantiller/evidence/charts.py
@@ -20,7 +20,7 @@
     Broken: BROKEN_COLOUR,
     NotKnown: NOT_KNOWN_COLOUR,
 }
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 
 
 def draw_verdicts(found: Assessment) -> str:
@@ -70,7 +70,7 @@
             times = [_time(start) for start in sorted(periods)]
             values = [
                 (latency.percentile_s(periods[start], percent) or 0)
-                * MILLISECONDS
+                * MS_PER_SECOND
                 for start in sorted(periods)
             ]
             axes.plot(times, values, marker=".", label=f"p{percent}")
@@ -85,15 +85,18 @@
     """Draws each daemon's delay from acceptance to coming into force."""
 
     def draw(axes: Any) -> None:
-        seen = [
+        applied = [
             bundle
             for history in found.histories
             for summary in history.summaries
             for bundle in summary.bundles
         ]
         axes.plot(
-            [_time(item.accepted_ms) for item in seen],
-            [(item.at_ms - item.accepted_ms) / MILLISECONDS for item in seen],
+            [_time(item.accepted_ms) for item in applied],
+            [
+                (item.at_ms - item.accepted_ms) / MS_PER_SECOND
+                for item in applied
+            ],
             "o",
             markersize=3,
         )
@@ -144,7 +147,7 @@
 
 
 def _time(at_ms: int) -> datetime.datetime:
-    return datetime.datetime.fromtimestamp(at_ms / MILLISECONDS, datetime.UTC)
+    return datetime.datetime.fromtimestamp(at_ms / MS_PER_SECOND, datetime.UTC)
 
 
 def _call_count(summary: Summary) -> int:
@@ -162,7 +165,7 @@
     steps: dict[int, float] = {}
     for history in histories:
         for summary in history.summaries:
-            span_s = (summary.to_ms - summary.from_ms) / MILLISECONDS
+            span_s = (summary.to_ms - summary.from_ms) / MS_PER_SECOND
             if span_s > 0:
                 rate = count(summary) / span_s
                 steps[summary.from_ms] = steps.get(summary.from_ms, 0) + rate
--- a/banyantiller/evidence/counts.py
+++ b/banyantiller/evidence/counts.py
@@ -66,12 +66,12 @@
         kept[OTHER_SERVICES] = self.calls.total() - sum(kept.values())
         return kept
 
-    def probes_spent(
+    def probe_usage(
         self, rates: dict[str, float]
-    ) -> dict[str, summaries.ProbesSpent]:
+    ) -> dict[str, summaries.ProbeUsage]:
         """Returns probes by service, each with its budget if known."""
         return {
-            service: summaries.ProbesSpent(
+            service: summaries.ProbeUsage(
                 sent, rates.get(service, summaries.UNKNOWN_RATE)
             )
             for service, sent in self.probes.items()
--- a/banyantiller/evidence/history.py
+++ b/banyantiller/evidence/history.py
@@ -259,21 +259,21 @@
     if sound and sound[-1].final:
         ended_ms = sound[-1].to_ms
     unknown: list[EvidenceGap] = []
-    reached_ms = run.started_ms
+    covered_until_ms = run.started_ms
     expected = chain.FIRST_SEQUENCE
     for sequence, summary in zip(sequences, sound, strict=True):
         if sequence != expected or (
-            summary.from_ms - reached_ms > GAP_TOLERANCE_MS
+            summary.from_ms - covered_until_ms > GAP_TOLERANCE_MS
         ):
             why = _gap_reason(records, expected, sequence)
             unknown.append(
-                EvidenceGap(run.daemon, reached_ms, summary.from_ms, why)
+                EvidenceGap(run.daemon, covered_until_ms, summary.from_ms, why)
             )
-        reached_ms = max(reached_ms, summary.to_ms)
+        covered_until_ms = max(covered_until_ms, summary.to_ms)
         expected = sequence + 1
-    if reached_ms < ended_ms:
+    if covered_until_ms < ended_ms:
         why = _tail_gap_reason(records, bool(sound))
-        unknown.append(EvidenceGap(run.daemon, reached_ms, ended_ms, why))
+        unknown.append(EvidenceGap(run.daemon, covered_until_ms, ended_ms, why))
     return RunHistory(run, ended_ms, sound, tuple(unknown))
 
 
--- a/banyantiller/evidence/judging.py
+++ b/banyantiller/evidence/judging.py
@@ -226,17 +226,17 @@
 ) -> tuple[EvidenceGap, ...]:
     """Lists the spans in which no daemon is known to have run."""
     unknown: list[EvidenceGap] = []
-    reached_ms = part.from_ms
+    covered_until_ms = part.from_ms
     why = "No daemon reported."
     for history in sorted(histories, key=lambda item: item.run.started_ms):
         started_ms = min(history.run.started_ms, part.to_ms)
-        if started_ms > reached_ms:
-            unknown.append(EvidenceGap("", reached_ms, started_ms, why))
-        reached_ms = max(reached_ms, history.ended_ms)
-        if reached_ms >= part.to_ms:
+        if started_ms > covered_until_ms:
+            unknown.append(EvidenceGap("", covered_until_ms, started_ms, why))
+        covered_until_ms = max(covered_until_ms, history.ended_ms)
+        if covered_until_ms >= part.to_ms:
             return tuple(unknown)
-    if reached_ms < part.to_ms:
-        unknown.append(EvidenceGap("", reached_ms, part.to_ms, why))
+    if covered_until_ms < part.to_ms:
+        unknown.append(EvidenceGap("", covered_until_ms, part.to_ms, why))
     return tuple(unknown)
 
 
--- a/banyantiller/evidence/judging_probes.py
+++ b/banyantiller/evidence/judging_probes.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from banyantiller.evidence.judging import Period
 
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 EDGE_TOLERANCE_S = 2.0
 
 
@@ -70,8 +70,9 @@
 def _allowed_probes(rate: float, span_s: float) -> float:
     """Returns the probes that a budget allows in a span.
 
-    One probe above the rate is tolerated because of the edges of a span, and
-    `EDGE_TOLERANCE_S` seconds of the rate because clocks differ.
+    Tolerates additional probes, as probes at the edges of a span may exceed
+    the rate by one and clocks differ: `EDGE_TOLERANCE_S` seconds of the rate,
+    and at least one probe.
     """
     if rate <= 0:
         return 0.0
@@ -87,4 +88,4 @@
 def _span_s(summaries: Sequence[Summary]) -> float:
     start = min(item.from_ms for item in summaries)
     end = max(item.to_ms for item in summaries)
-    return (end - start) / MILLISECONDS
+    return (end - start) / MS_PER_SECOND
--- a/banyantiller/evidence/latency.py
+++ b/banyantiller/evidence/latency.py
@@ -10,12 +10,12 @@
 
 SUB_BUCKETS = 8
 SUB_BITS = 3
-MICROSECONDS = 1_000_000
+US_PER_SECOND = 1_000_000
 
 
 def bucket_of(duration_s: float) -> int:
     """Returns the bucket of a duration; longer ones get no lower number."""
-    micros = int(duration_s * MICROSECONDS)
+    micros = int(duration_s * US_PER_SECOND)
     if micros < SUB_BUCKETS:
         return max(micros, 0)
     shift = micros.bit_length() - SUB_BITS - 1
@@ -25,10 +25,10 @@
 def upper_s(bucket: int) -> float:
     """Returns the exclusive upper bound of a bucket, in seconds."""
     if bucket < SUB_BUCKETS:
-        return (bucket + 1) / MICROSECONDS
+        return (bucket + 1) / US_PER_SECOND
     shift = (bucket >> SUB_BITS) - 1
     mantissa = bucket - (shift << SUB_BITS)
-    return ((mantissa + 1) << shift) / MICROSECONDS
+    return ((mantissa + 1) << shift) / US_PER_SECOND
 
 
 def percentile_s(counts: Mapping[str, int], percent: float) -> float | None:
@@ -44,10 +44,10 @@
     total = sum(counts.values())
     if not total:
         return None
-    wanted = total * percent / 100
-    seen = 0
+    target = total * percent / 100
+    counted = 0
     for bucket in sorted(counts, key=int):
-        seen += counts[bucket]
-        if seen >= wanted:
+        counted += counts[bucket]
+        if counted >= target:
             return upper_s(int(bucket))
     return None
--- a/banyantiller/evidence/layout.py
+++ b/banyantiller/evidence/layout.py
@@ -18,7 +18,7 @@
 RUN_KIND = "evidenceruns"
 RECORDS_PER_BLOCK = 10
 MAX_BLOCK_BYTES = 600_000
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 
 
 class Run(NamedTuple):
@@ -52,7 +52,7 @@
 
 def day_of(at_ms: int) -> str:
     """Returns the UTC date of a time, in the form of the `day` label."""
-    at = datetime.datetime.fromtimestamp(at_ms / MILLISECONDS, datetime.UTC)
+    at = datetime.datetime.fromtimestamp(at_ms / MS_PER_SECOND, datetime.UTC)
     return at.date().isoformat()
 
 
--- a/banyantiller/evidence/recorder.py
+++ b/banyantiller/evidence/recorder.py
@@ -15,7 +15,7 @@
 
 log = structlog.get_logger("banyantiller.evidence")
 
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 MAX_ID_CHARS = 64
 MAX_WATCHED_SERVERS = 4096
 BY_BUNDLE = "bundle"
@@ -116,17 +116,17 @@
     def call_finished(self, event: events.CallFinished) -> None:
         """Counts a call and checks it for breaches."""
         self.counts.add_call(event)
-        left = self.leaving.get((event.service, event.server))
-        suspect = event.error is not None or event.cut or event.attempts > 1
-        if suspect or left is not None:
-            self._judge_call(event, left)
+        leaving_server = self.leaving.get((event.service, event.server))
+        needs_check = event.error is not None or event.cut or event.attempts > 1
+        if needs_check or leaving_server is not None:
+            self._judge_call(event, leaving_server)
 
     def bundle_in_force(self, event: events.BundleInForce) -> None:
         """Records a bundle that came into force."""
         self.version = event.version
         self.counts.add_item(
             "bundles",
-            summaries.BundleSeen(
+            summaries.AppliedBundle(
                 event.version,
                 event.digest[:16],
                 _milliseconds(event.accepted_at),
@@ -141,7 +141,7 @@
         at_ms = _milliseconds(event.at)
         self.counts.add_item(
             "refused",
-            summaries.RefusalSeen(event.version, reason, event.source, at_ms),
+            summaries.BundleRefusal(event.version, reason, event.source, at_ms),
         )
 
     def member_changed(self, event: events.MemberChanged) -> None:
@@ -149,7 +149,7 @@
         at_ms = _milliseconds(self.wall())
         self.counts.add_item(
             "members",
-            summaries.MemberSeen(
+            summaries.MemberChange(
                 event.daemon, event.state, event.incarnation, at_ms
             ),
         )
@@ -163,7 +163,7 @@
             self.leaving[key] = LeavingServer(event.at, event.reason)
         self.counts.add_item(
             "leaving",
-            summaries.LeavingSeen(
+            summaries.ServerDeparture(
                 event.service,
                 event.server,
                 event.reason,
@@ -234,7 +234,7 @@
             retries=counts.retries,
             latency={str(key): n for key, n in counts.durations.items()},
             version=self.version,
-            probes=counts.probes_spent(self.rates),
+            probes=counts.probe_usage(self.rates),
             store_down_ms=counts.store_down_ms + self._down_ms(now),
             breach_counts=dict(counts.breaches),
             omitted=dict(counts.omitted),
@@ -249,13 +249,13 @@
         return summary
 
     def _judge_call(
-        self, event: events.CallFinished, left: LeavingServer | None
+        self, event: events.CallFinished, leaving_server: LeavingServer | None
     ) -> None:
         now = self.wall()
         since_s = None
-        if left is not None:
+        if leaving_server is not None:
             sent_at = now - event.duration_s + event.sent_after_s
-            since_s = sent_at - left.at
+            since_s = sent_at - leaving_server.at
         allowed_s = self.allowed_s.get(
             event.service, options.DrainPolicy().stop_within_s
         )
@@ -277,7 +277,7 @@
         self.counts.breaches[str(promise)] += 1
         self.counts.add_item(
             "breaches",
-            summaries.BreachSeen(
+            summaries.ObservedBreach(
                 str(promise),
                 request_id[:MAX_ID_CHARS],
                 detail[: summaries.MAX_TEXT_CHARS],
@@ -292,4 +292,4 @@
 
 
 def _milliseconds(seconds: float) -> int:
-    return round(seconds * MILLISECONDS)
+    return round(seconds * MS_PER_SECOND)
--- a/banyantiller/evidence/summary.py
+++ b/banyantiller/evidence/summary.py
@@ -21,7 +21,7 @@
 UNKNOWN_RATE = -1.0
 
 
-class BundleSeen(NamedTuple):
+class AppliedBundle(NamedTuple):
     """A bundle that came into force at this daemon."""
 
     version: int
@@ -31,7 +31,7 @@
     source: str
 
 
-class RefusalSeen(NamedTuple):
+class BundleRefusal(NamedTuple):
     """A bundle that this daemon refused."""
 
     version: int
@@ -40,7 +40,7 @@
     at_ms: int
 
 
-class MemberSeen(NamedTuple):
+class MemberChange(NamedTuple):
     """A change in this daemon's view of a peer."""
 
     daemon: str
@@ -49,7 +49,7 @@
     at_ms: int
 
 
-class LeavingSeen(NamedTuple):
+class ServerDeparture(NamedTuple):
     """A server that this daemon found leaving."""
 
     service: str
@@ -58,7 +58,7 @@
     at_ms: int
 
 
-class BreachSeen(NamedTuple):
+class ObservedBreach(NamedTuple):
     """A breach of a promise that this daemon observed."""
 
     promise: str
@@ -67,7 +67,7 @@
     at_ms: int
 
 
-class ProbesSpent(NamedTuple):
+class ProbeUsage(NamedTuple):
     """Probes that this daemon sent to one service.
 
     Attributes:
@@ -124,14 +124,14 @@
     attempts: int = 0
     retries: int = 0
     latency: dict[str, int] = {}  # noqa: RUF012
-    bundles: tuple[BundleSeen, ...] = ()
+    bundles: tuple[AppliedBundle, ...] = ()
     version: int = 0
-    refused: tuple[RefusalSeen, ...] = ()
-    probes: dict[str, ProbesSpent] = {}  # noqa: RUF012
+    refused: tuple[BundleRefusal, ...] = ()
+    probes: dict[str, ProbeUsage] = {}  # noqa: RUF012
     store_down_ms: int = 0
-    members: tuple[MemberSeen, ...] = ()
-    leaving: tuple[LeavingSeen, ...] = ()
-    breaches: tuple[BreachSeen, ...] = ()
+    members: tuple[MemberChange, ...] = ()
+    leaving: tuple[ServerDeparture, ...] = ()
+    breaches: tuple[ObservedBreach, ...] = ()
     breach_counts: dict[str, int] = {}  # noqa: RUF012
     omitted: dict[str, int] = {}  # noqa: RUF012
     audit_sequence: int = 0
@@ -227,12 +227,12 @@
 
 
 def _merged_probes(
-    first: Mapping[str, ProbesSpent], second: Mapping[str, ProbesSpent]
-) -> dict[str, ProbesSpent]:
+    first: Mapping[str, ProbeUsage], second: Mapping[str, ProbeUsage]
+) -> dict[str, ProbeUsage]:
     probes = dict(first)
     for service, spent in second.items():
-        before = probes.get(service, ProbesSpent(0, spent.rate))
-        probes[service] = ProbesSpent(
+        before = probes.get(service, ProbeUsage(0, spent.rate))
+        probes[service] = ProbeUsage(
             before.sent + spent.sent, min(before.rate, spent.rate)
         )
     return probes
--- a/banyantiller/evidence/trail.py
+++ b/banyantiller/evidence/trail.py
@@ -148,7 +148,7 @@
 async def _read_entries(
     store: interface.ObjectStore, deployment: str, tips: list[chain.Tip]
 ) -> tuple[dict[int, dict[str, Any]], list[chain.Problem]]:
-    """Lists the entries; repeats stale lists that lack a known tip."""
+    """Lists the entries; lists them again while a known tip is missing."""
     min_sequence = max((tip.sequence for tip in tips), default=0)
     for attempt in range(STALE_READS):
         items = await _list(store, deployment)
--- a/banyantiller/evidence/writer.py
+++ b/banyantiller/evidence/writer.py
@@ -57,7 +57,7 @@
             settings.daemon,
             settings.zone,
             recorder.from_ms,
-            round(self.period_s * layout.MILLISECONDS),
+            round(self.period_s * layout.MS_PER_SECOND),
         )
         self.retention_days = settings.evidence.retention_days
         self.backlog = backlog.Backlog(settings.evidence.most_requests)
--- a/banyantiller/tests/evidence/test_audit.py
+++ b/banyantiller/tests/evidence/test_audit.py
@@ -113,7 +113,7 @@
             return outcome
 
         outcome = self.run_paused(scenario())
-        self.assertIsInstance(outcome, audit.NotKnown)
+        self.assertIsInstance(outcome, audit.AppendUnknown)
         self.store.faults.slow_s = 0.0
         report = self.run_paused(audit.verify(self.store, FLEET))
         self.assertEqual(1, len(report.entries))
--- a/banyantiller/tests/evidence/test_judging.py
+++ b/banyantiller/tests/evidence/test_judging.py
@@ -71,10 +71,12 @@
 
         self.run_script(script)
         answers = self.assess(120, every_s=10)
-        kinds = [type(item) for item in answers[Promise.WHOLE_OWN_ANSWER]]
-        self.assertEqual([Held] * 4, kinds[:4])
-        self.assertEqual([NotKnown] * 4, kinds[4:8])
-        self.assertEqual([Held] * 4, kinds[8:])
+        verdict_types = [
+            type(item) for item in answers[Promise.WHOLE_OWN_ANSWER]
+        ]
+        self.assertEqual([Held] * 4, verdict_types[:4])
+        self.assertEqual([NotKnown] * 4, verdict_types[4:8])
+        self.assertEqual([Held] * 4, verdict_types[8:])
 
     def test_daemon_without_summaries_that_a_peer_reported(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
@@ -165,11 +167,11 @@
 
         self.run_script(end_gracefully)
         self.alter(change)
-        kinds = [
+        verdict_types = [
             type(v) for v in self.assess(90, every_s=10)[Promise.AT_MOST_ONCE]
         ]
-        self.assertEqual(1, kinds.count(NotKnown))
-        self.assertIs(NotKnown, kinds[2])
+        self.assertEqual(1, verdict_types.count(NotKnown))
+        self.assertIs(NotKnown, verdict_types[2])
 
     def test_breach_removed_with_a_new_digest_is_found_by_the_link(
         self,
@@ -255,8 +257,8 @@
         entry = self.table.list("auditentries").items[1]
         self.table.delete(entry)
         answers = self.assess(90, every_s=30)
-        kinds = [type(v) for v in answers[Promise.BUNDLE_IN_FORCE]]
-        self.assertEqual([NotKnown, Held, Held], kinds)
+        verdict_types = [type(v) for v in answers[Promise.BUNDLE_IN_FORCE]]
+        self.assertEqual([NotKnown, Held, Held], verdict_types)
         self.assertIsInstance(answers[Promise.AT_MOST_ONCE][0], Held)
 
 
@@ -292,11 +294,11 @@
 
         self.run_script(script)
         verdicts = self.assess(90, every_s=10)[Promise.WHOLE_OWN_ANSWER]
-        kinds = [type(verdict) for verdict in verdicts]
-        self.assertEqual(1, kinds.count(Broken))
-        self.assertIs(Broken, kinds[2])
+        verdict_types = [type(verdict) for verdict in verdicts]
+        self.assertEqual(1, verdict_types.count(Broken))
+        self.assertIs(Broken, verdict_types[2])
 
-    def probes(self, count: int, configured: bool = True) -> Verdict:
+    def judge_probes(self, count: int, configured: bool = True) -> Verdict:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
             for parts in (first, second):
                 if configured:
@@ -310,10 +312,10 @@
         return self.assess(90)[Promise.MEASURING_IN_BUDGET][0]
 
     def test_probes_within_the_budget(self) -> None:
-        self.assertIsInstance(self.probes(85), Held)
+        self.assertIsInstance(self.judge_probes(85), Held)
 
     def test_probes_over_the_budget_of_the_fleet(self) -> None:
-        verdict = self.probes(110)
+        verdict = self.judge_probes(110)
         self.assertIsInstance(verdict, Broken)
         self.assertIn("220 probes", verdict.named[0].detail)
 
@@ -334,4 +336,4 @@
         self.assertIsInstance(verdict, NotKnown)
 
     def test_probes_without_a_known_budget(self) -> None:
-        self.assertIsInstance(self.probes(1, configured=False), NotKnown)
+        self.assertIsInstance(self.judge_probes(1, configured=False), NotKnown)
--- a/banyantiller/tests/evidence/test_judging_bundles.py
+++ b/banyantiller/tests/evidence/test_judging_bundles.py
@@ -14,7 +14,7 @@
 
 
 class BundleTest(JudgingCase):
-    def judged(
+    def judge_delays(
         self,
         delays_s: dict[int, float],
         until_s: float = 90.0,
@@ -41,7 +41,7 @@
         return self.assess(until_s)[Promise.BUNDLE_IN_FORCE][0]
 
     def test_bundle_in_force_within_the_limit(self) -> None:
-        self.assertIsInstance(self.judged({1: 0.2, 2: 3.0}), Held)
+        self.assertIsInstance(self.judge_delays({1: 0.2, 2: 3.0}), Held)
 
     def test_order_of_unlisted_bundles_is_not_known(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
@@ -59,22 +59,24 @@
         self.assertIn("only counted", verdict.unknown[0].why)
 
     def test_bundle_in_force_after_the_limit(self) -> None:
-        verdict = self.judged({1: 0.2, 2: 6.0})
+        verdict = self.judge_delays({1: 0.2, 2: 6.0})
         self.assertIsInstance(verdict, Broken)
         self.assertEqual("b2", verdict.named[0].daemon)
         self.assertIn("after 6.0 s", verdict.named[0].detail)
 
     def test_delay_within_the_clock_tolerance_of_the_limit(self) -> None:
-        self.assertIsInstance(self.judged({1: 3.8}), NotKnown)
+        self.assertIsInstance(self.judge_delays({1: 3.8}), NotKnown)
 
     def test_clocks_that_differ_within_the_tolerance(self) -> None:
-        self.assertIsInstance(self.judged({1: 0.1}, offset_s=-0.4), Held)
+        self.assertIsInstance(self.judge_delays({1: 0.1}, offset_s=-0.4), Held)
 
     def test_clocks_that_differ_beyond_the_tolerance(self) -> None:
-        self.assertIsInstance(self.judged({1: 0.1}, offset_s=-3.0), NotKnown)
+        self.assertIsInstance(
+            self.judge_delays({1: 0.1}, offset_s=-3.0), NotKnown
+        )
 
     def test_version_that_is_not_due_yet(self) -> None:
-        self.assertIsInstance(self.judged({1: 0.1}, until_s=22), NotKnown)
+        self.assertIsInstance(self.judge_delays({1: 0.1}, until_s=22), NotKnown)
 
     def test_version_that_never_came_into_force(self) -> None:
         async def script(first: DaemonParts, second: DaemonParts) -> None:
--- a/banyantiller/tests/evidence/test_recorder.py
+++ b/banyantiller/tests/evidence/test_recorder.py
@@ -156,7 +156,7 @@
         self.recorder.configure([options.Service("registry", ())])
         self.kernel.emit(events.ProbeCharged("registry", self.now))
         spent = self.recorder.close_period().probes["registry"]
-        self.assertEqual(summaries.ProbesSpent(1, 2.0), spent)
+        self.assertEqual(summaries.ProbeUsage(1, 2.0), spent)
 
 
 class SummaryTest(base.TestCase):
@@ -168,8 +168,8 @@
             1,
             2,
             calls={"registry": 3},
-            probes={"registry": summaries.ProbesSpent(1, 2.0)},
-            bundles=(summaries.BundleSeen(1, "ab", 1, 2, "peer"),),
+            probes={"registry": summaries.ProbeUsage(1, 2.0)},
+            bundles=(summaries.AppliedBundle(1, "ab", 1, 2, "peer"),),
             final=True,
         )
         encoded = summaries.encode(summary)
@@ -179,7 +179,9 @@
     def test_backlog_stays_bounded_and_counts_stay_exact(self) -> None:
         pending_summaries = backlog.Backlog(most_requests=3, max_pending=4)
         for index in range(100):
-            breach = summaries.BreachSeen("at_most_once", f"r{index}", "", 0)
+            breach = summaries.ObservedBreach(
+                "at_most_once", f"r{index}", "", 0
+            )
             pending_summaries.add_summary(
                 summaries.Summary(
                     index,
@@ -201,13 +203,13 @@
 
     def test_merged_probes_keep_the_smallest_budget(self) -> None:
         first = summaries.Summary(
-            0, 1, probes={"a": summaries.ProbesSpent(1, 2.0)}
+            0, 1, probes={"a": summaries.ProbeUsage(1, 2.0)}
         )
         second = summaries.Summary(
-            1, 2, probes={"a": summaries.ProbesSpent(2, 1.0)}
+            1, 2, probes={"a": summaries.ProbeUsage(2, 1.0)}
         )
         merged = summaries.merge(first, second, 1)
-        self.assertEqual(summaries.ProbesSpent(3, 1.0), merged.probes["a"])
+        self.assertEqual(summaries.ProbeUsage(3, 1.0), merged.probes["a"])
 
     def test_buckets_are_ordered_and_narrow(self) -> None:
         rng = random.Random(1)
