--- a/banyantiller/gateway/store_view.py
+++ b/banyantiller/gateway/store_view.py
@@ -378,7 +378,9 @@
     """Returns the relays of the settings, without this daemon."""
     shares = settings.control not in settings.seeds
     return [
-        peers.Peer(options.endpoint(text), settings.daemon, shares, max_age_s)
+        peers.Peer(
+            options.parse_endpoint(text), settings.daemon, shares, max_age_s
+        )
         for text in settings.seeds
         if text != settings.control
     ]
