--- a/banyantiller/evidence/writer.py
+++ b/banyantiller/evidence/writer.py
@@ -132,7 +132,7 @@
                 return True
             if not await self._store_sealed():
                 log.warning(
-                    "evidence: summaries are not stored yet; retrying later.",
+                    "evidence: summaries could not be stored yet.",
                     pending=len(self.backlog.pending) + len(self.sealed),
                 )
                 return False
