--- a/banyantiller/evidence/trail.py
+++ b/banyantiller/evidence/trail.py
@@ -1,9 +1,9 @@
-"""Reads the audit trail: finds its end and checks it.
+"""Reads the audit trail, finds its tip and verifies it.
 
 Entry N is the object of kind `auditentries` named `DEPLOYMENT.N`, with N as
 twelve digits. The object of kind `audittips` named after the deployment
-holds the last entry that a writer saw; it shortens the search for the end
-and shows when the end was cut off.
+records the last entry that a writer saw. It shortens the search for the tip
+and reveals a truncated trail.
 """
 
 import asyncio
@@ -20,15 +20,15 @@
 
 
 class AuditReport(NamedTuple):
-    """What a check of the trail found.
+    """Result of verifying the trail.
 
     Attributes:
-        readable: Whether the trail could be read at all.
-        reason: Why it could not, or empty.
+        readable: Whether the trail could be read.
+        reason: Why it could not be read, or empty.
         entries: Entries in order of sequence, damaged ones included.
-        problems: Damaged places; none for an intact trail.
+        problems: Problems found; empty for an intact trail.
         tip: The last entry found.
-        anchors: Number of independently recorded ends compared with.
+        anchors: Number of recorded tips that the trail was checked against.
     """
 
     readable: bool
@@ -40,7 +40,7 @@
 
     @property
     def intact(self) -> bool:
-        """Whether the trail was read and nothing was found wrong."""
+        """Whether the trail was read and has no problems."""
         return self.readable and not self.problems
 
 
@@ -59,11 +59,11 @@
     Returns:
         The tip; sequence 0 for an empty trail.
     """
-    hint = await _get(store, TIP_KIND, deployment)
-    if hint is None:
+    recorded = await _get(store, TIP_KIND, deployment)
+    if recorded is None:
         tip = await _listed_tip(store, deployment)
     else:
-        tip = tip_from(hint.value)
+        tip = parse_tip(recorded.value)
     while True:
         entry = await _get(
             store, ENTRY_KIND, entry_name(deployment, tip.sequence + 1)
@@ -73,18 +73,18 @@
         tip = chain.Tip(tip.sequence + 1, str(entry.value.get("digest")))
 
 
-async def present_tip(
+async def read_recorded_tip(
     store: interface.ObjectStore, deployment: str
 ) -> chain.Tip | None:
-    """Reads the recorded tip alone, in one call; None if it can't be read."""
+    """Reads only the recorded tip, in one request; None if unreadable."""
     outcome = await store.get(TIP_KIND, deployment)
     if not isinstance(outcome, interface.Found):
         return None
-    return tip_from(outcome.item.value)
+    return parse_tip(outcome.item.value)
 
 
-def tip_from(value: Any) -> chain.Tip:
-    """Reads a tip from a stored value; an unusable one counts as empty."""
+def parse_tip(value: Any) -> chain.Tip:
+    """Parses a tip from a stored value; an invalid one counts as empty."""
     if not isinstance(value, dict):
         return chain.Tip()
     sequence = value.get("sequence")
@@ -99,32 +99,32 @@
     deployment: str,
     seen: Iterable[chain.Tip] = (),
 ) -> AuditReport:
-    """Checks the whole trail.
+    """Verifies the whole trail.
 
-    Finds missing, altered, replaced and reordered entries, and a cut-off
-    end as far as a tip beyond it was recorded: by writers, in `seen` from
-    the daemons' evidence, or by the operator from an earlier check.
+    Finds missing, altered, replaced and reordered entries. Finds a truncated
+    trail only if a later tip was recorded: by a writer, or in `seen`, which
+    holds tips from the daemons' evidence or an operator's earlier check.
 
     Args:
         store: The object API.
-        deployment: Fleet whose trail is checked.
-        seen: Tips that others recorded.
+        deployment: Name of the fleet.
+        seen: Tips that were recorded outside the trail.
 
     Returns:
         The report; not readable if the object API did not answer.
     """
     tips = [tip for tip in seen if tip.sequence > 0]
     try:
-        hint = await _get(store, TIP_KIND, deployment)
-        if hint is not None:
-            tips.append(tip_from(hint.value))
+        recorded = await _get(store, TIP_KIND, deployment)
+        if recorded is not None:
+            tips.append(parse_tip(recorded.value))
         records, foreign = await _read_entries(store, deployment, tips)
     except UnreadableError as error:
         return AuditReport(False, str(error), (), (), chain.Tip(), 0)
     problems = foreign + _check(records, tips)
     ordered = tuple(records[sequence] for sequence in sorted(records))
     return AuditReport(
-        True, "", ordered, tuple(problems), _last(records), len(tips)
+        True, "", ordered, tuple(problems), _last_tip(records), len(tips)
     )
 
 
@@ -148,12 +148,12 @@
 async def _read_entries(
     store: interface.ObjectStore, deployment: str, tips: list[chain.Tip]
 ) -> tuple[dict[int, dict[str, Any]], list[chain.Problem]]:
-    """Lists the entries, again while the list is older than a tip."""
-    wanted = max((tip.sequence for tip in tips), default=0)
+    """Lists the entries; lists them again while a known tip is missing."""
+    min_sequence = max((tip.sequence for tip in tips), default=0)
     for attempt in range(STALE_READS):
         items = await _list(store, deployment)
         records, foreign = _by_sequence(items, deployment)
-        if max(records, default=0) >= wanted:
+        if max(records, default=0) >= min_sequence:
             break
         await asyncio.sleep(STALE_PAUSE_S * 2.0**attempt)
     return records, foreign
@@ -180,10 +180,10 @@
     """Finds the last entry when no tip is recorded."""
     items = await _list(store, deployment)
     records, _ = _by_sequence(items, deployment)
-    return _last(records)
+    return _last_tip(records)
 
 
-def _last(records: dict[int, dict[str, Any]]) -> chain.Tip:
+def _last_tip(records: dict[int, dict[str, Any]]) -> chain.Tip:
     if not records:
         return chain.Tip()
     sequence = max(records)
--- a/banyantiller/tests/evidence/test_writer.py
+++ b/banyantiller/tests/evidence/test_writer.py
@@ -1,4 +1,4 @@
-"""Tests of the writer: outages, lost answers, altered blocks, retention."""
+"""Tests of the writer: outages, lost responses, alterations, retention."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
             parts = samples.DaemonParts(self.table)
             parts.start()
             await asyncio.sleep(301)
-            await parts.end()
+            await parts.shut_down()
             self.assertEqual(32 - 4 + 1, parts.store.calls["update"])
 
         self.run_paused(scenario())
@@ -51,17 +51,17 @@
             parts = samples.DaemonParts(self.table)
             parts.start()
             await asyncio.sleep(15)
-            run = layout.run_from(
+            run = layout.parse_run(
                 self.table.list(layout.RUN_KIND).items[0].value
             )
             self.assertEqual((0, 10_000), (run.ended_ms, run.period_ms))
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
-        run = layout.run_from(self.table.list(layout.RUN_KIND).items[0].value)
+        run = layout.parse_run(self.table.list(layout.RUN_KIND).items[0].value)
         self.assertTrue(run.ended_ms > run.started_ms)
 
-    def test_outage_keeps_counts_and_says_what_was_merged(self) -> None:
+    def test_outage_keeps_counts_and_records_merged_periods(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.start()
@@ -72,7 +72,7 @@
                 await asyncio.sleep(10)
             parts.store.faults.down = False
             await asyncio.sleep(20)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
@@ -84,22 +84,22 @@
         self.assertTrue(len(records) < 45)
         self.assertTrue(any(r.get("merged", 1) > 1 for r in records.values()))
 
-    def test_lost_answers_make_no_second_chain(self) -> None:
+    def test_lost_responses_do_not_fork_the_chain(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.start()
             for _ in range(12):
                 parts.store.faults.lose_answers = 1
                 await asyncio.sleep(10)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
         self.assertEqual([], chain.check_links(records))
         self.assertTrue(records[max(records)]["final"])
 
-    def test_late_writes_make_no_second_chain(self) -> None:
-        """Writes are answered as unknown and take effect seconds later."""
+    def test_late_writes_do_not_fork_the_chain(self) -> None:
+        """The store answers writes as unknown and applies them later."""
 
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
@@ -109,14 +109,14 @@
             await asyncio.sleep(60)
             parts.store.faults.slow_s = 0.0
             await asyncio.sleep(40)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
         self.assertEqual([], chain.check_links(records))
         self.assertTrue(records[max(records)]["final"])
 
-    def test_stale_read_after_a_lost_answer_is_no_alteration(self) -> None:
+    def test_stale_read_after_a_lost_response_is_no_alteration(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.start()
@@ -127,13 +127,13 @@
             await asyncio.sleep(30)
             parts.store.serve_stale(False)
             await asyncio.sleep(8)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         self.assertEqual(1, len(self.blocks()))
         self.assertEqual([], chain.check_links(self.records()))
 
-    def test_altered_block_is_left_as_it_is(self) -> None:
+    def test_altered_block_is_not_overwritten(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.start()
@@ -142,7 +142,7 @@
             block.value["records"][1]["to_ms"] += 1
             self.table.update(block, block.value)
             await asyncio.sleep(35)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
@@ -160,25 +160,25 @@
             await asyncio.sleep(35)
             self.table.delete(self.blocks()[0])
             await asyncio.sleep(35)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         records = self.records()
         self.assertEqual(5, min(records))
         self.assertTrue(records[max(records)]["final"])
 
-    def test_graceful_end_is_bounded_while_the_store_is_down(self) -> None:
+    def test_graceful_shutdown_is_bounded_while_the_store_is_down(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             parts.store.faults.down = True
             before = asyncio.get_running_loop().time()
-            await parts.end()
+            await parts.shut_down()
             self.assertTrue(asyncio.get_running_loop().time() - before < 6)
 
         self.run_paused(scenario())
         self.assertEqual([], self.blocks())
 
-    def test_many_named_requests_stay_below_the_size_limit(self) -> None:
+    def test_many_listed_breaches_stay_below_the_size_limit(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table, most_requests=1000)
             parts.start()
@@ -187,21 +187,21 @@
                     request_id = f"{index:060d}"
                     parts.kernel.emit(samples.call(request_id, cut=True))
                 await asyncio.sleep(10)
-            await parts.end()
+            await parts.shut_down()
             self.assertEqual([], parts.writer.sealed)
 
         self.run_paused(scenario())
         self.assertTrue(len(self.blocks()) > 1)
         self.assertEqual([], chain.check_links(self.records()))
 
-    def test_audit_tip_is_carried(self) -> None:
+    def test_summaries_contain_the_audit_tip(self) -> None:
         async def scenario() -> None:
             parts = samples.DaemonParts(self.table)
             tip = {"sequence": 9, "digest": "ab"}
             self.table.create(trail.TIP_KIND, samples.FLEET, tip)
             parts.start()
             await asyncio.sleep(20)
-            await parts.end()
+            await parts.shut_down()
 
         self.run_paused(scenario())
         last = self.records()[max(self.records())]
