--- a/banyantiller/bundle/acceptance.py
+++ b/banyantiller/bundle/acceptance.py
@@ -11,10 +11,10 @@
 import structlog
 
 from banyantiller.bundle import descriptions, reading, verification, writing
-from banyantiller.bundle.manifest import Accepted
+from banyantiller.bundle.manifest import AcceptedBundle
 from banyantiller.bundle.operators import Operator
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     HeadFound,
     Lost,
     NotFound,
@@ -29,21 +29,21 @@
 
 log = structlog.get_logger("banyantiller.bundle")
 
-MOST_ANCESTORS = 32
-PARTS_AT_ONCE = 8
-REPLACE_DAMAGED = (
+MAX_ANCESTORS = 32
+CONCURRENT_PART_READS = 8
+DAMAGED_HEAD = (
     "The accepted bundle in the object API is damaged; propose the change"
     " again to replace it."
 )
 
 
-class _Attempt(NamedTuple):
+class _RollRequest(NamedTuple):
     """One roll: what is to be accepted, and what it follows."""
 
     store: interface.ObjectStore
     deployment: str
-    base: reading.Base
-    accepted: Accepted
+    base: reading.ProposalBase
+    accepted: AcceptedBundle
     digest: str
 
 
@@ -67,136 +67,140 @@
         `NotKnown`, this roll has changed nothing that is in force.
     """
     proposal = await reading.read_proposal(store, deployment, digest)
-    if isinstance(proposal, NotFound | Damaged):
+    if isinstance(proposal, NotFound | DamagedObject):
         return Refused((descriptions.describe(proposal),))
     if isinstance(proposal, NotReached):
         return proposal
     head = await reading.read_head(store, deployment)
     if isinstance(head, NotReached):
         return head
-    accepted = Accepted(
+    accepted = AcceptedBundle(
         proposal.manifest,
         proposal.signatures,
         operator.wall(),
         operator.name,
     )
-    base = reading.Base.from_head(head)
-    attempt = _Attempt(store, deployment, base, accepted, proposal.digest)
-    if isinstance(head, HeadFound) and await _is_accepted(attempt, head):
-        rolled = _rolled(attempt, head)
+    base = reading.ProposalBase.from_head(head)
+    request = _RollRequest(store, deployment, base, accepted, proposal.digest)
+    if isinstance(head, HeadFound) and await _is_accepted(request, head):
+        rolled = _to_rolled(request, head)
         note = rolled.note or "It was accepted before."
         return Rolled(rolled.accepted, rolled.digest, note)
-    return await _roll(attempt, operator)
-
-
-async def _roll(attempt: _Attempt, operator: Operator) -> RollOutcome:
-    refused = await _refusal(attempt, operator)
-    if refused is not None:
-        return refused
-    manifest = attempt.accepted.manifest
-    detail = {"digest": attempt.digest, "version": manifest.version}
-    failed = await operator.audit("roll", detail)
-    if failed:
-        return NotReached(failed)
-    outcome = await _write(attempt)
+    return await _record_and_write(request, operator)
+
+
+async def _record_and_write(
+    request: _RollRequest, operator: Operator
+) -> RollOutcome:
+    refusal = await _find_refusal(request, operator)
+    if refusal is not None:
+        return refusal
+    manifest = request.accepted.manifest
+    detail = {"digest": request.digest, "version": manifest.version}
+    failure = await operator.audit("roll", detail)
+    if failure:
+        return NotReached(failure)
+    outcome = await _write_head(request)
     result = type(outcome).__name__.lower()
-    failed = await operator.audit("roll_result", {**detail, "result": result})
-    if failed:
+    failure = await operator.audit("roll_result", {**detail, "result": result})
+    if failure:
         log.warning("bundle: the result of a roll was not recorded.")
     return outcome
 
 
-async def _refusal(
-    attempt: _Attempt, operator: Operator
+async def _find_refusal(
+    request: _RollRequest, operator: Operator
 ) -> OutOfDate | Refused | NotReached | None:
-    accepted = attempt.accepted
+    accepted = request.accepted
     reasons = verification.verify(
-        accepted, operator.trusted, attempt.deployment, accepted.accepted_at
+        accepted, operator.trusted, request.deployment, accepted.accepted_at
     )
     if not any(key.name == operator.name for key in operator.trusted):
         reasons += (f"No key of operator '{operator.name}' is trusted.",)
     if reasons:
         return Refused(reasons)
-    base, manifest = attempt.base, accepted.manifest
+    base, manifest = request.base, accepted.manifest
     if manifest.parent == base.digest and manifest.version > base.version:
-        return await _check_parts(attempt)
+        return await _check_parts(request)
     if base.item is not None and not base.version:
-        return Refused((REPLACE_DAMAGED,))
+        return Refused((DAMAGED_HEAD,))
     if base.version < manifest.version - 1:
         return NotReached("it shows an older bundle than was proposed upon")
     return OutOfDate(base.roller, base.version, base.digest)
 
 
-async def _check_parts(attempt: _Attempt) -> Refused | NotReached | None:
-    known = set(attempt.base.parts)
-    fresh = [
-        part for part in attempt.accepted.manifest.parts if part not in known
+async def _check_parts(request: _RollRequest) -> Refused | NotReached | None:
+    stored = set(request.base.parts)
+    new_parts = [
+        part for part in request.accepted.manifest.parts if part not in stored
     ]
-    for start in range(0, len(fresh), PARTS_AT_ONCE):
-        batch = fresh[start : start + PARTS_AT_ONCE]
+    for start in range(0, len(new_parts), CONCURRENT_PART_READS):
+        batch = new_parts[start : start + CONCURRENT_PART_READS]
         found = await asyncio.gather(
-            *(reading.read_part(attempt.store, part) for part in batch)
+            *(reading.read_part(request.store, part) for part in batch)
         )
         for outcome in found:
             if isinstance(outcome, NotReached):
                 return outcome
-            if isinstance(outcome, NotFound | Damaged):
+            if isinstance(outcome, NotFound | DamagedObject):
                 return Refused((descriptions.describe(outcome),))
     return None
 
 
-async def _write(attempt: _Attempt) -> RollOutcome:
+async def _write_head(request: _RollRequest) -> RollOutcome:
     """Writes the head; a try after a lost answer has the same condition."""
-    tries = writing.FailedTries()
-    for pause in writing.pauses():
-        outcome = await _write_once(attempt)
+    attempts = writing.FailedAttempts()
+    for pause in writing.retry_pauses():
+        outcome = await _write_head_once(request)
         if isinstance(outcome, interface.Found):
-            return Rolled(attempt.accepted, attempt.digest)
-        tries.add(outcome, "the head was changed, but its state cannot be read")
-        settled = await _settle(attempt)
+            return Rolled(request.accepted, request.digest)
+        attempts.record(
+            outcome, "the head was changed, but its state cannot be read"
+        )
+        settled = await _read_back(request)
         if settled is not None:
             return settled
         await asyncio.sleep(pause)
-    return tries.outcome()
+    return attempts.outcome()
 
 
-async def _write_once(attempt: _Attempt):
-    value = reading.head_value(attempt.accepted)
-    if attempt.base.item is not None:
-        return await attempt.store.update(attempt.base.item, value)
-    labels = {"deployment": attempt.deployment}
-    return await attempt.store.create(
-        reading.HEADS, attempt.deployment, value, labels
+async def _write_head_once(request: _RollRequest):
+    value = reading.head_value(request.accepted)
+    if request.base.item is not None:
+        return await request.store.update(request.base.item, value)
+    labels = {"deployment": request.deployment}
+    return await request.store.create(
+        reading.HEADS, request.deployment, value, labels
     )
 
 
-async def _settle(attempt: _Attempt) -> RollOutcome | None:
+async def _read_back(request: _RollRequest) -> RollOutcome | None:
     """Reads back; None while the head tells nothing newer than before."""
-    now = await reading.read_head(attempt.store, attempt.deployment)
-    if not isinstance(now, HeadFound):
+    head = await reading.read_head(request.store, request.deployment)
+    if not isinstance(head, HeadFound):
         return None
-    was_accepted = await _is_accepted(attempt, now)
+    was_accepted = await _is_accepted(request, head)
     if was_accepted:
-        return _rolled(attempt, now)
-    version = now.accepted.manifest.version
-    if was_accepted is None or version <= attempt.base.version:
+        return _to_rolled(request, head)
+    version = head.accepted.manifest.version
+    if was_accepted is None or version <= request.base.version:
         return None
-    return Lost(now.accepted.roller, version, now.digest)
+    return Lost(head.accepted.roller, version, head.digest)
 
 
-async def _is_accepted(attempt: _Attempt, now: HeadFound) -> bool | None:
+async def _is_accepted(request: _RollRequest, head: HeadFound) -> bool | None:
     """Tells whether a head is the attempt or follows it; None if unclear."""
-    if now.digest == attempt.digest:
+    if head.digest == request.digest:
         return True
-    own = attempt.accepted.manifest.version
-    manifest = now.accepted.manifest
-    for _ in range(MOST_ANCESTORS):
-        if manifest.version <= own:
+    requested_version = request.accepted.manifest.version
+    manifest = head.accepted.manifest
+    for _ in range(MAX_ANCESTORS):
+        if manifest.version <= requested_version:
             return False
-        if manifest.parent == attempt.digest:
+        if manifest.parent == request.digest:
             return True
         found = await reading.read_proposal(
-            attempt.store, attempt.deployment, manifest.parent
+            request.store, request.deployment, manifest.parent
         )
         if not isinstance(found, ProposalFound):
             return None
@@ -204,12 +208,12 @@
     return None
 
 
-def _rolled(attempt: _Attempt, now: HeadFound) -> Rolled:
-    if now.digest == attempt.digest:
-        return Rolled(now.accepted, now.digest)
-    accepted = now.accepted
+def _to_rolled(request: _RollRequest, head: HeadFound) -> Rolled:
+    if head.digest == request.digest:
+        return Rolled(head.accepted, head.digest)
+    accepted = head.accepted
     note = (
         f"Version {accepted.manifest.version} of '{accepted.roller}' has"
         " followed since."
     )
-    return Rolled(attempt.accepted, attempt.digest, note)
+    return Rolled(request.accepted, request.digest, note)
--- a/banyantiller/bundle/approval.py
+++ b/banyantiller/bundle/approval.py
@@ -17,7 +17,7 @@
 from banyantiller.bundle.operators import Operator
 from banyantiller.bundle.options import Bundle
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     NotFound,
     NotReached,
     ProposalFound,
@@ -28,7 +28,7 @@
 from banyantiller.store import interface
 
 
-class _Attempt(NamedTuple):
+class _SignRequest(NamedTuple):
     """One operator's will to sign a proposal."""
 
     store: interface.ObjectStore
@@ -54,88 +54,94 @@
     Returns:
         `Signed` once the object API has shown the signature.
     """
-    attempt = _Attempt(store, deployment, digest, operator)
-    proposal = await _read(attempt)
+    request = _SignRequest(store, deployment, digest, operator)
+    proposal = await _read_proposal(request)
     if not isinstance(proposal, ProposalFound):
         return proposal
-    signature = _signature(attempt, proposal)
+    signature = _make_signature(request, proposal)
     if signature in proposal.signatures:
         return Signed(proposal.manifest, proposal.digest)
-    refused = await _refusal(attempt, proposal, signature)
-    if refused is not None:
-        return refused
+    refusal = await _find_refusal(request, proposal, signature)
+    if refusal is not None:
+        return refusal
     manifest = proposal.manifest
     detail = {"digest": proposal.digest, "version": manifest.version}
-    failed = await operator.audit("sign", detail)
-    if failed:
-        return NotReached(failed)
-    return await _write(attempt, proposal)
+    failure = await operator.audit("sign", detail)
+    if failure:
+        return NotReached(failure)
+    return await _write_signature(request, proposal)
 
 
-async def _write(attempt: _Attempt, proposal: ProposalFound) -> SignOutcome:
+async def _write_signature(
+    request: _SignRequest, proposal: ProposalFound
+) -> SignOutcome:
     """Adds the signature, also beside one that was added meanwhile."""
-    tries = writing.FailedTries()
+    attempts = writing.FailedAttempts()
     current: Any = proposal
-    for pause in writing.pauses():
+    for pause in writing.retry_pauses():
         if isinstance(current, ProposalFound):
-            signature = _signature(attempt, current)
+            signature = _make_signature(request, current)
             if signature in current.signatures:
                 return Signed(current.manifest, current.digest)
-            outcome = await _add(attempt.store, current, signature)
+            outcome = await _update_proposal(request.store, current, signature)
             if isinstance(outcome, interface.Found):
                 return Signed(current.manifest, current.digest)
-            tries.add(outcome, "others wrote first")
+            attempts.record(outcome, "others wrote first")
         await asyncio.sleep(pause)
-        current = await _read(attempt)
-    return tries.outcome()
+        current = await _read_proposal(request)
+    return attempts.outcome()
 
 
-async def _read(attempt: _Attempt) -> ProposalFound | Refused | NotReached:
+async def _read_proposal(
+    request: _SignRequest,
+) -> ProposalFound | Refused | NotReached:
     found = await reading.read_proposal(
-        attempt.store, attempt.deployment, attempt.digest
+        request.store, request.deployment, request.digest
     )
-    if isinstance(found, NotFound | Damaged):
+    if isinstance(found, NotFound | DamagedObject):
         return Refused((descriptions.describe(found),))
     return found
 
 
-def _signature(attempt: _Attempt, proposal: ProposalFound) -> Signature:
-    operator = attempt.operator
+def _make_signature(
+    request: _SignRequest, proposal: ProposalFound
+) -> Signature:
+    operator = request.operator
     return signing.sign(
         operator.private, operator.name, signing.SIGN, proposal.manifest
     )
 
 
-async def _refusal(
-    attempt: _Attempt, proposal: ProposalFound, signature: Signature
+async def _find_refusal(
+    request: _SignRequest, proposal: ProposalFound, signature: Signature
 ) -> Refused | NotReached | None:
     """Judges what would be signed: its form, its proposer, its content."""
     if len(proposal.signatures) >= reading.MAX_SIGNATURES:
         return Refused(("The proposal has too many signatures.",))
-    proposed = tuple(
+    proposer_signatures = tuple(
         item for item in proposal.signatures if item.role == signing.PROPOSE
     )
-    operator = attempt.operator
+    operator = request.operator
     reasons = verification.check_manifest(
-        proposal.manifest, attempt.deployment
+        proposal.manifest, request.deployment
     ) + verification.check_signatures(
         proposal.manifest,
-        (*proposed, signature),
+        (*proposer_signatures, signature),
         operator.trusted,
         operator.wall(),
     )
     if reasons:
         return Refused(reasons)
-    content = await history.read_bundle(attempt.store, proposal.manifest)
+    content = await history.read_bundle(request.store, proposal.manifest)
     if isinstance(content, NotReached):
         return content
     if not isinstance(content, Bundle):
         return Refused((descriptions.describe(content),))
-    faults = validity.faults(content)
-    return Refused(faults) if faults else None
+    errors = validity.find_errors(content)
+    return Refused(errors) if errors else None
 
 
-async def _add(
+async def _update_proposal(
     store: interface.ObjectStore,
     proposal: ProposalFound,
     signature: Signature,
--- a/banyantiller/bundle/canonical.py
+++ b/banyantiller/bundle/canonical.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from banyantiller.bundle import plain
-from banyantiller.bundle.manifest import Accepted, Manifest, Part
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Part
 from banyantiller.bundle.options import Bundle, Service
 
 MAX_BUNDLE_BYTES = 1_000_000
@@ -38,13 +38,13 @@
     return text.encode("utf-8")
 
 
-def decode(data: bytes, kind: type[T], limit: int) -> T:
+def decode(data: bytes, value_type: type[T], limit: int) -> T:
     """Decodes canonical JSON.
 
     Args:
         data: Canonical JSON.
-        kind: `NamedTuple` type.
-        limit: Most bytes.
+        value_type: `NamedTuple` type.
+        limit: Maximum length in bytes.
 
     Raises:
         CanonicalError: The bytes are too long, not valid or not canonical.
@@ -52,12 +52,16 @@
     if len(data) > limit:
         raise CanonicalError(f"{len(data)} bytes are more than {limit}")
     try:
-        value = plain.from_plain(msgspec.json.decode(data), kind)
-        again = encode(value)
+        value = plain.from_plain(msgspec.json.decode(data), value_type)
+        reencoded = encode(value)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise CanonicalError(f"not a valid {kind.__name__}: {error}") from error
-    if again != data:
-        raise CanonicalError(f"not the canonical form of a {kind.__name__}")
+        raise CanonicalError(
+            f"not a valid {value_type.__name__}: {error}"
+        ) from error
+    if reencoded != data:
+        raise CanonicalError(
+            f"not the canonical form of a {value_type.__name__}"
+        )
     return value
 
 
@@ -119,15 +123,15 @@
     return digest(encode_manifest(manifest))
 
 
-def encode_accepted(accepted: Accepted) -> bytes:
+def encode_accepted(accepted: AcceptedBundle) -> bytes:
     """Encodes an accepted bundle as daemons and the object API hold it."""
     return encode(accepted)
 
 
-def decode_accepted(data: bytes) -> Accepted:
+def decode_accepted(data: bytes) -> AcceptedBundle:
     """Decodes an accepted bundle; its signatures are not verified here.
 
     Raises:
         CanonicalError: The bytes are not a canonical accepted bundle.
     """
-    return decode(data, Accepted, MAX_ACCEPTED_BYTES)
+    return decode(data, AcceptedBundle, MAX_ACCEPTED_BYTES)
--- a/banyantiller/bundle/consistency.py
+++ b/banyantiller/bundle/consistency.py
@@ -12,8 +12,8 @@
 )
 from banyantiller.config.problems import Problems, suggestion
 
-MAX_DESCRIPTION = 2000
-WHOLE_PERCENT = 100.0
+MAX_DESCRIPTION_CHARS = 2000
+TOTAL_PERCENT = 100.0
 PERCENT_TOLERANCE = 1e-6
 
 T = TypeVar("T")
@@ -26,26 +26,26 @@
         bundle: The bundle; an item that could not be built is None.
         problems: Takes the errors and warnings.
     """
-    if len(bundle.description) > MAX_DESCRIPTION:
-        message = f"It is longer than {MAX_DESCRIPTION} characters."
+    if len(bundle.description) > MAX_DESCRIPTION_CHARS:
+        message = f"It is longer than {MAX_DESCRIPTION_CHARS} characters."
         problems.error("description", message)
     if not bundle.services:
         problems.warn("services", "There are no services; calls get 404.")
     names = [item and item.name for item in bundle.services]
     _check_unique("services", "name", names, problems)
-    for path, service in _present("services", bundle.services):
+    for path, service in _present_items("services", bundle.services):
         _check_service(path, service, problems)
     _check_overlaps(bundle.services, problems)
     _check_shared_servers(bundle.services, problems)
 
 
-def covers(outer: str, inner: str) -> bool:
+def path_covers(outer: str, inner: str) -> bool:
     """Tells whether a path prefix, by whole segments, covers another."""
-    stem = outer.rstrip("/")
-    return inner.rstrip("/") == stem or inner.startswith(f"{stem}/")
+    prefix = outer.rstrip("/")
+    return inner.rstrip("/") == prefix or inner.startswith(f"{prefix}/")
 
 
-def _present(path: str, items: Sequence[T]) -> Iterator[tuple[str, T]]:
+def _present_items(path: str, items: Sequence[T]) -> Iterator[tuple[str, T]]:
     for index, item in enumerate(items):
         if item is not None:
             yield f"{path}[{index}]", item
@@ -55,7 +55,7 @@
     path: str, field: str, names: list[str | None], problems: Problems
 ) -> None:
     seen: dict[str, str] = {}
-    for where, name in _present(path, names):
+    for where, name in _present_items(path, names):
         if name in seen:
             message = f"'{name}' is the name of {seen[name]} too."
             problems.error(f"{where}.{field}", message)
@@ -79,7 +79,7 @@
 
 def _check_addresses(path: str, service: Service, problems: Problems) -> None:
     seen: dict[tuple[str, int], str] = {}
-    for where, server in _present(path, service.servers):
+    for where, server in _present_items(path, service.servers):
         endpoint = (server.address, server.port)
         if endpoint in seen:
             message = f"Server '{seen[endpoint]}' has this address and port."
@@ -88,10 +88,10 @@
 
 
 def _check_zones(path: str, service: Service, problems: Problems) -> None:
-    known = [item for item in service.servers if item is not None]
-    if not any(server.zone for server in known):
+    servers = [item for item in service.servers if item is not None]
+    if not any(server.zone for server in servers):
         return
-    for where, server in _present(path, service.servers):
+    for where, server in _present_items(path, service.servers):
         if not server.zone:
             message = f"Server '{server.name}' has no zone, others have one."
             problems.warn(where, message)
@@ -99,54 +99,60 @@
 
 def _check_requests(path: str, service: Service, problems: Problems) -> None:
     where = f"{path}.requests"
-    rules = list(_present(where, service.requests))
+    rules = list(_present_items(where, service.requests))
     if not service.requests:
         message = f"No rule states which requests of '{service.name}' are"
         problems.warn(path, f"{message} idempotent; none is run twice.")
     for place, rule in rules:
-        if not _may_meet(rule.path, service.path):
+        if not _paths_overlap(rule.path, service.path):
             message = f"It is outside the service's path '{service.path}'."
             problems.warn(f"{place}.path", message)
         if rule.idempotent and not rule.methods:
             message = "It lets requests of any method, also POST, run twice."
             problems.warn(place, message)
-    for place, earlier_place in _hidden_rules(rules):
+    for place, earlier_place in _shadowed_rules(rules):
         message = f"It has no effect: {earlier_place} matches first."
         problems.warn(place, message)
     unsafe = not rules or any(not rule.idempotent for _, rule in rules)
-    if service.key_required and not unsafe and _hides_all(rules, service):
+    if (
+        service.key_required
+        and not unsafe
+        and _matches_every_request(rules, service)
+    ):
         message = "It has no effect: every request is idempotent."
         problems.warn(f"{path}.key_required", message)
 
 
-def _hidden_rules(
+def _shadowed_rules(
     rules: list[tuple[str, RequestRule]],
 ) -> Iterator[tuple[str, str]]:
     """Yields the places of rules that never match and of what hides them."""
     for index, (place, rule) in enumerate(rules):
         for earlier_place, earlier in rules[:index]:
-            if _hides(earlier, rule):
+            if _shadows(earlier, rule):
                 yield place, earlier_place
                 break
 
 
-def _hides(earlier: RequestRule, later: RequestRule) -> bool:
-    if not covers(earlier.path, later.path):
+def _shadows(earlier: RequestRule, later: RequestRule) -> bool:
+    if not path_covers(earlier.path, later.path):
         return False
     if not earlier.methods:
         return True
     return bool(later.methods) and set(later.methods) <= set(earlier.methods)
 
 
-def _hides_all(rules: list[tuple[str, RequestRule]], service: Service) -> bool:
+def _matches_every_request(
+    rules: list[tuple[str, RequestRule]], service: Service
+) -> bool:
     return any(
-        not rule.methods and covers(rule.path, service.path)
+        not rule.methods and path_covers(rule.path, service.path)
         for _, rule in rules
     )
 
 
-def _may_meet(one: str, two: str) -> bool:
-    return covers(one, two) or covers(two, one)
+def _paths_overlap(first: str, second: str) -> bool:
+    return path_covers(first, second) or path_covers(second, first)
 
 
 def _check_traffic(path: str, service: Service, problems: Problems) -> None:
@@ -155,7 +161,7 @@
         _check_shares(f"{path}.shares", service.shares, groups, problems)
     named = {item.group for item in service.shares if item is not None}
     last = -1.0
-    for where, stage in _present(f"{path}.stages", service.stages):
+    for where, stage in _present_items(f"{path}.stages", service.stages):
         if stage.after_s <= last:
             message = f"It must be above {last:g} s, that of the stage before."
             problems.error(f"{where}.after_s", message)
@@ -173,7 +179,7 @@
 def _check_shares(
     path: str, shares: tuple[Share, ...], groups: set[str], problems: Problems
 ) -> None:
-    present = list(_present(path, shares))
+    present = list(_present_items(path, shares))
     for where, share in present:
         if share.group not in groups:
             near = suggestion(share.group, groups)
@@ -182,17 +188,17 @@
     names = [item and item.group for item in shares]
     _check_unique(path, "group", names, problems)
     total = sum(share.percent for _, share in present)
-    whole = len(present) == len(shares)
-    if whole and abs(total - WHOLE_PERCENT) > PERCENT_TOLERANCE:
+    is_complete = len(present) == len(shares)
+    if is_complete and abs(total - TOTAL_PERCENT) > PERCENT_TOLERANCE:
         problems.error(path, f"The shares add up to {total:g}, not 100.")
 
 
 def _check_overlaps(services: tuple[Service, ...], problems: Problems) -> None:
     seen: dict[tuple[str, str], str] = {}
-    for path, service in _present("services", services):
-        stem = service.path.rstrip("/")
+    for path, service in _present_items("services", services):
+        prefix = service.path.rstrip("/")
         for host in service.hosts or ("",):
-            other = seen.setdefault((host, stem), service.name)
+            other = seen.setdefault((host, prefix), service.name)
             if other != service.name:
                 message = f"Service '{other}' has the same host and path."
                 problems.error(f"{path}.path", message)
@@ -204,8 +210,8 @@
     services: tuple[Service, ...], problems: Problems
 ) -> None:
     seen: dict[tuple[str, int], str] = {}
-    for path, service in _present("services", services):
-        for where, server in _present(f"{path}.servers", service.servers):
+    for path, service in _present_items("services", services):
+        for where, server in _present_items(f"{path}.servers", service.servers):
             other = seen.setdefault(_endpoint(server), service.name)
             if other != service.name:
                 message = f"Service '{other}' uses the same server; the slots"
--- a/banyantiller/bundle/descriptions.py
+++ b/banyantiller/bundle/descriptions.py
@@ -1,7 +1,7 @@
 """Sentences on outcomes that are no success."""
 
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     Lost,
     NotFound,
     NotKnown,
@@ -10,15 +10,23 @@
     Refused,
 )
 
-Failed = Lost | OutOfDate | Refused | NotFound | Damaged | NotReached | NotKnown
+FailureOutcome = (
+    Lost
+    | OutOfDate
+    | Refused
+    | NotFound
+    | DamagedObject
+    | NotReached
+    | NotKnown
+)
 
 
-def describe(outcome: Failed) -> str:
+def describe(outcome: FailureOutcome) -> str:
     """Returns one or more sentences on an outcome that is no success."""
     match outcome:
         case NotFound(what):
             return f"There is no {what}."
-        case Damaged(reason):
+        case DamagedObject(reason):
             return reason
         case Lost(winner, version, digest):
             return (
--- a/banyantiller/bundle/difference.py
+++ b/banyantiller/bundle/difference.py
@@ -35,39 +35,41 @@
     Items of a list that have a name are matched by name, others by place.
     Unlike in canonical form, values at their default are compared too.
     """
-    return tuple(_walk("", before, after))
+    return tuple(_compare_values("", before, after))
 
 
-def _walk(path: str, before: Any, after: Any) -> Iterator[Difference]:
+def _compare_values(path: str, before: Any, after: Any) -> Iterator[Difference]:
     if before == after:
         return
     if hasattr(before, "_fields") and type(before) is type(after):
         for name in before._fields:
             where = f"{path}.{name}" if path else name
-            yield from _walk(where, getattr(before, name), getattr(after, name))
+            yield from _compare_values(
+                where, getattr(before, name), getattr(after, name)
+            )
     elif isinstance(before, tuple) and isinstance(after, tuple):
-        yield from _walk_items(path, _keyed(before), _keyed(after))
+        yield from _compare_items(path, _by_key(before), _by_key(after))
     else:
         yield Difference(path, plain.to_plain(before), plain.to_plain(after))
 
 
-def _walk_items(
+def _compare_items(
     path: str, before: dict[str, Any], after: dict[str, Any]
 ) -> Iterator[Difference]:
     for key in before | after:
         where = f"{path}[{key}]"
-        yield from _walk(where, before.get(key), after.get(key))
+        yield from _compare_values(where, before.get(key), after.get(key))
     kept = [key for key in before if key in after]
     moved = [key for key in after if key in before]
     if kept != moved:
         yield Difference(path, kept, moved)
 
 
-def _keyed(items: tuple[Any, ...]) -> dict[str, Any]:
-    return {_key(index, item): item for index, item in enumerate(items)}
+def _by_key(items: tuple[Any, ...]) -> dict[str, Any]:
+    return {_item_key(index, item): item for index, item in enumerate(items)}
 
 
-def _key(index: int, item: Any) -> str:
+def _item_key(index: int, item: Any) -> str:
     for field in KEY_FIELDS:
         if field in getattr(item, "_fields", ()):
             return str(getattr(item, field))
--- a/banyantiller/bundle/history.py
+++ b/banyantiller/bundle/history.py
@@ -4,7 +4,7 @@
 from banyantiller.bundle.manifest import Manifest
 from banyantiller.bundle.options import Bundle
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     HeadFound,
     NotFound,
     NotReached,
@@ -13,12 +13,12 @@
 )
 from banyantiller.store import interface
 
-Unreadable = NotFound | Damaged | NotReached
+ReadFailure = NotFound | DamagedObject | NotReached
 
 
 async def read_bundle(
     store: interface.ObjectStore, manifest: Manifest
-) -> Bundle | Unreadable:
+) -> Bundle | ReadFailure:
     """Reads every part of a bundle."""
     services = []
     for part in manifest.parts:
@@ -31,10 +31,10 @@
 
 async def read_version(
     store: interface.ObjectStore, deployment: str, version: int
-) -> Manifest | Unreadable:
+) -> Manifest | ReadFailure:
     """Follows the parents of the accepted bundle to an earlier version."""
     head = await reading.read_head(store, deployment)
-    if isinstance(head, Damaged | NotReached):
+    if isinstance(head, DamagedObject | NotReached):
         return head
     missing = NotFound(f"accepted version {version}")
     if not isinstance(head, HeadFound):
--- a/banyantiller/bundle/manifest.py
+++ b/banyantiller/bundle/manifest.py
@@ -56,7 +56,7 @@
     value: str
 
 
-class Accepted(NamedTuple):
+class AcceptedBundle(NamedTuple):
     """A bundle that the object API accepted, as daemons pass it on.
 
     Attributes:
--- a/banyantiller/bundle/operators.py
+++ b/banyantiller/bundle/operators.py
@@ -5,7 +5,7 @@
 
 from banyantiller.config.defaults import TrustedKey
 
-Audit = Callable[[str, dict[str, Any]], Awaitable[str]]
+AuditRecorder = Callable[[str, dict[str, Any]], Awaitable[str]]
 """Records an action and its particulars; returns why it failed, or ""."""
 
 
@@ -23,5 +23,5 @@
     name: str
     private: str
     trusted: tuple[TrustedKey, ...]
-    audit: Audit
+    audit: AuditRecorder
     wall: Callable[[], float]
--- a/banyantiller/bundle/outcomes.py
+++ b/banyantiller/bundle/outcomes.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from banyantiller.bundle.manifest import Accepted, Manifest, Signature
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Signature
 from banyantiller.bundle.options import Service
 from banyantiller.store.interface import StoredObject
 
@@ -11,7 +11,7 @@
 class HeadFound:
     """A bundle was accepted; `item` is the object that says so."""
 
-    accepted: Accepted
+    accepted: AcceptedBundle
     digest: str
     item: StoredObject
 
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Damaged:
+class DamagedObject:
     """The object was altered or is not of the expected form.
 
     Attributes:
@@ -137,14 +137,14 @@
         note: What the operator should know besides, or empty.
     """
 
-    accepted: Accepted
+    accepted: AcceptedBundle
     digest: str
     note: str = ""
 
 
-ReadHead = HeadFound | NoHead | Damaged | NotReached
-ReadPart = PartFound | NotFound | Damaged | NotReached
-ReadProposal = ProposalFound | NotFound | Damaged | NotReached
+ReadHead = HeadFound | NoHead | DamagedObject | NotReached
+ReadPart = PartFound | NotFound | DamagedObject | NotReached
+ReadProposal = ProposalFound | NotFound | DamagedObject | NotReached
 ProposeOutcome = Proposed | Refused | NotReached | NotKnown
 SignOutcome = Signed | Refused | NotReached | NotKnown
 RollOutcome = Rolled | Lost | OutOfDate | Refused | NotReached | NotKnown
--- a/banyantiller/bundle/plain.py
+++ b/banyantiller/bundle/plain.py
@@ -32,29 +32,30 @@
     return value
 
 
-def from_plain(plain: Any, kind: Any, path: str = "") -> Any:
+def from_plain(plain: Any, value_type: Any, path: str = "") -> Any:
     """Builds a typed value.
 
     Args:
         plain: What `to_plain` returned, as JSON carries it.
-        kind: `NamedTuple` type, `tuple[X, ...]`, `X | None` or a scalar type.
+        value_type: `NamedTuple` type, `tuple[X, ...]`, `X | None` or a scalar
+            type.
         path: Path of the value for messages.
 
     Raises:
         PlainError: A field is unknown, missing or of the wrong type.
     """
-    if kind in SCALARS:
-        return _scalar(plain, kind, path)
-    if fields.is_group(kind):
-        return _group(plain, kind, path)
-    if typing.get_origin(kind) is typing.Annotated:
-        return from_plain(plain, typing.get_args(kind)[0], path)
-    optional = fields.optional_of(kind)
+    if value_type in SCALARS:
+        return _check_scalar(plain, value_type, path)
+    if fields.is_group(value_type):
+        return _build_group(plain, value_type, path)
+    if typing.get_origin(value_type) is typing.Annotated:
+        return from_plain(plain, typing.get_args(value_type)[0], path)
+    optional = fields.optional_of(value_type)
     if optional is not None:
         return None if plain is None else from_plain(plain, optional, path)
     if not isinstance(plain, list):
         raise PlainError(f"{path} is not a list")
-    item = fields.item_of(kind)
+    item = fields.item_of(value_type)
     return tuple(
         from_plain(child, item, f"{path}[{index}]")
         for index, child in enumerate(plain)
@@ -62,14 +63,14 @@
 
 
 @functools.cache
-def _hints(kind: type) -> dict[str, Any]:
-    return typing.get_type_hints(kind)
+def _type_hints(value_type: type) -> dict[str, Any]:
+    return typing.get_type_hints(value_type)
 
 
-def _group(plain: Any, kind: Any, path: str) -> Any:
+def _build_group(plain: Any, value_type: Any, path: str) -> Any:
     if not isinstance(plain, dict):
         raise PlainError(f"{path or 'the value'} is not an object")
-    hints = _hints(kind)
+    hints = _type_hints(value_type)
     unknown = plain.keys() - hints.keys()
     if unknown:
         raise PlainError(f"{path}.{min(unknown)} is not known here")
@@ -77,14 +78,14 @@
     for name, hint in hints.items():
         if name in plain:
             values[name] = from_plain(plain[name], hint, f"{path}.{name}")
-        elif name not in kind._field_defaults:
+        elif name not in value_type._field_defaults:
             raise PlainError(f"{path}.{name} is missing")
-    return kind(**values)
+    return value_type(**values)
 
 
-def _scalar(plain: Any, kind: type, path: str) -> Any:
-    if kind is float and type(plain) is int:
+def _check_scalar(plain: Any, value_type: type, path: str) -> Any:
+    if value_type is float and type(plain) is int:
         return float(plain)
-    if type(plain) is not kind:
-        raise PlainError(f"{path} is not of type {kind.__name__}")
+    if type(plain) is not value_type:
+        raise PlainError(f"{path} is not of type {value_type.__name__}")
     return plain
--- a/banyantiller/bundle/proposals.py
+++ b/banyantiller/bundle/proposals.py
@@ -13,7 +13,7 @@
 from banyantiller.bundle.operators import Operator
 from banyantiller.bundle.options import Bundle
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     NotKnown,
     NotReached,
     Proposed,
@@ -50,7 +50,7 @@
     head = await reading.read_head(store, deployment)
     if isinstance(head, NotReached):
         return head
-    base = reading.Base.from_head(head)
+    base = reading.ProposalBase.from_head(head)
     parts = canonical.split(bundle)
     manifest = Manifest(
         deployment=deployment,
@@ -64,16 +64,16 @@
         operator.private, operator.name, signing.PROPOSE, manifest
     )
     now = operator.wall()
-    reasons = _reasons(manifest, signature, operator, now)
+    reasons = _find_refusal_reasons(manifest, signature, operator, now)
     if reasons:
         return Refused(reasons)
-    failed = await _store_parts(store, parts, set(base.parts), now)
-    if failed is not None:
-        return failed
+    failure = await _store_parts(store, parts, set(base.parts), now)
+    if failure is not None:
+        return failure
     return await _store_proposal(store, manifest, signature, operator, now)
 
 
-def _reasons(
+def _find_refusal_reasons(
     manifest: Manifest, signature: Signature, operator: Operator, now: float
 ) -> tuple[str, ...]:
     """Lists why daemons would refuse the proposal even if another signs it."""
@@ -85,7 +85,7 @@
     )
 
 
-def _next_version(base: reading.Base, floor: int) -> int:
+def _next_version(base: reading.ProposalBase, floor: int) -> int:
     # Version 1 is only for a bundle without a parent.
     lowest = 1 if base.digest else 0
     return max(base.version, floor, lowest) + 1
@@ -94,19 +94,19 @@
 async def _store_parts(
     store: interface.ObjectStore,
     parts: dict[str, tuple[Part, bytes]],
-    known: set[Part],
+    stored: set[Part],
     now: float,
 ) -> Refused | NotReached | NotKnown | None:
     for part, data in parts.values():
-        if part in known:
+        if part in stored:
             continue
         value = reading.part_value(part, data, now)
-        if writing.value_size(value) > interface.MAX_VALUE_BYTES:
+        if writing.json_size(value) > interface.MAX_VALUE_BYTES:
             message = f"Service '{part.service}' is too large for one object."
             return Refused((message,))
-        failed = await _store_part(store, part, value)
-        if failed is not None:
-            return failed
+        failure = await _store_part(store, part, value)
+        if failure is not None:
+            return failure
     return None
 
 
@@ -114,8 +114,8 @@
     store: interface.ObjectStore, part: Part, value: dict[str, Any]
 ) -> Refused | NotReached | NotKnown | None:
     """Stores a part, or renews an old one so that nobody prunes it."""
-    for _ in writing.pauses():
-        item = await writing.ensure(
+    for _ in writing.retry_pauses():
+        item = await writing.ensure_exists(
             store,
             reading.PARTS,
             part.digest,
@@ -123,7 +123,7 @@
             {"service": part.service},
             lambda item: item.value.get("data") == value["data"],
         )
-        if isinstance(item, Damaged):
+        if isinstance(item, DamagedObject):
             return Refused((item.reason,))
         if isinstance(item, NotReached | NotKnown):
             return item
@@ -143,11 +143,11 @@
 ) -> ProposeOutcome:
     digest = canonical.manifest_digest(manifest)
     detail = {"digest": digest, "version": manifest.version}
-    failed = await operator.audit("propose", detail)
-    if failed:
-        return NotReached(failed)
+    failure = await operator.audit("propose", detail)
+    if failure:
+        return NotReached(failure)
     value = reading.proposal_value(manifest, (signature,), now)
-    outcome = await writing.ensure(
+    outcome = await writing.ensure_exists(
         store,
         reading.PROPOSALS,
         reading.proposal_name(manifest.deployment, digest),
@@ -155,7 +155,7 @@
         {"deployment": manifest.deployment},
         lambda item: item.value.get("manifest") == value["manifest"],
     )
-    if isinstance(outcome, Damaged):
+    if isinstance(outcome, DamagedObject):
         return Refused((outcome.reason,))
     if isinstance(outcome, NotReached | NotKnown):
         return outcome
--- a/banyantiller/bundle/reading.py
+++ b/banyantiller/bundle/reading.py
@@ -3,9 +3,14 @@
 from typing import Any, NamedTuple
 
 from banyantiller.bundle import canonical, plain
-from banyantiller.bundle.manifest import Accepted, Manifest, Part, Signature
+from banyantiller.bundle.manifest import (
+    AcceptedBundle,
+    Manifest,
+    Part,
+    Signature,
+)
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     HeadFound,
     NoHead,
     NotFound,
@@ -22,7 +27,7 @@
 PARTS = "bundleparts"
 PROPOSALS = "bundleproposals"
 
-SHORT_DIGEST = 32
+SHORT_DIGEST_CHARS = 32
 MAX_SIGNATURES = 16
 
 
@@ -36,17 +41,17 @@
     return decode_head(outcome.item)
 
 
-def decode_head(item: interface.StoredObject) -> HeadFound | Damaged:
+def decode_head(item: interface.StoredObject) -> HeadFound | DamagedObject:
     """Decodes a head object, as a read or a watch delivered it."""
     try:
-        accepted = canonical.decode_accepted(_bytes(item, "accepted"))
+        accepted = canonical.decode_accepted(_field_bytes(item, "accepted"))
     except canonical.CanonicalError as error:
-        return Damaged(f"The accepted bundle is damaged: {error}.", item)
+        return DamagedObject(f"The accepted bundle is damaged: {error}.", item)
     digest = canonical.manifest_digest(accepted.manifest)
     return HeadFound(accepted, digest, item)
 
 
-def head_value(accepted: Accepted) -> dict[str, Any]:
+def head_value(accepted: AcceptedBundle) -> dict[str, Any]:
     """Builds the value of a head; all but "accepted" is for readers."""
     return {
         "accepted": canonical.encode_accepted(accepted).decode(),
@@ -55,7 +60,7 @@
     }
 
 
-class Base(NamedTuple):
+class ProposalBase(NamedTuple):
     """What a next bundle follows.
 
     Attributes:
@@ -73,7 +78,9 @@
     item: interface.StoredObject | None = None
 
     @classmethod
-    def from_head(cls, head: HeadFound | NoHead | Damaged) -> "Base":
+    def from_head(
+        cls, head: HeadFound | NoHead | DamagedObject
+    ) -> "ProposalBase":
         """Takes what a read of the head found.
 
         A head that is damaged can be followed too, by the digest of what
@@ -102,12 +109,12 @@
     if isinstance(outcome, interface.Unavailable):
         return NotReached(outcome.reason)
     if isinstance(outcome, interface.Missing):
-        return NotFound(f"part {part.digest[:SHORT_DIGEST]}")
+        return NotFound(f"part {part.digest[:SHORT_DIGEST_CHARS]}")
     try:
-        data = _bytes(outcome.item, "data")
+        data = _field_bytes(outcome.item, "data")
         return PartFound(canonical.decode_part(data, part), data)
     except canonical.CanonicalError as error:
-        return Damaged(f"A part is damaged: {error}.")
+        return DamagedObject(f"A part is damaged: {error}.")
 
 
 def part_value(part: Part, data: bytes, stored_at: float) -> dict[str, Any]:
@@ -127,7 +134,7 @@
 
 def proposal_name(deployment: str, digest: str) -> str:
     """Returns the name of a proposal object."""
-    return f"{deployment}.{digest[:SHORT_DIGEST]}"
+    return f"{deployment}.{digest[:SHORT_DIGEST_CHARS]}"
 
 
 def proposal_value(
@@ -149,19 +156,19 @@
     if isinstance(outcome, interface.Unavailable):
         return NotReached(outcome.reason)
     if isinstance(outcome, interface.Missing):
-        return NotFound(f"proposal {digest[:SHORT_DIGEST]}")
+        return NotFound(f"proposal {digest[:SHORT_DIGEST_CHARS]}")
     found = decode_proposal(outcome.item)
     if isinstance(found, ProposalFound) and not found.digest.startswith(digest):
-        return Damaged("The proposal's manifest was altered.")
+        return DamagedObject("The proposal's manifest was altered.")
     return found
 
 
 def decode_proposal(
     item: interface.StoredObject,
-) -> ProposalFound | Damaged:
+) -> ProposalFound | DamagedObject:
     """Decodes a proposal object; its signatures are not verified here."""
     try:
-        manifest = canonical.decode_manifest(_bytes(item, "manifest"))
+        manifest = canonical.decode_manifest(_field_bytes(item, "manifest"))
         signatures = plain.from_plain(
             item.value.get("signatures"), tuple[Signature, ...], "signatures"
         )
@@ -169,12 +176,12 @@
             item.value.get("proposed_at"), float, "proposed_at"
         )
     except ValueError as error:
-        return Damaged(f"The proposal is damaged: {error}.")
+        return DamagedObject(f"The proposal is damaged: {error}.")
     digest = canonical.manifest_digest(manifest)
     return ProposalFound(manifest, digest, signatures, proposed_at, item)
 
 
-def _bytes(item: interface.StoredObject, field: str) -> bytes:
+def _field_bytes(item: interface.StoredObject, field: str) -> bytes:
     text = item.value.get(field)
     if not isinstance(text, str):
         raise canonical.CanonicalError(f"'{field}' is missing")
--- a/banyantiller/bundle/retention.py
+++ b/banyantiller/bundle/retention.py
@@ -13,7 +13,7 @@
 from banyantiller.bundle.manifest import Manifest
 from banyantiller.bundle.operators import Operator
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     HeadFound,
     NoHead,
     NotReached,
@@ -23,11 +23,11 @@
 from banyantiller.store import interface
 
 MIN_AGE_S = 86400.0
-LEAST_VERSIONS = 2
+MIN_VERSIONS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pruned:
+class PruneResult:
     """What was deleted, or would be.
 
     Attributes:
@@ -41,7 +41,7 @@
     failed: int = 0
 
 
-PruneOutcome = Pruned | Refused | NotReached
+PruneOutcome = PruneResult | Refused | NotReached
 
 
 async def prune(
@@ -60,14 +60,14 @@
         operator: Who prunes.
         dry_run: Only tell what would be deleted.
     """
-    if versions < LEAST_VERSIONS:
-        return Refused((f"Keep at least {LEAST_VERSIONS} versions.",))
+    if versions < MIN_VERSIONS:
+        return Refused((f"Keep at least {MIN_VERSIONS} versions.",))
     head = await reading.read_head(store, deployment)
     if isinstance(head, NotReached):
         return head
     if isinstance(head, NoHead):
         return Refused(("No bundle was accepted yet.",))
-    if isinstance(head, Damaged):
+    if isinstance(head, DamagedObject):
         return Refused((head.reason,))
     parts = await store.list(reading.PARTS)
     proposals = await store.list(reading.PROPOSALS, {"deployment": deployment})
@@ -75,11 +75,13 @@
         if isinstance(listed, interface.Unavailable):
             return NotReached(listed.reason)
     before = operator.wall() - MIN_AGE_S
-    unneeded = _choose(head, proposals.items, parts.items, versions, before)
+    unneeded = _select_unneeded(
+        head, proposals.items, parts.items, versions, before
+    )
     return await _delete(store, unneeded, operator, dry_run)
 
 
-def _choose(
+def _select_unneeded(
     head: HeadFound,
     proposals: tuple[interface.StoredObject, ...],
     parts: tuple[interface.StoredObject, ...],
@@ -89,7 +91,7 @@
     """Returns what is older than `before` and not needed any more."""
     decoded = [reading.decode_proposal(item) for item in proposals]
     found = [item for item in decoded if isinstance(item, ProposalFound)]
-    kept = _accepted(head, found, versions)
+    kept = _latest_accepted(head, found, versions)
     for item in found:
         if item.manifest.parent == head.digest or item.proposed_at > before:
             kept[item.digest] = item.manifest
@@ -104,7 +106,7 @@
     ]
 
 
-def _accepted(
+def _latest_accepted(
     head: HeadFound, found: list[ProposalFound], versions: int
 ) -> dict[str, Manifest]:
     """Returns the latest accepted manifests by digest."""
@@ -131,12 +133,12 @@
         kind: tuple(item.name for item in unneeded if item.kind == kind)
         for kind in (reading.PROPOSALS, reading.PARTS)
     }
-    chosen = Pruned(names[reading.PROPOSALS], names[reading.PARTS])
+    result = PruneResult(names[reading.PROPOSALS], names[reading.PARTS])
     if dry_run or not unneeded:
-        return chosen
+        return result
     detail: dict[str, Any] = {
-        "proposals": len(chosen.proposals),
-        "parts": len(chosen.parts),
+        "proposals": len(result.proposals),
+        "parts": len(result.parts),
     }
     failure = await operator.audit("prune", detail)
     if failure:
@@ -146,4 +148,4 @@
         outcome = await store.delete(item)
         done = isinstance(outcome, interface.Found | interface.Missing)
         failed += 0 if done else 1
-    return dataclasses.replace(chosen, failed=failed)
+    return dataclasses.replace(result, failed=failed)
--- a/banyantiller/bundle/validity.py
+++ b/banyantiller/bundle/validity.py
@@ -10,9 +10,9 @@
 from banyantiller.config.problems import Problems
 
 
-def faults(bundle: Bundle) -> tuple[str, ...]:
+def find_errors(bundle: Bundle) -> tuple[str, ...]:
     """Lists what is wrong with a bundle: single values, then consistency."""
-    found = tuple(_walk(bundle, fields.NO_OPTION, ""))
+    found = tuple(_check_values(bundle, fields.NO_OPTION, ""))
     if found:
         return found
     problems = Problems("")
@@ -20,17 +20,19 @@
     return tuple(f"{item.path}: {item.message}" for item in problems.errors())
 
 
-def _walk(value: Any, option: Option, path: str) -> Iterator[str]:
+def _check_values(value: Any, option: Option, path: str) -> Iterator[str]:
     if fields.is_group(type(value)):
         for field in fields.fields_of(type(value)):
             where = f"{path}.{field.name}" if path else field.name
-            yield from _walk(getattr(value, field.name), field.option, where)
+            yield from _check_values(
+                getattr(value, field.name), field.option, where
+            )
     elif isinstance(value, tuple):
         if option.most is not None and len(value) > option.most:
             yield f"{path}: {len(value)} items are more than {option.most}."
         for index, item in enumerate(value):
-            yield from _walk(item, option, f"{path}[{index}]")
+            yield from _check_values(item, option, f"{path}[{index}]")
     elif value is not None:
-        message = bounds.fault(value, option)
+        message = bounds.find_error(value, option)
         if message:
             yield f"{path}: {message}"
--- a/banyantiller/bundle/verification.py
+++ b/banyantiller/bundle/verification.py
@@ -9,14 +9,14 @@
 import datetime
 
 from banyantiller.bundle import canonical, signing
-from banyantiller.bundle.manifest import Accepted, Manifest, Signature
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Signature
 from banyantiller.config.defaults import TrustedKey
 
 SECONDS_PER_DAY = 86400.0
 
 
 def verify(
-    accepted: Accepted,
+    accepted: AcceptedBundle,
     trusted: tuple[TrustedKey, ...],
     deployment: str,
     wall_now: float,
@@ -81,18 +81,20 @@
         trusted: Keys of operators.
         at: Wall-clock seconds at which the keys have to be valid.
     """
-    proposing = check_proposer(manifest, signatures, trusted, at)
-    if proposing:
-        return proposing
+    proposer_reasons = check_proposer(manifest, signatures, trusted, at)
+    if proposer_reasons:
+        return proposer_reasons
     proposer_keys = [
         key.public_key for key in trusted if key.name == manifest.proposer
     ]
-    second = [item for item in signatures if item.role == signing.SIGN]
-    if not second:
+    second_signatures = [
+        item for item in signatures if item.role == signing.SIGN
+    ]
+    if not second_signatures:
         return ("The bundle is not signed by a second operator.",)
     reasons = []
-    for signature in second:
-        reason = signature_fault(
+    for signature in second_signatures:
+        reason = find_signature_error(
             manifest, signature, trusted, at, proposer_keys
         )
         if not reason:
@@ -114,14 +116,14 @@
             continue
         if signature.operator != manifest.proposer:
             continue
-        reason = signature_fault(manifest, signature, trusted, at)
+        reason = find_signature_error(manifest, signature, trusted, at)
         if not reason:
             return ()
         reasons.append(reason)
     return tuple(reasons) or ("The bundle is not signed by its proposer.",)
 
 
-def signature_fault(
+def find_signature_error(
     manifest: Manifest,
     signature: Signature,
     trusted: tuple[TrustedKey, ...],
@@ -141,22 +143,22 @@
     operator = signature.operator
     if signature.role == signing.SIGN and operator == manifest.proposer:
         return f"The proposer '{operator}' also signed the bundle."
-    named = [key for key in trusted if key.name == operator]
-    if not named:
+    operator_keys = [key for key in trusted if key.name == operator]
+    if not operator_keys:
         return f"No key of operator '{operator}' is trusted."
-    allowed = [key for key in named if signature.role in key.roles]
+    allowed = [key for key in operator_keys if signature.role in key.roles]
     if not allowed:
         return f"Operator '{operator}' may not {signature.role}."
-    fitting = [
+    matching = [
         key
         for key in allowed
         if signing.is_valid(key.public_key, signature, manifest)
     ]
-    if not fitting:
+    if not matching:
         return f"The signature of '{operator}' does not fit the bundle."
-    if all(key.public_key in (proposer_keys or ()) for key in fitting):
+    if all(key.public_key in (proposer_keys or ()) for key in matching):
         return f"Operator '{operator}' signed with a key of the proposer."
-    if all(is_expired(key, at) for key in fitting):
+    if all(is_expired(key, at) for key in matching):
         return f"The key of operator '{operator}' has expired."
     return ""
 
@@ -166,5 +168,5 @@
     if not key.not_after:
         return False
     last = datetime.datetime.fromisoformat(key.not_after)
-    ends = last.replace(tzinfo=datetime.UTC).timestamp() + SECONDS_PER_DAY
-    return at >= ends
+    expires_at = last.replace(tzinfo=datetime.UTC).timestamp() + SECONDS_PER_DAY
+    return at >= expires_at
--- a/banyantiller/bundle/writing.py
+++ b/banyantiller/bundle/writing.py
@@ -5,25 +5,25 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from banyantiller.bundle.outcomes import Damaged, NotKnown, NotReached
+from banyantiller.bundle.outcomes import DamagedObject, NotKnown, NotReached
 from banyantiller.store import interface
 
 WriteOutcome = interface.CreateOutcome | interface.UpdateOutcome
 
-MOST_TRIES = 6
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 1.0
+MAX_ATTEMPTS = 6
+INITIAL_PAUSE_S = 0.1
+MAX_PAUSE_S = 1.0
 
 
-def pauses() -> Iterator[float]:
+def retry_pauses() -> Iterator[float]:
     """Yields the pause after each try, `MOST_TRIES` times."""
-    pause = FIRST_PAUSE_S
-    for _ in range(MOST_TRIES):
+    pause = INITIAL_PAUSE_S
+    for _ in range(MAX_ATTEMPTS):
         yield pause
-        pause = min(pause * 2, LONGEST_PAUSE_S)
+        pause = min(pause * 2, MAX_PAUSE_S)
 
 
-class FailedTries:
+class FailedAttempts:
     """What the failed tries of one write leave open.
 
     Attributes:
@@ -32,44 +32,46 @@
     """
 
     def __init__(self) -> None:
-        self.unsure = False
+        self.may_have_written = False
         self.reason = ""
 
-    def add(self, outcome: WriteOutcome, otherwise: str) -> None:
-        """Takes the outcome of a try.
+    def record(self, outcome: WriteOutcome, default_reason: str) -> None:
+        """Records the outcome of one failed attempt.
 
         Args:
-            outcome: What the object API answered.
-            otherwise: Reason if the answer carries none.
+            outcome: Outcome that the store returned.
+            default_reason: Reason to report if the outcome carries none.
         """
-        self.unsure = self.unsure or isinstance(outcome, interface.Unknown)
-        self.reason = getattr(outcome, "reason", otherwise)
+        self.may_have_written = self.may_have_written or isinstance(
+            outcome, interface.Unknown
+        )
+        self.reason = getattr(outcome, "reason", default_reason)
 
     def outcome(self) -> NotKnown | NotReached:
         """Returns the outcome when there are no more tries."""
-        if self.unsure:
+        if self.may_have_written:
             return NotKnown(self.reason)
         return NotReached(self.reason)
 
 
-def value_size(value: dict[str, Any]) -> int:
+def json_size(value: dict[str, Any]) -> int:
     """Returns the most bytes that a value takes as JSON."""
     return len(json.dumps(value, separators=(",", ":")))
 
 
-async def ensure(
+async def ensure_exists(
     store: interface.ObjectStore,
-    kind: str,
+    object_kind: str,
     name: str,
     value: dict[str, Any],
     labels: dict[str, str],
     is_same: Callable[[interface.StoredObject], bool],
-) -> interface.StoredObject | Damaged | NotReached | NotKnown:
+) -> interface.StoredObject | DamagedObject | NotReached | NotKnown:
     """Creates an object unless the same one exists already.
 
     Args:
         store: The object API.
-        kind: Kind of the object.
+        object_kind: Kind of the object.
         name: Its name, which follows from its content.
         value: Its value.
         labels: Its labels.
@@ -78,16 +80,16 @@
     Returns:
         The object; `Damaged` if another one has its name.
     """
-    tries = FailedTries()
-    for pause in pauses():
-        outcome = await store.create(kind, name, value, labels)
+    attempts = FailedAttempts()
+    for pause in retry_pauses():
+        outcome = await store.create(object_kind, name, value, labels)
         if isinstance(outcome, interface.Found):
             return outcome.item
-        tries.add(outcome, "it exists, but cannot be read")
-        read = await store.get(kind, name)
+        attempts.record(outcome, "it exists, but cannot be read")
+        read = await store.get(object_kind, name)
         if isinstance(read, interface.Found):
             if is_same(read.item):
                 return read.item
-            return Damaged(f"Another object has the name '{name}'.")
+            return DamagedObject(f"Another object has the name '{name}'.")
         await asyncio.sleep(pause)
-    return tries.outcome()
+    return attempts.outcome()
--- a/banyantiller/claims/arbiter.py
+++ b/banyantiller/claims/arbiter.py
@@ -48,7 +48,7 @@
         deployment: str,
         daemon: str,
         wall: Callable[[], float],
-        nonce: nonces.NonceSource = nonces.of_128_bits,
+        nonce: nonces.NonceSource = nonces.random_128_bits,
     ) -> None:
         self.store = store
         self.deployment = deployment
@@ -72,7 +72,7 @@
         deployment: str,
         daemon: str,
         wall: Callable[[], float],
-        nonce: nonces.NonceSource = nonces.of_128_bits,
+        nonce: nonces.NonceSource = nonces.random_128_bits,
     ) -> "StoreClaims":
         """Constructs the claims of one daemon.
 
--- a/banyantiller/commands/failures.py
+++ b/banyantiller/commands/failures.py
@@ -5,7 +5,7 @@
 from banyantiller import exceptions
 from banyantiller.bundle import descriptions
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     Lost,
     NotFound,
     NotKnown,
@@ -16,7 +16,7 @@
 
 ERRORS: dict[type, type[exceptions.BanyantillerError]] = {
     Refused: exceptions.SignatureError,
-    Damaged: exceptions.SignatureError,
+    DamagedObject: exceptions.SignatureError,
     Lost: exceptions.ConflictError,
     OutOfDate: exceptions.ConflictError,
     NotReached: exceptions.StoreError,
--- a/banyantiller/commands/prune.py
+++ b/banyantiller/commands/prune.py
@@ -33,14 +33,14 @@
             session.operator(),
             dry_run,
         )
-        pruned = failures.expect(outcome, retention.Pruned)
+        pruned = failures.expect(outcome, retention.PruneResult)
         output.emit(json, _data(pruned, dry_run), [_line(pruned, dry_run)])
         return 0
 
     return context.run(settings, body)
 
 
-def _data(pruned: retention.Pruned, dry_run: bool) -> dict[str, Any]:
+def _data(pruned: retention.PruneResult, dry_run: bool) -> dict[str, Any]:
     return {
         "dry_run": dry_run,
         "proposals": pruned.proposals,
@@ -49,7 +49,7 @@
     }
 
 
-def _line(pruned: retention.Pruned, dry_run: bool) -> str:
+def _line(pruned: retention.PruneResult, dry_run: bool) -> str:
     verb = "Would delete" if dry_run else "Deleted"
     return (
         f"{verb} {len(pruned.proposals)} proposals and"
--- a/banyantiller/commands/references.py
+++ b/banyantiller/commands/references.py
@@ -14,7 +14,7 @@
 from banyantiller.bundle.manifest import Manifest, Signature
 from banyantiller.bundle.options import Bundle
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     HeadFound,
     NotReached,
     ProposalFound,
@@ -55,7 +55,7 @@
         doubts: Why daemons refuse it; empty if they take it.
     """
 
-    base: reading.Base
+    base: reading.ProposalBase
     head: HeadFound | None
     doubts: tuple[str, ...]
 
@@ -69,8 +69,8 @@
     found = await reading.read_head(session.store, session.deployment)
     if isinstance(found, NotReached):
         failures.raise_for(found)
-    base = reading.Base.from_head(found)
-    if isinstance(found, Damaged):
+    base = reading.ProposalBase.from_head(found)
+    if isinstance(found, DamagedObject):
         return View(base, None, (REFUSED, found.reason))
     if not isinstance(found, HeadFound):
         return View(base, None, ())
@@ -122,7 +122,7 @@
         raise exceptions.BanyantillerError(
             f"Give at least {SHORTEST_DIGEST} digits of the digest."
         )
-    if len(prefix) >= reading.SHORT_DIGEST:
+    if len(prefix) >= reading.SHORT_DIGEST_CHARS:
         found = await reading.read_proposal(
             session.store, session.deployment, prefix
         )
--- a/banyantiller/config/bounds.py
+++ b/banyantiller/config/bounds.py
@@ -8,10 +8,10 @@
 from banyantiller.config.problems import suggestion
 
 
-def fault(value: Any, option: Option) -> str:
+def find_error(value: Any, option: Option) -> str:
     """Returns what is wrong with a scalar under an option, or nothing."""
     if isinstance(value, str):
-        return _text_fault(value, option)
+        return _find_text_error(value, option)
     if isinstance(value, bool):
         return ""
     unit = f" {option.unit}" if option.unit else ""
@@ -22,12 +22,12 @@
     return ""
 
 
-def _text_fault(value: str, option: Option) -> str:
+def _find_text_error(value: str, option: Option) -> str:
     if option.choices and value not in option.choices:
         allowed = ", ".join(option.choices)
         near = suggestion(value, option.choices)
         return f"'{value}' is not one of {allowed}.{near}"
     if option.pattern and not re.fullmatch(option.pattern, value):
         return f"'{value}' does not match the form {option.pattern}."
-    wrong = checks.CHECKS[option.check](value) if option.check else ""
-    return f"'{value}' {wrong}." if wrong else ""
+    error = checks.CHECKS[option.check](value) if option.check else ""
+    return f"'{value}' {error}." if error else ""
--- a/banyantiller/config/loading.py
+++ b/banyantiller/config/loading.py
@@ -36,11 +36,11 @@
     """
     problems = Problems(file)
     root = documents.compose(text, file)
-    value = _Walk(problems).build(root, kind, fields.NO_OPTION, "")
+    value = _Builder(problems).build(root, kind, fields.NO_OPTION, "")
     return (None if value is _INVALID else value), problems
 
 
-class _Walk:
+class _Builder:
     """Builds typed values from nodes; counts values so aliases stay bounded."""
 
     def __init__(self, problems: Problems) -> None:
@@ -61,26 +61,26 @@
                 return None
             return self.build(node, inner, option, path)
         if fields.is_group(kind):
-            return self._group(node, kind, path)
+            return self._build_group(node, kind, path)
         item = fields.item_of(kind)
         if item is not None:
-            return self._list(node, item, option, path)
-        return self._scalar(node, kind, option, path)
+            return self._build_list(node, item, option, path)
+        return self._build_scalar(node, kind, option, path)
 
-    def _group(self, node: yaml.Node, kind: type, path: str):
+    def _build_group(self, node: yaml.Node, kind: type, path: str):
         if not isinstance(node, yaml.MappingNode):
-            return self._wrong(node, "a mapping", path)
+            return self._report_wrong_type(node, "a mapping", path)
         known = {field.name: field for field in fields.fields_of(kind)}
-        nodes = self._keys(node, known, path)
+        nodes = self._index_keys(node, known, path)
         values = {
-            name: self._field(node, nodes.get(name), field, path)
+            name: self._build_field(node, nodes.get(name), field, path)
             for name, field in known.items()
         }
         if any(value is _INVALID for value in values.values()):
             return _INVALID
         return kind(**values)
 
-    def _field(
+    def _build_field(
         self, parent: yaml.Node, node: yaml.Node | None, field: Field, path: str
     ):
         where = _join(path, field.name)
@@ -95,7 +95,7 @@
             return _INVALID
         return field.default
 
-    def _keys(
+    def _index_keys(
         self, node: yaml.MappingNode, known: dict[str, Field], path: str
     ) -> dict[str, yaml.Node]:
         nodes: dict[str, yaml.Node] = {}
@@ -115,37 +115,43 @@
             seen.add(name)
         return nodes
 
-    def _list(self, node: yaml.Node, item: Any, option: Option, path: str):
+    def _build_list(
+        self, node: yaml.Node, item: Any, option: Option, path: str
+    ):
         if not isinstance(node, yaml.SequenceNode):
-            return self._wrong(node, "a list", path)
+            return self._report_wrong_type(node, "a list", path)
         if option.most is not None and len(node.value) > option.most:
             message = f"{len(node.value)} items are more than {option.most}."
             self.problems.error(path, message)
             return _INVALID
-        inner, own = fields.unwrap(item)
-        single = option if own is fields.NO_OPTION else own
+        inner, item_option = fields.unwrap(item)
+        applied = option if item_option is fields.NO_OPTION else item_option
         built = [
-            self.build(child, inner, single, f"{path}[{index}]")
+            self.build(child, inner, applied, f"{path}[{index}]")
             for index, child in enumerate(node.value)
         ]
         return tuple(None if value is _INVALID else value for value in built)
 
-    def _scalar(self, node: yaml.Node, kind: type, option: Option, path: str):
+    def _build_scalar(
+        self, node: yaml.Node, kind: type, option: Option, path: str
+    ):
         value = scalars.READERS[kind](node)
         if value is None:
-            return self._wrong(node, scalars.EXPECTED[kind], path)
-        message = bounds.fault(value, option)
+            return self._report_wrong_type(node, scalars.EXPECTED[kind], path)
+        message = bounds.find_error(value, option)
         if message:
             self.problems.error(path, message)
             return _INVALID
         return value
 
-    def _wrong(self, node: yaml.Node, wanted: str, path: str) -> _Invalid:
+    def _report_wrong_type(
+        self, node: yaml.Node, expected: str, path: str
+    ) -> _Invalid:
         hint = ""
-        if wanted == scalars.EXPECTED[str] and scalars.is_unquoted(node):
+        if expected == scalars.EXPECTED[str] and scalars.is_unquoted(node):
             hint = " Put it in quotes."
         found = scalars.describe(node)
-        message = f"Expected {wanted}, found {found}.{hint}"
+        message = f"Expected {expected}, found {found}.{hint}"
         self.problems.error(path, message)
         return _INVALID
 
--- a/banyantiller/config/scalars.py
+++ b/banyantiller/config/scalars.py
@@ -10,8 +10,8 @@
 
 import yaml
 
-MOST_DIGITS = 19
-LARGEST_NUMBER = 1e300
+MAX_DIGITS = 19
+MAX_NUMBER = 1e300
 
 TAG_PREFIX = "tag:yaml.org,2002:"
 INTEGER = re.compile(r"[-+]?(0|[1-9][0-9_]*)")
@@ -65,7 +65,7 @@
     if tag(node) != "int" or not INTEGER.fullmatch(node.value):
         return None
     digits = node.value.replace("_", "")
-    return int(digits) if len(digits) <= MOST_DIGITS else None
+    return int(digits) if len(digits) <= MAX_DIGITS else None
 
 
 def read_number(node: yaml.Node) -> float | None:
@@ -73,10 +73,10 @@
     if not is_unquoted(node) or not NUMBER.fullmatch(node.value):
         return None
     value = float(node.value)
-    return value if abs(value) < LARGEST_NUMBER else None
+    return value if abs(value) < MAX_NUMBER else None
 
 
-def read_truth(node: yaml.Node) -> bool | None:
+def read_boolean(node: yaml.Node) -> bool | None:
     """Reads true or false."""
     if tag(node) != "bool":
         return None
@@ -87,7 +87,7 @@
     str: read_text,
     int: read_integer,
     float: read_number,
-    bool: read_truth,
+    bool: read_boolean,
 }
 EXPECTED = {
     str: "text",
--- a/banyantiller/config/settings.py
+++ b/banyantiller/config/settings.py
@@ -13,7 +13,7 @@
 )
 from banyantiller.config.problems import Problem, Problems
 
-SHORTEST_SECRET = 16
+MIN_SECRET_CHARS = 16
 
 
 def load(path: str) -> Settings:
@@ -123,8 +123,8 @@
     if peers.tls is not None and not peers.tls.trust:
         message = "Peers verify each other, so 'trust' is required here."
         problems.error("peers.tls", message)
-    if peers.secret and len(peers.secret) < SHORTEST_SECRET:
-        message = f"It is shorter than {SHORTEST_SECRET} characters."
+    if peers.secret and len(peers.secret) < MIN_SECRET_CHARS:
+        message = f"It is shorter than {MIN_SECRET_CHARS} characters."
         problems.warn("peers.secret", message)
     if peers.suspect_s <= peers.heartbeat_s:
         message = f"It must be above heartbeat_s, {peers.heartbeat_s:g} s."
--- a/banyantiller/daemon/leaving_servers.py
+++ b/banyantiller/daemon/leaving_servers.py
@@ -87,13 +87,13 @@
     assert daemon.settings.vm_list is not None
     while True:
         listed = await daemon.vms.read()
-        if isinstance(listed, interface.VmsListed):
+        if isinstance(listed, interface.VmListing):
             _hint_peers(daemon, listed)
             part.take_list(listed)
         await asyncio.sleep(daemon.settings.vm_list.period_s)
 
 
-def _hint_peers(daemon: "assembly.Daemon", listed: interface.VmsListed) -> None:
+def _hint_peers(daemon: "assembly.Daemon", listed: interface.VmListing) -> None:
     # All daemons of a fleet listen for peers on one port, each on its VM.
     port = daemon.settings.peers.listen.port
     daemon.peers.hint(
--- a/banyantiller/gateway/following.py
+++ b/banyantiller/gateway/following.py
@@ -177,7 +177,7 @@
             self.version = found.version
             for event in found.events:
                 self._take(event)
-            if found.events and not found.second_hand:
+            if found.events and not found.relayed:
                 await asyncio.sleep(
                     began + self.pace.period_s - self.loop.time()
                 )
@@ -187,7 +187,7 @@
         if isinstance(found, interface.Unavailable):
             await self._failed(found)
             return False
-        if not found.second_hand:
+        if not found.relayed:
             self._answered()
         self.handlers.listed(found.items)
         self.version = found.version
@@ -207,6 +207,6 @@
         self.health.failed(self.kind, found.reason, self.loop.time())
         pause_s = self.pause_s * self.random.uniform(0.5, 1.0)
         self.pause_s = min(self.pause_s * 2, LONGEST_PAUSE_S)
-        await asyncio.sleep(min(pause_s, found.again_s))
+        await asyncio.sleep(min(pause_s, found.retry_within_s))
         if not self.leads:
             await self.health.back.wait()
--- a/banyantiller/gateway/peers.py
+++ b/banyantiller/gateway/peers.py
@@ -149,7 +149,7 @@
         self._note_turns(fields, composed_at)
         self.fresh_at = fresh_at
         changes = tuple(_event(kind, item) for item in fields["events"])
-        return interface.Changes(changes, fields["version"], second_hand=True)
+        return interface.Changes(changes, fields["version"], relayed=True)
 
     def place(self, groups: int) -> turns.Place:
         """Returns this daemon's place among those that share with the other.
@@ -196,7 +196,7 @@
             return Refused(RefusalKind.SILENT)
         items = tuple(_stored(kind, item) for item in told.fields["items"])
         version = told.fields["version"]
-        listed = interface.Listed(items, version, second_hand=True)
+        listed = interface.Listed(items, version, relayed=True)
         return ToldList(listed, asked_at - int(age) / 1000, self.address)
 
     async def _ask(
--- a/banyantiller/leaving/task.py
+++ b/banyantiller/leaving/task.py
@@ -121,7 +121,7 @@
                 actions = self.tracker.peer_told_return(key, age_s, now)
             self._act(actions)
 
-    def take_list(self, listed: interface.VmsListed) -> None:
+    def take_list(self, listed: interface.VmListing) -> None:
         """Takes a list if it is newer than those read before."""
         before = self.vms.as_of
         changes = self.vms.observe(listed)
@@ -142,7 +142,7 @@
         """Reads the VM list periodically; a failed read changes nothing."""
         while self.vm_list is not None:
             listed = await self.vm_list.read()
-            if isinstance(listed, interface.VmsListed):
+            if isinstance(listed, interface.VmListing):
                 self.take_list(listed)
             await asyncio.sleep(self.period_s)
 
--- a/banyantiller/leaving/tracker.py
+++ b/banyantiller/leaving/tracker.py
@@ -153,7 +153,7 @@
     ) -> list[Action]:
         """Takes what a newer VM list changed, which may be nothing."""
         self.vms_read_at = now
-        gone = (vm_tracker.Change.LEAVING, vm_tracker.Change.GONE)
+        gone = (vm_tracker.Change.LEAVING, vm_tracker.Change.REMOVED)
         for change in changes:
             if change.change in gone:
                 self.vms_leaving.add(change.vm.name)
--- a/banyantiller/measuring/budget.py
+++ b/banyantiller/measuring/budget.py
@@ -17,8 +17,8 @@
 
 log = structlog.get_logger("banyantiller.measuring")
 
-KIND = "probebudgets"
-PACE_S = 0.25
+OBJECT_KIND = "probebudgets"
+FETCH_PAUSE_S = 0.25
 
 Charger = Callable[[float], bool]
 
@@ -37,7 +37,7 @@
         deployment: str,
         wall: Callable[[], float],
         rng: random.Random,
-        nonce: nonces.NonceSource = nonces.of_64_bits,
+        nonce: nonces.NonceSource = nonces.random_64_bits,
     ) -> None:
         self.store = store
         self.deployment = deployment
@@ -45,7 +45,7 @@
         self.random = rng
         self.nonce = nonce
         self.ledgers: dict[str, permits.Ledger] = {}
-        self.wished = asyncio.Event()
+        self.permits_wanted = asyncio.Event()
 
     @classmethod
     def from_settings(
@@ -54,7 +54,7 @@
         deployment: str,
         daemon: str,
         wall: Callable[[], float],
-        nonce: nonces.NonceSource = nonces.of_64_bits,
+        nonce: nonces.NonceSource = nonces.random_64_bits,
     ) -> "Budget":
         """Constructs the budgets of one daemon.
 
@@ -95,7 +95,7 @@
                 return False
             if ledger.charge(now, self.wall()):
                 return True
-            self.wished.set()
+            self.permits_wanted.set()
             return False
 
         return charge
@@ -103,47 +103,47 @@
     async def run(self) -> None:
         """Takes permits for services that want probes, one call at a time."""
         while True:
-            await self.wished.wait()
-            await asyncio.sleep(PACE_S * self.random.uniform(0.5, 1.5))
+            await self.permits_wanted.wait()
+            await asyncio.sleep(FETCH_PAUSE_S * self.random.uniform(0.5, 1.5))
             now = asyncio.get_running_loop().time()
-            wishing = [
+            wanting = [
                 name
                 for name, ledger in self.ledgers.items()
-                if ledger.wishes(now)
+                if ledger.wants_permits(now)
             ]
-            if not wishing:
-                self.wished.clear()
+            if not wanting:
+                self.permits_wanted.clear()
                 continue
-            due = [n for n in wishing if self.ledgers[n].due <= now]
+            due = [n for n in wanting if self.ledgers[n].next_read_at <= now]
             if due:
-                name = min(due, key=lambda n: self.ledgers[n].due)
-                await self.fetch(name)
+                name = min(due, key=lambda n: self.ledgers[n].next_read_at)
+                await self.fetch_permits(name)
 
-    async def fetch(self, service: str) -> None:
+    async def fetch_permits(self, service: str) -> None:
         """Reads a service's permits and takes some if any are free."""
         ledger = self.ledgers[service]
         loop = asyncio.get_running_loop()
         name = f"{self.deployment}-{service}"
-        got = await self.store.get(KIND, name)
+        got = await self.store.get(OBJECT_KIND, name)
         if isinstance(got, interface.Missing):
-            begin = ledger.begin(self.nonce())
-            await self.store.create(KIND, name, begin.value)
-            ledger.lost(loop.time())
+            reset = ledger.plan_reset(self.nonce())
+            await self.store.create(OBJECT_KIND, name, reset.value)
+            ledger.record_failure(loop.time())
             return
         if isinstance(got, interface.Unavailable):
-            ledger.lost(loop.time())
+            ledger.record_failure(loop.time())
             return
         ledger.observe(got.item.value, loop.time())
         sent_at = loop.time()
         wall = self.wall()
-        write = ledger.plan(sent_at, self.nonce())
+        write = ledger.plan_write(sent_at, self.nonce())
         if write is None:
             return
         written = await self.store.update(got.item, write.value)
         is_taken = isinstance(written, interface.Found)
-        if isinstance(write, objects.Ask):
+        if isinstance(write, objects.YieldRequest):
             return
-        if is_taken and isinstance(write, objects.Take):
-            ledger.took(write, sent_at, wall)
+        if is_taken and isinstance(write, objects.TakeWrite):
+            ledger.record_take(write, sent_at, wall)
         else:
-            ledger.lost(loop.time())
+            ledger.record_failure(loop.time())
--- a/banyantiller/measuring/objects.py
+++ b/banyantiller/measuring/objects.py
@@ -17,7 +17,7 @@
     lasts_s: float
 
 
-class Take(NamedTuple):
+class TakeWrite(NamedTuple):
     """A conditional update that takes permits.
 
     Attributes:
@@ -33,7 +33,7 @@
     use_s: float
 
 
-class Begin(NamedTuple):
+class ResetWrite(NamedTuple):
     """A write of fresh permits, which nobody may use for their time.
 
     Attributes:
@@ -43,7 +43,7 @@
     value: dict[str, Any]
 
 
-class Ask(NamedTuple):
+class YieldRequest(NamedTuple):
     """A write that asks the last holders to leave the next turn to others.
 
     Attributes:
@@ -53,7 +53,7 @@
     value: dict[str, Any]
 
 
-Write = Take | Begin | Ask
+Write = TakeWrite | ResetWrite | YieldRequest
 
 
 def read_permits(value: dict[str, Any]) -> list[Permit] | None:
--- a/banyantiller/membership/messages.py
+++ b/banyantiller/membership/messages.py
@@ -91,7 +91,7 @@
     """An accepted bundle, without its parts.
 
     Attributes:
-        accepted: Canonical JSON of `bundle.manifest.Accepted`.
+        accepted: Canonical JSON of `bundle.manifest.AcceptedBundle`.
     """
 
     accepted: bytes
--- a/banyantiller/platform/documents.py
+++ b/banyantiller/platform/documents.py
@@ -72,9 +72,11 @@
         ValueError: It can't be read whole; the message names the place.
     """
     fields = msgspec.convert(value, DocumentFields)
-    services = {item["name"]: _service(item) for item in fields["services"]}
+    services = {
+        item["name"]: _read_service(item) for item in fields["services"]
+    }
     routes = tuple(
-        _route(item, f"routes[{index}]", services)
+        _read_route(item, f"routes[{index}]", services)
         for index, item in enumerate(fields["routes"])
     )
     limits = fields["limits"]
@@ -91,7 +93,7 @@
     )
 
 
-def _service(fields: ServiceFields) -> types.Service:
+def _read_service(fields: ServiceFields) -> types.Service:
     return types.Service(
         fields["name"],
         fields["healthPath"],
@@ -100,7 +102,7 @@
     )
 
 
-def _route(
+def _read_route(
     fields: RouteFields, place: str, services: dict[str, types.Service]
 ) -> types.Route:
     try:
@@ -113,7 +115,7 @@
             fields["targetLatencyS"],
             fields["priority"],
             fields["maxAttempts"],
-            _parts(fields),
+            _read_parts(fields),
         )
     except KeyError as error:
         raise ValueError(f"{place}: {error} is missing") from error
@@ -123,7 +125,7 @@
     return route
 
 
-def _parts(fields: RouteFields) -> tuple[types.Part, ...]:
+def _read_parts(fields: RouteFields) -> tuple[types.Part, ...]:
     split = fields.get("trafficSplit")
     if split:
         return tuple(types.Part(p["service"], p["weight"]) for p in split)
--- a/banyantiller/platform/headers.py
+++ b/banyantiller/platform/headers.py
@@ -24,10 +24,10 @@
     caller=b"credential",
 )
 
-USUAL_SLOWNESS = 100.0
+NORMAL_SLOWNESS_PERCENT = 100.0
 # Digits on either side of the point; more are no figure of requests a second.
 LIMIT = re.compile(r"\d{1,9}(\.\d{0,9})?|\.\d{1,9}", re.ASCII)
-MOST_SHOWN = 20
+MAX_SHOWN_CHARS = 20
 
 
 def read_load(value: bytes) -> types.Load | None:
@@ -38,7 +38,7 @@
         return None
     if len(numbers) < 3 or min(numbers) < 0:
         return None
-    slowness = numbers[3] / USUAL_SLOWNESS if len(numbers) > 3 else 1.0
+    slowness = numbers[3] / NORMAL_SLOWNESS_PERCENT if len(numbers) > 3 else 1.0
     return types.Load(numbers[0], numbers[1], numbers[2], slowness)
 
 
@@ -55,5 +55,5 @@
         raise ValueError("the field occurs twice")
     text = texts[0].strip()
     if not LIMIT.fullmatch(text):
-        raise ValueError(f"'{text[:MOST_SHOWN]}' is not a decimal number")
+        raise ValueError(f"'{text[:MAX_SHOWN_CHARS]}' is not a decimal number")
     return float(text)
--- a/banyantiller/platform/registrations.py
+++ b/banyantiller/platform/registrations.py
@@ -39,7 +39,7 @@
         ValueError: It can't be read whole; the message names the place.
     """
     fields = msgspec.convert(value, RegistrationFields)
-    host, port = _address(fields["address"])
+    host, port = _parse_address(fields["address"])
     if fields["state"] not in STATES:
         raise ValueError(f"state: '{fields['state']}' is not known")
     if fields["maxConcurrency"] < 1:
@@ -57,7 +57,7 @@
     )
 
 
-def _address(text: str) -> tuple[str, int]:
+def _parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
--- a/banyantiller/platform/store.py
+++ b/banyantiller/platform/store.py
@@ -69,8 +69,8 @@
         calls: Calls so far by verb; each is paid for.
     """
 
-    def __init__(self, user: client.HttpClient) -> None:
-        self.user = user
+    def __init__(self, http_client: client.HttpClient) -> None:
+        self.http_client = http_client
         self.calls: collections.Counter[str] = collections.Counter()
 
     @classmethod
@@ -89,14 +89,18 @@
         while True:
             query = {"after": after} if after else {}
             self.calls["list"] += 1
-            page = await self._read(_target(kind, **query), TIMEOUT_S, Page)
+            page = await self._read(
+                _build_target(kind, **query), TIMEOUT_S, Page
+            )
             if isinstance(page, interface.Gone):
                 return interface.Unavailable("status 410")
             if isinstance(page, interface.Unavailable):
                 return page
             # Changes between two pages are seen again by a watch from here.
             first_revision = first_revision or str(page["currentRev"])
-            items.extend(_stored(kind, item) for item in page["items"])
+            items.extend(
+                _to_stored_object(kind, item) for item in page["items"]
+            )
             if not page["more"] or not page["items"]:
                 return interface.Listed(tuple(items), first_revision)
             before, after = after, page["items"][-1]["metadata"]["name"]
@@ -108,22 +112,22 @@
     ) -> interface.ChangesOutcome:
         """Reads what changed; see `ObjectReader.changes`."""
         wait_ms = str(int(wait_s * 1000))
-        target = _target(kind, watch=version, waitMs=wait_ms)
+        target = _build_target(kind, watch=version, waitMs=wait_ms)
         self.calls["watch"] += 1
         found = await self._read(target, wait_s + TIMEOUT_S, Events)
         if isinstance(found, interface.Gone | interface.Unavailable):
             return found
-        events = tuple(_change(kind, event) for event in found["events"])
+        events = tuple(_to_event(kind, event) for event in found["events"])
         return interface.Changes(events, str(found["currentRev"]))
 
     async def close(self) -> None:
         """Closes all idle connections."""
-        await self.user.close()
+        await self.http_client.close()
 
     async def _read(
         self, target: str, timeout_s: float, kind: Any
     ) -> Any | interface.Gone | interface.Unavailable:
-        outcome = await self.user.request("GET", target, timeout_s)
+        outcome = await self.http_client.request("GET", target, timeout_s)
         if not isinstance(outcome, outcomes.Answered):
             return interface.Unavailable(outcome.reason)
         if outcome.response.status == 410:
@@ -149,26 +153,26 @@
         return msgspec.json.decode(clean, type=kind)
 
 
-def _target(kind: str, **query: str) -> str:
+def _build_target(kind: str, **query: str) -> str:
     text = parse.urlencode(query)
     return f"/api/objects/{kind}" + (f"?{text}" if text else "")
 
 
-def _change(kind: str, event: Event) -> interface.Changed | interface.Deleted:
-    item = _stored(kind, event["object"])
+def _to_event(kind: str, event: Event) -> interface.Changed | interface.Deleted:
+    item = _to_stored_object(kind, event["object"])
     if event["removed"]:
         return interface.Deleted(item)
     return interface.Changed(item)
 
 
-def _stored(kind: str, item: Item) -> interface.StoredObject:
+def _to_stored_object(kind: str, item: Item) -> interface.StoredObject:
     meta = item["metadata"]
     return interface.StoredObject(
-        kind, meta["name"], str(meta["revision"]), _content(item)
+        kind, meta["name"], str(meta["revision"]), _decode_spec(item)
     )
 
 
-def _content(item: Item) -> Any:
+def _decode_spec(item: Item) -> Any:
     """Returns what an object holds; None if it can't be read.
 
     Who decodes it further reports that with the object's name.
--- a/banyantiller/replay/replica_player.py
+++ b/banyantiller/replay/replica_player.py
@@ -135,7 +135,7 @@
 class Made(NamedTuple):
     """A bundle with its parts' canonical JSON."""
 
-    accepted: manifest.Accepted
+    accepted: manifest.AcceptedBundle
     parts: tuple[bytes, ...]
 
 
@@ -188,7 +188,7 @@
         self._advance(daemon)
 
     def _judge(
-        self, daemon: str, accepted: manifest.Accepted, wall: float
+        self, daemon: str, accepted: manifest.AcceptedBundle, wall: float
     ) -> None:
         verdict = self.replicas[daemon].offer(accepted, wall)
         if isinstance(verdict, replicas.Refuse):
@@ -236,7 +236,9 @@
     signatures = _signatures(stated, kind)
     if kind == "altered":
         stated = stated._replace(description="altered")
-    accepted = manifest.Accepted(stated, signatures, WALL + version, SIGNER)
+    accepted = manifest.AcceptedBundle(
+        stated, signatures, WALL + version, SIGNER
+    )
     return Made(accepted, data)
 
 
--- a/banyantiller/replay/replica_recording.py
+++ b/banyantiller/replay/replica_recording.py
@@ -15,7 +15,7 @@
 
 from banyantiller import exceptions
 from banyantiller.bundle import canonical, plain
-from banyantiller.bundle.manifest import Accepted
+from banyantiller.bundle.manifest import AcceptedBundle
 from banyantiller.config import defaults
 from banyantiller.replay import recording, replica_inputs, traces
 from banyantiller.replica import state
@@ -63,7 +63,7 @@
         self.idle: dict[str, Any] = {}
 
     def offer(
-        self, accepted: Accepted, wall_now: float, source: str = ""
+        self, accepted: AcceptedBundle, wall_now: float, source: str = ""
     ) -> state.Verdict:
         """Judges an accepted bundle and records the offer."""
         verdict = super().offer(accepted, wall_now, source)
--- a/banyantiller/replay/rolls_player.py
+++ b/banyantiller/replay/rolls_player.py
@@ -242,7 +242,7 @@
         objects = self.stores.table
         revision = objects.revision
         while True:
-            for entry in objects.since(reading.HEADS, revision) or ():
+            for entry in objects.writes_since(reading.HEADS, revision) or ():
                 self._note(entry)
             revision = objects.revision
             await objects.wait(TAIL_S)
--- a/banyantiller/replica/reading.py
+++ b/banyantiller/replica/reading.py
@@ -41,7 +41,7 @@
         answered: Called with whether the object API answered, and why not.
     """
 
-    found: Callable[[outcomes.HeadFound | outcomes.Damaged, str], None]
+    found: Callable[[outcomes.HeadFound | outcomes.DamagedObject, str], None]
     part: Callable[[bytes], None]
     answered: Callable[[bool, str], None]
 
--- a/banyantiller/replica/spread.py
+++ b/banyantiller/replica/spread.py
@@ -15,7 +15,7 @@
 import structlog
 
 from banyantiller.bundle import canonical, outcomes
-from banyantiller.bundle.manifest import Accepted
+from banyantiller.bundle.manifest import AcceptedBundle
 from banyantiller.config import defaults
 from banyantiller.kernel import core, events
 from banyantiller.membership import messages
@@ -172,14 +172,14 @@
             raise
 
     def _found(
-        self, found: outcomes.HeadFound | outcomes.Damaged, source: str
+        self, found: outcomes.HeadFound | outcomes.DamagedObject, source: str
     ) -> None:
         if isinstance(found, outcomes.HeadFound):
             self._offer(found.accepted, source)
         else:
             self._refused(0, found.reason, source)
 
-    def _offer(self, accepted: Accepted, source: str) -> None:
+    def _offer(self, accepted: AcceptedBundle, source: str) -> None:
         version = accepted.manifest.version
         verdict = self.replica.offer(accepted, self.wall(), source)
         if isinstance(verdict, state.Refuse):
--- a/banyantiller/replica/state.py
+++ b/banyantiller/replica/state.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from banyantiller.bundle import canonical, verification
-from banyantiller.bundle.manifest import Accepted, Manifest, Part
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Part
 from banyantiller.bundle.options import Bundle, Service
 from banyantiller.config.defaults import TrustedKey
 
@@ -27,7 +27,7 @@
         digest: Hex SHA-256 of its manifest.
     """
 
-    accepted: Accepted
+    accepted: AcceptedBundle
     bundle: Bundle
     digest: str
 
@@ -70,7 +70,7 @@
 class Candidate(NamedTuple):
     """A verified bundle that is not in force yet."""
 
-    accepted: Accepted
+    accepted: AcceptedBundle
     digest: str
 
 
@@ -112,7 +112,7 @@
 
     def offer(
         self,
-        accepted: Accepted,
+        accepted: AcceptedBundle,
         wall_now: float,
         source: str = "",  # noqa: ARG002
     ) -> Verdict:
@@ -147,7 +147,7 @@
         self._use_spare()
         return self._repeated(version)
 
-    def descends(self, accepted: Accepted) -> bool:
+    def descends(self, accepted: AcceptedBundle) -> bool:
         """Tells whether an accepted bundle may follow the one in force.
 
         Only the next version names the bundle in force as its parent; later
--- a/banyantiller/store/interface.py
+++ b/banyantiller/store/interface.py
@@ -52,7 +52,7 @@
 
     items: tuple[StoredObject, ...]
     version: str
-    second_hand: bool = False
+    relayed: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
     """
 
     reason: str
-    again_s: float = math.inf
+    retry_within_s: float = math.inf
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -131,7 +131,7 @@
 
     events: tuple[Changed | Deleted, ...]
     version: str
-    second_hand: bool = False
+    relayed: bool = False
 
 
 ChangesOutcome = Changes | Gone | Unavailable
--- a/banyantiller/store/kubernetes.py
+++ b/banyantiller/store/kubernetes.py
@@ -9,19 +9,19 @@
 
 from banyantiller.config import defaults
 from banyantiller.http import client, connection, messages, outcomes
-from banyantiller.store import answers, interface, wire
+from banyantiller.store import interface, responses, wire
 from banyantiller.utils import tls
 
 log = structlog.get_logger("banyantiller.store")
 
 PAGE_ITEMS = 200
-LIST_STARTS = 3
+MAX_LIST_ATTEMPTS = 3
 MAX_LINE_BYTES = 2 * interface.MAX_VALUE_BYTES
 JSON_HEADERS = (wire.JSON_TYPE,)
 LIMITS = messages.Limits(body_bytes=8 * interface.MAX_VALUE_BYTES)
 
 
-class ListChangedError(Exception):
+class ListExpiredError(Exception):
     """The pages read so far can't be continued."""
 
 
@@ -36,12 +36,12 @@
 
     def __init__(
         self,
-        user: client.HttpClient,
+        http_client: client.HttpClient,
         paths: wire.Paths,
         timeout_s: float,
         bookmark_s: float,
     ) -> None:
-        self.user = user
+        self.http_client = http_client
         self.paths = paths
         self.timeout_s = timeout_s
         self.bookmark_s = bookmark_s
@@ -61,7 +61,7 @@
             ConfigError: A TLS file is missing or not valid.
         """
         files = object_api.tls
-        user = client.HttpClient(
+        http_client = client.HttpClient(
             object_api.endpoint.address,
             object_api.endpoint.port,
             LIMITS,
@@ -69,12 +69,14 @@
             files.server_name if files else "",
         )
         paths = wire.Paths(object_api.group, deployment)
-        return cls(user, paths, object_api.timeout_s, object_api.bookmark_s)
+        return cls(
+            http_client, paths, object_api.timeout_s, object_api.bookmark_s
+        )
 
     async def get(self, kind: str, name: str) -> interface.GetOutcome:
         """Reads one object."""
         outcome = await self._read("get", self.paths.item(kind, name))
-        return answers.read_one(kind, outcome)
+        return responses.decode_read(kind, outcome)
 
     async def list(
         self, kind: str, labels: dict[str, str] | None = None
@@ -83,10 +85,10 @@
 
         A list whose pages expire while they are read is begun anew.
         """
-        for _ in range(LIST_STARTS):
+        for _ in range(MAX_LIST_ATTEMPTS):
             try:
                 return await self._list_pages(kind, labels or {})
-            except ListChangedError:
+            except ListExpiredError:
                 continue
         return interface.Unavailable("the list expired while it was read")
 
@@ -102,7 +104,7 @@
         outcome = await self._write(
             "create", "POST", self.paths.collection(kind), item
         )
-        return answers.read_write(item, outcome, "create")
+        return responses.decode_write(item, outcome, "create")
 
     async def update(
         self, item: interface.StoredObject, value: dict[str, Any]
@@ -111,7 +113,7 @@
         target = self.paths.item(item.kind, item.name)
         changed = item._replace(value=value)
         outcome = await self._write("update", "PUT", target, changed)
-        return answers.read_write(changed, outcome, "update")
+        return responses.decode_write(changed, outcome, "update")
 
     async def delete(
         self, item: interface.StoredObject
@@ -120,7 +122,7 @@
         target = self.paths.item(item.kind, item.name)
         options = wire.encode_delete(item.version)
         outcome = await self._send("delete", "DELETE", target, options)
-        return answers.read_write(item, outcome, "delete")
+        return responses.decode_write(item, outcome, "delete")
 
     async def watch(
         self, kind: str, version: str
@@ -133,7 +135,7 @@
             resourceVersion=version,
             allowWatchBookmarks="true",
         )
-        stream = await self.user.stream("GET", target, self.timeout_s)
+        stream = await self.http_client.stream("GET", target, self.timeout_s)
         if not isinstance(stream, client.Stream):
             yield interface.Unavailable(stream.reason)
             return
@@ -145,7 +147,7 @@
 
     async def close(self) -> None:
         """Closes all idle connections."""
-        await self.user.close()
+        await self.http_client.close()
 
     async def _events(
         self, kind: str, stream: client.Stream
@@ -211,9 +213,11 @@
             if not isinstance(outcome, outcomes.Answered):
                 return interface.Unavailable(outcome.reason)
             if outcome.response.status == 410 and "continue" in query:
-                raise ListChangedError
+                raise ListExpiredError
             if outcome.response.status != 200:
-                return interface.Unavailable(answers.explain(outcome))
+                return interface.Unavailable(
+                    responses.describe_refusal(outcome)
+                )
             try:
                 page, metadata = wire.decode_list(kind, outcome.body)
             except wire.WireError as error:
@@ -226,10 +230,10 @@
     async def _read(self, verb: str, target: str) -> outcomes.Outcome:
         """Sends a read, and once more if a reused connection broke."""
         self.calls[verb] += 1
-        outcome = await self.user.request("GET", target, self.timeout_s)
+        outcome = await self.http_client.request("GET", target, self.timeout_s)
         if _is_stale_connection(outcome):
             self.calls[verb] += 1
-            outcome = await self.user.request(
+            outcome = await self.http_client.request(
                 "GET", target, self.timeout_s, fresh=True
             )
         return outcome
@@ -252,7 +256,7 @@
         self, verb: str, method: str, target: str, body: bytes
     ) -> outcomes.Outcome:
         self.calls[verb] += 1
-        return await self.user.request(
+        return await self.http_client.request(
             method, target, self.timeout_s, JSON_HEADERS, body
         )
 
--- a/banyantiller/store/memory.py
+++ b/banyantiller/store/memory.py
@@ -18,7 +18,7 @@
 
 DEFAULT_TIMEOUT_S = 2.0
 DEFAULT_BOOKMARK_S = 3.0
-BOOKMARKS_PER_LIMIT = 3
+BOOKMARKS_PER_TIMEOUT = 3
 
 
 @dataclasses.dataclass
@@ -64,17 +64,17 @@
         self.calls: collections.Counter[str] = collections.Counter()
         self.timeout_s = timeout_s
         self.bookmark_s = bookmark_s
-        self.stale_view: tables.View | None = None
+        self.stale_snapshot: tables.Snapshot | None = None
 
     def serve_stale(self, on: bool) -> None:
         """Answers reads from the present state until switched off."""
-        self.stale_view = self.table.snapshot() if on else None
+        self.stale_snapshot = self.table.snapshot() if on else None
 
     async def get(self, kind: str, name: str) -> interface.GetOutcome:
         """Reads one object."""
         self.calls["get"] += 1
         return await self._read(
-            lambda: self.table.get(kind, name, self.stale_view)
+            lambda: self.table.get(kind, name, self.stale_snapshot)
         )
 
     async def list(
@@ -83,7 +83,7 @@
         """Reads all objects of a kind that carry the given labels."""
         self.calls["list"] += 1
         return await self._read(
-            lambda: self.table.list(kind, labels, self.stale_view)
+            lambda: self.table.list(kind, labels, self.stale_snapshot)
         )
 
     async def create(
@@ -136,7 +136,7 @@
                     return
                 await self._pause()
                 continue
-            entries = self.table.since(kind, seen)
+            entries = self.table.writes_since(kind, seen)
             if entries is None:
                 yield interface.Gone()
                 return
@@ -153,7 +153,7 @@
         """Closes nothing; the table goes on."""
 
     async def _pause(self) -> None:
-        await self.table.wait(self.bookmark_s / BOOKMARKS_PER_LIMIT)
+        await self.table.wait(self.bookmark_s / BOOKMARKS_PER_TIMEOUT)
 
     async def _read(self, effect: Callable[[], T]) -> T | Any:
         return await self._answer(effect, interface.Unavailable)
@@ -168,7 +168,7 @@
         return outcome
 
     async def _answer(
-        self, effect: Callable[[], T], late: Callable[[str], Any]
+        self, effect: Callable[[], T], timeout_outcome: Callable[[str], Any]
     ) -> T | Any:
         """Applies a call after the set delay, even if nobody waits for it."""
         if self.faults.down:
@@ -178,14 +178,14 @@
             return effect()
         loop = asyncio.get_running_loop()
         done: asyncio.Future[T] = loop.create_future()
-        loop.call_later(self.faults.slow_s, _settle, done, effect)
+        loop.call_later(self.faults.slow_s, _complete, done, effect)
         await asyncio.wait([done], timeout=self.timeout_s)
         if done.done():
             return done.result()
-        return late(f"no answer within {self.timeout_s} s")
+        return timeout_outcome(f"no answer within {self.timeout_s} s")
 
 
-def _settle(done: "asyncio.Future[T]", effect: Callable[[], T]) -> None:
+def _complete(done: "asyncio.Future[T]", effect: Callable[[], T]) -> None:
     outcome = effect()
     if not done.done():
         done.set_result(outcome)
--- a/banyantiller/store/nonces.py
+++ b/banyantiller/store/nonces.py
@@ -6,11 +6,11 @@
 NonceSource = Callable[[], str]
 
 
-def of_64_bits() -> str:
+def random_64_bits() -> str:
     """Returns 64 random bits, unique over all daemons and restarts."""
     return secrets.token_hex(8)
 
 
-def of_128_bits() -> str:
+def random_128_bits() -> str:
     """Returns 128 random bits, unique over all daemons and restarts."""
     return secrets.token_hex(16)
--- a/banyantiller/store/answers.py
+++ b/banyantiller/store/responses.py
@@ -8,12 +8,12 @@
 from banyantiller.store import interface, wire
 
 # Refusals that the API server makes before it changes anything.
-REFUSED = frozenset(
+NO_EFFECT_STATUSES = frozenset(
     (400, 401, 402, 403, 405, 406, 411, 413, 414, 415, 422, 429, 431)
 )
 
 
-def explain(answer: outcomes.Answered) -> str:
+def describe_refusal(answer: outcomes.Answered) -> str:
     """Returns a short reason out of a refusal."""
     code = answer.response.status
     status = wire.decode_status(answer.body)
@@ -30,10 +30,10 @@
     code = answer.response.status
     if code == 503 and answer.response.header("retry-after"):
         return wire.decode_status(answer.body).status == "Failure"
-    return code in REFUSED
+    return code in NO_EFFECT_STATUSES
 
 
-def read_one(
+def decode_read(
     kind: str, outcome: outcomes.Outcome
 ) -> interface.Found | interface.Missing | interface.Unavailable:
     """Returns the outcome of reading one object."""
@@ -42,14 +42,14 @@
     if outcome.response.status == 404:
         return interface.Missing()
     if outcome.response.status != 200:
-        return interface.Unavailable(explain(outcome))
+        return interface.Unavailable(describe_refusal(outcome))
     try:
         return interface.Found(wire.decode_object(kind, outcome.body))
     except wire.WireError as error:
         return interface.Unavailable(str(error))
 
 
-def read_write(
+def decode_write(
     sent: interface.StoredObject, outcome: outcomes.Outcome, verb: str
 ) -> interface.UpdateOutcome:
     """Returns the outcome of a write.
@@ -65,19 +65,19 @@
         return interface.Unknown(outcome.reason)
     code = outcome.response.status
     if code in (200, 201, 202):
-        return _written(sent, outcome, verb)
+        return _decode_written(sent, outcome, verb)
     if code == 409:
         return interface.Conflict()
     if code == 404:
         if verb == "create":
-            return interface.Unavailable(explain(outcome))
+            return interface.Unavailable(describe_refusal(outcome))
         return interface.Missing()
     if has_no_effect(outcome):
-        return interface.Unavailable(explain(outcome))
-    return interface.Unknown(explain(outcome))
+        return interface.Unavailable(describe_refusal(outcome))
+    return interface.Unknown(describe_refusal(outcome))
 
 
-def _written(
+def _decode_written(
     sent: interface.StoredObject, answer: outcomes.Answered, verb: str
 ) -> interface.Found | interface.Unknown:
     try:
--- a/banyantiller/store/table.py
+++ b/banyantiller/store/table.py
@@ -13,9 +13,9 @@
 
 from banyantiller.store import interface
 
-HISTORY = 4096
+MAX_HISTORY_ENTRIES = 4096
 
-View = Mapping[tuple[str, str], "Record"]
+Snapshot = Mapping[tuple[str, str], "Record"]
 
 
 class Record(NamedTuple):
@@ -56,23 +56,27 @@
         oldest: A watch has to start at this revision or later.
     """
 
-    def __init__(self, history: int = HISTORY, revision: int = 1) -> None:
+    def __init__(
+        self, history: int = MAX_HISTORY_ENTRIES, revision: int = 1
+    ) -> None:
         self.revision = revision
-        self.oldest = revision
+        self.oldest_revision = revision
         self.records: dict[tuple[str, str], Record] = {}
         self.history: collections.deque[HistoryEntry] = collections.deque()
-        self.longest = history
+        self.max_history = history
         self.waiters: set[asyncio.Future[None]] = set()
 
-    def snapshot(self) -> View:
+    def snapshot(self) -> Snapshot:
         """Copies the present objects, to serve stale reads from."""
         return dict(self.records)
 
     def get(
-        self, kind: str, name: str, view: View | None = None
+        self, kind: str, name: str, snapshot: Snapshot | None = None
     ) -> interface.Found | interface.Missing:
         """Reads one object from the table or from an older view of it."""
-        record = (self.records if view is None else view).get((kind, name))
+        record = (self.records if snapshot is None else snapshot).get(
+            (kind, name)
+        )
         if record is None:
             return interface.Missing()
         return interface.Found(to_item(kind, name, record))
@@ -81,10 +85,10 @@
         self,
         kind: str,
         labels: dict[str, str] | None = None,
-        view: View | None = None,
+        snapshot: Snapshot | None = None,
     ) -> interface.Listed:
         """Reads the objects of a kind that carry all the labels, by name."""
-        records = self.records if view is None else view
+        records = self.records if snapshot is None else snapshot
         wanted = set((labels or {}).items())
         items = tuple(
             to_item(kind, name, record)
@@ -95,8 +99,8 @@
             )
         )
         revision = self.revision
-        if view is not None:
-            revision = max((r.version for r in view.values()), default=1)
+        if snapshot is not None:
+            revision = max((r.version for r in snapshot.values()), default=1)
         return interface.Listed(items, str(revision))
 
     def create(
@@ -136,10 +140,10 @@
         last = to_item(
             item.kind, item.name, record._replace(version=self.revision)
         )
-        self._remember(interface.Deleted(last), created=False)
+        self._append_history(interface.Deleted(last), created=False)
         return interface.Found(last)
 
-    def since(
+    def writes_since(
         self, kind: str, revision: int
     ) -> tuple[HistoryEntry, ...] | None:
         """Returns the writes to a kind after a revision.
@@ -148,7 +152,7 @@
             None if the history doesn't reach back that far, or the revision
             has not been made yet.
         """
-        if revision < self.oldest or revision > self.revision:
+        if revision < self.oldest_revision or revision > self.revision:
             return None
         newer = itertools.takewhile(
             lambda entry: entry.revision > revision, reversed(self.history)
@@ -159,7 +163,7 @@
     def compact(self) -> None:
         """Forgets the history, so that older watches get `Gone`."""
         self.history.clear()
-        self.oldest = self.revision
+        self.oldest_revision = self.revision
 
     async def wait(self, timeout_s: float) -> None:
         """Waits for the next write, at most the given time."""
@@ -197,15 +201,15 @@
         record = Record(self.revision, data, tuple(sorted(labels.items())))
         self.records[kind, name] = record
         item = to_item(kind, name, record)
-        self._remember(interface.Changed(item), created)
+        self._append_history(interface.Changed(item), created)
         return interface.Found(to_item(kind, name, record))
 
-    def _remember(
+    def _append_history(
         self, event: interface.Changed | interface.Deleted, created: bool
     ) -> None:
         self.history.append(HistoryEntry(self.revision, event, created))
-        while len(self.history) > self.longest:
-            self.oldest = self.history.popleft().revision
+        while len(self.history) > self.max_history:
+            self.oldest_revision = self.history.popleft().revision
         self.wake()
 
 
--- a/banyantiller/tests/bundle/test_acceptance.py
+++ b/banyantiller/tests/bundle/test_acceptance.py
@@ -9,7 +9,7 @@
     reading,
 )
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     NoHead,
     NotReached,
     OutOfDate,
@@ -180,9 +180,9 @@
             second = await samples.prepare(store, SECOND)
             alter(store, reading.HEADS, DEPLOYMENT, '\\"roller\\"', '\\"x\\"')
             damaged = await head_of(store)
-            self.assertIsInstance(damaged, Damaged)
+            self.assertIsInstance(damaged, DamagedObject)
             outcome = await samples.roll(store, second)
-            self.assertEqual(Refused((acceptance.REPLACE_DAMAGED,)), outcome)
+            self.assertEqual(Refused((acceptance.DAMAGED_HEAD,)), outcome)
             self.assertEqual(damaged, await head_of(store))
             again = await samples.prepare(store, SECOND)
             self.assertIsInstance(await samples.roll(store, again), Rolled)
--- a/banyantiller/tests/bundle/test_retention.py
+++ b/banyantiller/tests/bundle/test_retention.py
@@ -110,7 +110,7 @@
             young = await retention.prune(
                 store, DEPLOYMENT, 2, samples.operator("ana")
             )
-            self.assertEqual(retention.Pruned((), ()), young)
+            self.assertEqual(retention.PruneResult((), ()), young)
             told = await retention.prune(
                 store, DEPLOYMENT, 2, late_operator(), dry_run=True
             )
--- a/banyantiller/tests/bundle/test_verification.py
+++ b/banyantiller/tests/bundle/test_verification.py
@@ -3,7 +3,7 @@
 import json
 
 from banyantiller.bundle import canonical, signing, verification
-from banyantiller.bundle.manifest import Accepted, Manifest, Part
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Part
 from banyantiller.config.defaults import TrustedKey
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.bundle import samples
@@ -23,7 +23,7 @@
     statement: Manifest | None = None,
     signers: tuple[str, ...] = ("ben",),
     proposer: str = "ana",
-) -> Accepted:
+) -> AcceptedBundle:
     statement = statement or manifest()
     signatures = [
         signing.sign(KEYS[proposer].private, "ana", signing.PROPOSE, statement)
@@ -32,11 +32,11 @@
         signing.sign(KEYS[name].private, name, signing.SIGN, statement)
         for name in signers
     ]
-    return Accepted(statement, tuple(signatures), NOW, "ana")
+    return AcceptedBundle(statement, tuple(signatures), NOW, "ana")
 
 
 def reasons(
-    offered: Accepted,
+    offered: AcceptedBundle,
     trusted: tuple[TrustedKey, ...] = TRUSTED,
     deployment: str = DEPLOYMENT,
     now: float = NOW,
--- a/banyantiller/tests/bundle/test_writing.py
+++ b/banyantiller/tests/bundle/test_writing.py
@@ -1,7 +1,7 @@
 """Tests of writes whose outcome has to be read back."""
 
 from banyantiller.bundle import writing
-from banyantiller.bundle.outcomes import Damaged, NotKnown, NotReached
+from banyantiller.bundle.outcomes import DamagedObject, NotKnown, NotReached
 from banyantiller.store import interface
 from banyantiller.store.memory import MemoryStore
 from banyantiller.tests.base import TestCase
@@ -15,9 +15,9 @@
 
 
 class EnsureTest(TestCase):
-    def ensure(self, store, text):
+    def ensure_exists(self, store, text):
         return self.run_paused(
-            writing.ensure(
+            writing.ensure_exists(
                 store,
                 "things",
                 "a",
@@ -29,18 +29,18 @@
 
     def test_the_same_object_is_found_and_another_one_is_not_taken(self):
         store = MemoryStore()
-        created = self.ensure(store, "one")
-        self.assertEqual(created, self.ensure(store, "one"))
-        self.assertIsInstance(self.ensure(store, "two"), Damaged)
+        created = self.ensure_exists(store, "one")
+        self.assertEqual(created, self.ensure_exists(store, "one"))
+        self.assertIsInstance(self.ensure_exists(store, "two"), DamagedObject)
 
     def test_an_object_that_exists_but_cannot_be_read(self):
         store = UnreadableStore()
-        self.ensure(store, "one")
+        self.ensure_exists(store, "one")
         expected = NotReached("it exists, but cannot be read")
-        self.assertEqual(expected, self.ensure(store, "one"))
+        self.assertEqual(expected, self.ensure_exists(store, "one"))
 
     def test_a_lost_answer_stays_in_doubt(self):
         store = UnreadableStore()
         store.faults.lose_answers = 1
-        self.assertIsInstance(self.ensure(store, "one"), NotKnown)
-        self.assertEqual(writing.MOST_TRIES, store.calls["create"])
+        self.assertIsInstance(self.ensure_exists(store, "one"), NotKnown)
+        self.assertEqual(writing.MAX_ATTEMPTS, store.calls["create"])
--- a/banyantiller/tests/daemon/test_peer_hints.py
+++ b/banyantiller/tests/daemon/test_peer_hints.py
@@ -6,7 +6,7 @@
 from banyantiller.daemon import leaving_servers
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.membership import support
-from banyantiller.vmlist.interface import Vm, VmsListed, VmState
+from banyantiller.vmlist.interface import Vm, VmListing, VmState
 
 
 class PeerHintsTest(TestCase):
@@ -24,7 +24,7 @@
                     zip(addresses, roles, strict=True)
                 )
             )
-            leaving_servers._hint_peers(daemon, VmsListed(vms, 0.0))
+            leaving_servers._hint_peers(daemon, VmListing(vms, 0.0))
             return node.peers.dialer.hints
 
         port = support.FIRST_PORT
--- a/banyantiller/tests/evidence/test_judging_bundles.py
+++ b/banyantiller/tests/evidence/test_judging_bundles.py
@@ -152,7 +152,7 @@
             for parts in (first, second):
                 parts.bundle(1, samples.EPOCH)
             await asyncio.sleep(20)
-            accepted = manifest.Accepted(
+            accepted = manifest.AcceptedBundle(
                 manifest.Manifest("fleet", 2, "", "awa", "", ()),
                 (),
                 first.wall(),
--- a/banyantiller/tests/fuzz/test_documents.py
+++ b/banyantiller/tests/fuzz/test_documents.py
@@ -6,8 +6,13 @@
 
 from banyantiller import exceptions
 from banyantiller.bundle import canonical, parsing, reading
-from banyantiller.bundle.manifest import Accepted, Manifest, Part, Signature
-from banyantiller.bundle.outcomes import Damaged, HeadFound
+from banyantiller.bundle.manifest import (
+    AcceptedBundle,
+    Manifest,
+    Part,
+    Signature,
+)
+from banyantiller.bundle.outcomes import DamagedObject, HeadFound
 from banyantiller.claims import records, types
 from banyantiller.config import settings
 from banyantiller.measuring import objects
@@ -66,7 +71,7 @@
 PART = Part("desk", "ab" * 32, 10)
 MANIFEST = Manifest("orders", 2, "cd" * 32, "ana", "x", (PART,))
 SIGNATURE = Signature("ben", "sign", "ef" * 64)
-ACCEPTED = Accepted(MANIFEST, (SIGNATURE, SIGNATURE), 1e9, "ana")
+ACCEPTED = AcceptedBundle(MANIFEST, (SIGNATURE, SIGNATURE), 1e9, "ana")
 JSON_TOKENS = ("{", "[", "]", "}", '"', "null", "1e999", "NaN", "\\ud800")
 VALUES = st.recursive(
     st.none()
@@ -166,7 +171,7 @@
             permits = objects.read_permits(value)
             self.assertIsInstance(permits, list | None)
             self.assertIsInstance(
-                reading.decode_head(item), HeadFound | Damaged
+                reading.decode_head(item), HeadFound | DamagedObject
             )
 
         seeds.explore(check, 400, VALUES)
@@ -182,7 +187,7 @@
             if isinstance(value, dict):
                 item = interface.StoredObject("kind", "orders", "1", value)
                 self.assertIsInstance(
-                    reading.decode_head(item), HeadFound | Damaged
+                    reading.decode_head(item), HeadFound | DamagedObject
                 )
 
         texts = mutations.mutated_text((sample,), JSON_TOKENS)
--- a/banyantiller/tests/gateway/test_calls_to_the_store.py
+++ b/banyantiller/tests/gateway/test_calls_to_the_store.py
@@ -268,7 +268,7 @@
                 one.known.mirror.fresh_at = 1e9
             before = calls(others)[0]
             again = await reader.list("config")
-            return again.second_hand, calls(others)[0] - before
+            return again.relayed, calls(others)[0] - before
 
         self.assertEqual((False, 1), self.play(body))
 
@@ -281,7 +281,7 @@
             place.store.faults.down = False
             for one in asked:
                 one.known.mirror.fresh_at = -100.0
-            return old.second_hand, (await reader.list("config")).second_hand
+            return old.relayed, (await reader.list("config")).relayed
 
         self.assertEqual((True, False), self.play(body))
 
--- a/banyantiller/tests/gateway/test_mirror.py
+++ b/banyantiller/tests/gateway/test_mirror.py
@@ -92,7 +92,7 @@
     def test_change_is_in_force_although_the_other_daemon_lost_the_store(self):
         async def body(place, first):
             await asyncio.sleep(5)
-            user = first.adapter.store.user
+            user = first.adapter.store.http_client
             user.port = 1
             for link in user.idle:
                 link.close()
--- a/banyantiller/tests/gateway/test_order_of_reading.py
+++ b/banyantiller/tests/gateway/test_order_of_reading.py
@@ -78,7 +78,7 @@
 
     def test_change_is_in_force_although_the_first_lost_the_store(self):
         async def body(place, daemons):
-            user = daemons[0].adapter.store.user
+            user = daemons[0].adapter.store.http_client
             original = user.request
 
             async def silent(*arguments):
--- a/banyantiller/tests/leaving/test_tracker.py
+++ b/banyantiller/tests/leaving/test_tracker.py
@@ -121,7 +121,7 @@
         self,
     ) -> None:
         self.tracker.drain_told(S1, 10.0)
-        for change in (vm_tracker.Change.GONE, vm_tracker.Change.BACK):
+        for change in (vm_tracker.Change.REMOVED, vm_tracker.Change.BACK):
             actions = self.tracker.vms_read([vm_change(change, "vm-s1")], 20.0)
         self.assertEqual([Back(S1)], moves(actions))
         self.assertIn(TellReturn(S1, 0.0), actions)
@@ -137,7 +137,7 @@
         self.assertEqual({"s1"}, self.tracker.leaving("registry"))
 
     def test_vm_that_leaves_before_the_bundle_names_it(self) -> None:
-        gone = vm_change(vm_tracker.Change.GONE, "vm-s3")
+        gone = vm_change(vm_tracker.Change.REMOVED, "vm-s3")
         self.tracker.vms_read([gone], 1.0)
         actions = self.tracker.configure([make_service(("s1", "s3"))], 2.0)
         self.assertEqual(
--- a/banyantiller/tests/measuring/test_budget.py
+++ b/banyantiller/tests/measuring/test_budget.py
@@ -14,7 +14,7 @@
 from banyantiller.tests import base
 
 SERVICE = "registry"
-ASK_S = 0.1
+PROBE_PERIOD_S = 0.1
 LATENCY_S = 0.003
 
 
@@ -53,7 +53,7 @@
             now = asyncio.get_running_loop().time()
             if charge(now):
                 self.fleet.probes.append(now)
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(PROBE_PERIOD_S)
 
     def ledger(self) -> permits.Ledger:
         return self.budget.ledgers[SERVICE]
@@ -127,7 +127,7 @@
                 fleet = Fleet(size, rate)
                 await self.settle(fleet, 300)
                 self.assertTrue(len(fleet.probes) > 300 * rate * 0.4)
-                spent = [p.ledger().spent for p in fleet.probers]
+                spent = [p.ledger().spent_probes for p in fleet.probers]
                 least = 300 * rate * 0.4 / size / 6
                 self.assertTrue(min(spent) >= math.floor(least), spent)
 
@@ -159,7 +159,7 @@
         async def scenario() -> None:
             fleet = Fleet(2, 1.0)
             await self.settle(fleet, 200)
-            spent = [p.ledger().spent for p in fleet.probers]
+            spent = [p.ledger().spent_probes for p in fleet.probers]
             self.assertTrue(min(spent) > 20, spent)
 
         self.run_paused(scenario())
@@ -268,31 +268,33 @@
     def test_unreadable_object_is_begun_anew_and_waits(self) -> None:
         ledger = permits.Ledger(2.0, random.Random(1))
         ledger.observe({"permits": "x"}, 10.0)
-        begin = ledger.plan(10.0, "n1")
-        self.assertIsInstance(begin, objects.Begin)
-        ledger.observe(begin.value, 10.0)
-        self.assertNotIsInstance(ledger.plan(11.0, "n2"), objects.Take)
-        ledger.observe(begin.value, 30.0)
-        self.assertIsInstance(ledger.plan(30.0, "n3"), objects.Take)
+        reset = ledger.plan_write(10.0, "n1")
+        self.assertIsInstance(reset, objects.ResetWrite)
+        ledger.observe(reset.value, 10.0)
+        self.assertNotIsInstance(
+            ledger.plan_write(11.0, "n2"), objects.TakeWrite
+        )
+        ledger.observe(reset.value, 30.0)
+        self.assertIsInstance(ledger.plan_write(30.0, "n3"), objects.TakeWrite)
 
     def test_lower_budget_drops_what_is_held(self) -> None:
         ledger = permits.Ledger(3.0, random.Random(1))
-        ledger.observe(ledger.begin("n1").value, 0.0)
-        ledger.appetite = 24
-        ledger.took(ledger.plan(50.0, "n2"), 50.0, 0.0)
+        ledger.observe(ledger.plan_reset("n1").value, 0.0)
+        ledger.batch_probes = 24
+        ledger.record_take(ledger.plan_write(50.0, "n2"), 50.0, 0.0)
         self.assertEqual([0, 1, 2], sorted(ledger.held))
         ledger.configure(0.5)
         self.assertEqual([0], sorted(ledger.held))
         ledger.configure(0.0)
         self.assertFalse(ledger.charge(51.0, 1.0))
-        self.assertFalse(ledger.wishes(51.0))
+        self.assertFalse(ledger.wants_permits(51.0))
 
     def test_permits_of_a_newer_bundle_are_kept(self) -> None:
         ledger = permits.Ledger(1.0, random.Random(1))
-        wide = permits.Ledger(3.0, random.Random(1)).begin("n1").value
+        wide = permits.Ledger(3.0, random.Random(1)).plan_reset("n1").value
         ledger.observe(wide, 0.0)
-        take = ledger.plan(50.0, "n2")
-        ledger.took(take, 50.0, 0.0)
+        take = ledger.plan_write(50.0, "n2")
+        ledger.record_take(take, 50.0, 0.0)
         self.assertFalse(ledger.charge(50.0 + take.use_s + 0.01, 0.0))
         self.assertEqual(wide["permits"][1:], take.value["permits"][1:])
 
@@ -300,6 +302,8 @@
         self,
     ) -> None:
         ledger = permits.Ledger(1.0, random.Random(1))
-        ledger.observe(ledger.begin("n1").value, 0.0)
+        ledger.observe(ledger.plan_reset("n1").value, 0.0)
         ledger.configure(3.0)
-        self.assertNotIsInstance(ledger.plan(0.5, "n2"), objects.Take)
+        self.assertNotIsInstance(
+            ledger.plan_write(0.5, "n2"), objects.TakeWrite
+        )
--- a/banyantiller/tests/replica/support.py
+++ b/banyantiller/tests/replica/support.py
@@ -8,7 +8,7 @@
 import dataclasses
 
 from banyantiller.bundle import canonical
-from banyantiller.bundle.manifest import Accepted
+from banyantiller.bundle.manifest import AcceptedBundle
 from banyantiller.config import defaults
 from banyantiller.kernel import events
 from banyantiller.replica import spread as spreading
@@ -151,6 +151,6 @@
     def versions(self) -> list[int]:
         return [daemon.version for daemon in self.daemons]
 
-    def accepted(self) -> Accepted:
+    def accepted(self) -> AcceptedBundle:
         item = self.table.get("bundleheads", samples.DEPLOYMENT).item
         return canonical.decode_accepted(item.value["accepted"].encode())
--- a/banyantiller/tests/replica/test_state.py
+++ b/banyantiller/tests/replica/test_state.py
@@ -3,7 +3,7 @@
 import random
 
 from banyantiller.bundle import canonical, signing
-from banyantiller.bundle.manifest import Accepted, Manifest
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest
 from banyantiller.replica import state
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.bundle import samples
@@ -12,7 +12,7 @@
 
 def accepted(
     version: int, number: int | None = None, parent: str = "ab" * 32
-) -> tuple[Accepted, list[bytes]]:
+) -> tuple[AcceptedBundle, list[bytes]]:
     """A signed bundle of a version and its parts."""
     bundle = samples.bundle(support.text(version if number is None else number))
     parts = canonical.split(bundle)
@@ -28,7 +28,7 @@
         signing.sign(samples.KEYS[name].private, name, role, manifest)
         for name, role in (("ana", signing.PROPOSE), ("ben", signing.SIGN))
     )
-    made = Accepted(manifest, signatures, samples.NOW, "ana")
+    made = AcceptedBundle(manifest, signatures, samples.NOW, "ana")
     return made, [data for _, data in parts.values()]
 
 
@@ -37,10 +37,10 @@
         super().setUp()
         self.replica = state.Replica(samples.TRUSTED, samples.DEPLOYMENT)
 
-    def offer(self, made: Accepted):
+    def offer(self, made: AcceptedBundle):
         return self.replica.offer(made, samples.NOW)
 
-    def put(self, version: int) -> Accepted:
+    def put(self, version: int) -> AcceptedBundle:
         made, parts = accepted(version)
         self.offer(made)
         for data in parts:
--- a/banyantiller/tests/spec/test_bundles_conformance.py
+++ b/banyantiller/tests/spec/test_bundles_conformance.py
@@ -149,10 +149,10 @@
             self.assertEqual([VERSIONS] * spread.DAEMONS, versions, trace)
 
     def test_code_that_takes_an_unchanged_head_for_lost_is_found(self):
-        async def settle(attempt):
+        async def read_back(request):
             return outcomes.Lost("another", 0, "")
 
-        self.patch(rolling, "_settle", settle)
+        self.patch(rolling, "_read_back", read_back)
         follower = conformance.Follower(
             acceptance.ACCEPTANCE, shown(ROLL_LABELS)
         )
--- a/banyantiller/tests/spec/test_drain_conformance.py
+++ b/banyantiller/tests/spec/test_drain_conformance.py
@@ -33,7 +33,7 @@
 def vm_list(is_leaving, as_of):
     states = interface.VmState
     state = states.LEAVING if is_leaving else states.LIVE
-    return interface.VmsListed(
+    return interface.VmListing(
         (
             interface.Vm("vm1", "127.0.0.1", "z1", state),
             interface.Vm("vm2", "127.0.0.2", "z1", states.LIVE),
--- a/banyantiller/tests/vmlist/test_tracker.py
+++ b/banyantiller/tests/vmlist/test_tracker.py
@@ -15,7 +15,7 @@
         interface.Vm(name, "10.0.0.1", "north", state)
         for name, state in states.items()
     ]
-    return interface.VmsListed(tuple(vms), as_of)
+    return interface.VmListing(tuple(vms), as_of)
 
 
 def observe(watched, *lists):
--- a/banyantiller/vmlist/http.py
+++ b/banyantiller/vmlist/http.py
@@ -42,8 +42,10 @@
         calls: Number of reads.
     """
 
-    def __init__(self, user: client.HttpClient, timeout_s: float) -> None:
-        self.user = user
+    def __init__(
+        self, http_client: client.HttpClient, timeout_s: float
+    ) -> None:
+        self.http_client = http_client
         self.timeout_s = timeout_s
         self.calls = 0
 
@@ -51,13 +53,13 @@
     def from_settings(cls, vm_list: defaults.VmListSettings) -> "HttpVmList":
         """Builds the adapter; it connects with the first read."""
         endpoint = vm_list.endpoint
-        user = client.HttpClient(endpoint.address, endpoint.port, LIMITS)
-        return cls(user, TIMEOUT_S)
+        http_client = client.HttpClient(endpoint.address, endpoint.port, LIMITS)
+        return cls(http_client, TIMEOUT_S)
 
-    async def read(self) -> interface.VmsListed | interface.VmListUnavailable:
+    async def read(self) -> interface.VmListing | interface.VmListUnavailable:
         """Reads the present list."""
         self.calls += 1
-        outcome = await self.user.request("GET", TARGET, self.timeout_s)
+        outcome = await self.http_client.request("GET", TARGET, self.timeout_s)
         if not isinstance(outcome, outcomes.Answered):
             return interface.VmListUnavailable(outcome.reason)
         if outcome.response.status != 200:
@@ -71,10 +73,10 @@
 
     async def close(self) -> None:
         """Closes all connections."""
-        await self.user.close()
+        await self.http_client.close()
 
 
-def _decode(body: bytes) -> interface.VmsListed:
+def _decode(body: bytes) -> interface.VmListing:
     """Reads the answer.
 
     Raises:
@@ -93,4 +95,4 @@
         )
         for entry in found.vms
     )
-    return interface.VmsListed(vms, found.as_of)
+    return interface.VmListing(vms, found.as_of)
--- a/banyantiller/vmlist/interface.py
+++ b/banyantiller/vmlist/interface.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class VmsListed:
+class VmListing:
     """The list, which may be stale, and the platform's time for it."""
 
     vms: tuple[Vm, ...]
@@ -48,7 +48,7 @@
 class VmList(Protocol):
     """What an adapter of a VM list provides."""
 
-    async def read(self) -> VmsListed | VmListUnavailable:
+    async def read(self) -> VmListing | VmListUnavailable:
         """Reads the present list."""
 
     async def close(self) -> None:
--- a/banyantiller/vmlist/memory.py
+++ b/banyantiller/vmlist/memory.py
@@ -35,13 +35,13 @@
         del self.vms[name]
         self.as_of += 1
 
-    async def read(self) -> interface.VmsListed | interface.VmListUnavailable:
+    async def read(self) -> interface.VmListing | interface.VmListUnavailable:
         """Reads the present list."""
         self.reads += 1
         await asyncio.sleep(self.slow_s)
         if self.down:
             return interface.VmListUnavailable("the VM list is down")
-        return interface.VmsListed(tuple(self.vms.values()), self.as_of)
+        return interface.VmListing(tuple(self.vms.values()), self.as_of)
 
     async def close(self) -> None:
         """Closes nothing."""
--- a/banyantiller/vmlist/tracker.py
+++ b/banyantiller/vmlist/tracker.py
@@ -11,7 +11,7 @@
 
 from banyantiller.vmlist import interface
 
-LISTS_TO_GONE = 2
+LISTS_UNTIL_REMOVED = 2
 
 
 class Change(enum.StrEnum):
@@ -19,7 +19,7 @@
 
     NEW = "new"
     LEAVING = "leaving"
-    GONE = "gone"
+    REMOVED = "gone"
     BACK = "back"
 
 
@@ -44,14 +44,14 @@
         missing: Number of newer lists in a row that lack a VM, by name.
     """
 
-    def __init__(self, lists_to_gone: int = LISTS_TO_GONE) -> None:
-        self.lists_to_gone = lists_to_gone
+    def __init__(self, lists_until_removed: int = LISTS_UNTIL_REMOVED) -> None:
+        self.lists_until_removed = lists_until_removed
         self.as_of: float | None = None
         self.vms: dict[str, interface.Vm] = {}
         self.missing: dict[str, int] = {}
-        self.gone: set[str] = set()
+        self.removed: set[str] = set()
 
-    def observe(self, listed: interface.VmsListed) -> tuple[VmChange, ...]:
+    def observe(self, listed: interface.VmListing) -> tuple[VmChange, ...]:
         """Takes a list and returns what it changes, sorted by VM name.
 
         A VM that was gone or leaving and is listed as live again is "back".
@@ -64,9 +64,11 @@
         if not listed.vms:
             return ()
         seen = {vm.name: vm for vm in listed.vms}
-        changes = [self._take(vm) for vm in seen.values()]
+        changes = [self._record_listed(vm) for vm in seen.values()]
         changes += [
-            self._miss(name) for name in list(self.vms) if name not in seen
+            self._record_missing(name)
+            for name in list(self.vms)
+            if name not in seen
         ]
         found = [change for change in changes if change is not None]
         return tuple(sorted(found, key=lambda change: change.vm.name))
@@ -79,17 +81,17 @@
             if vm.state is interface.VmState.LEAVING
         )
 
-    def _take(self, vm: interface.Vm) -> VmChange | None:
+    def _record_listed(self, vm: interface.Vm) -> VmChange | None:
         before = self.vms.get(vm.name)
         self.vms[vm.name] = vm
         self.missing.pop(vm.name, None)
-        was_gone = vm.name in self.gone
-        self.gone.discard(vm.name)
+        was_removed = vm.name in self.removed
+        self.removed.discard(vm.name)
         if vm.state is interface.VmState.LEAVING:
             if before is None or before.state is not vm.state:
                 return VmChange(Change.LEAVING, vm)
             return None
-        if was_gone:
+        if was_removed:
             return VmChange(Change.BACK, vm)
         if before is None:
             return VmChange(Change.NEW, vm)
@@ -97,11 +99,11 @@
             return VmChange(Change.BACK, vm)
         return None
 
-    def _miss(self, name: str) -> VmChange | None:
+    def _record_missing(self, name: str) -> VmChange | None:
         count = self.missing.get(name, 0) + 1
-        if count < self.lists_to_gone:
+        if count < self.lists_until_removed:
             self.missing[name] = count
             return None
         self.missing.pop(name, None)
-        self.gone.add(name)
-        return VmChange(Change.GONE, self.vms.pop(name))
+        self.removed.add(name)
+        return VmChange(Change.REMOVED, self.vms.pop(name))
--- a/bench/bundles.py
+++ b/bench/bundles.py
@@ -14,7 +14,7 @@
 import defopt
 
 from banyantiller.bundle import canonical, signing, verification
-from banyantiller.bundle.manifest import Accepted, Manifest
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest
 from banyantiller.bundle.options import (
     BackendServer,
     Bundle,
@@ -84,7 +84,7 @@
     return Service(name, servers, path=f"/{name}", requests=rules)
 
 
-def accept(bundle: Bundle) -> tuple[Accepted, tuple[TrustedKey, ...]]:
+def accept(bundle: Bundle) -> tuple[AcceptedBundle, tuple[TrustedKey, ...]]:
     """Signs a bundle as two operators."""
     pairs = {name: signing.KeyPair.generate() for name in ("ana", "ben")}
     parts = tuple(part for part, _ in canonical.split(bundle).values())
@@ -94,7 +94,7 @@
         signing.sign(pairs["ben"].private, "ben", signing.SIGN, manifest),
     )
     trusted = tuple(TrustedKey(n, pair.public) for n, pair in pairs.items())
-    return Accepted(manifest, signatures, time.time(), "ana"), trusted
+    return AcceptedBundle(manifest, signatures, time.time(), "ana"), trusted
 
 
 def median_ms(body: Callable[[], Any], runs: int) -> float:
--- a/standins/object_rest.py
+++ b/standins/object_rest.py
@@ -124,7 +124,7 @@
         version = call.query.get("resourceVersion", "")
         if not version.isdecimal():
             return refuse(400, "BadRequest", "resourceVersion must be given")
-        if self.table.since(call.scope, int(version)) is None:
+        if self.table.writes_since(call.scope, int(version)) is None:
             return refuse(410, "Expired", "too old resource version")
         return messages.Response(
             200, (answers.JSON_TYPE,), self._events(call, int(version))
@@ -138,7 +138,7 @@
             if self.faults.silent_watch:
                 await self.table.wait(self.bookmark_s)
                 continue
-            entries = self.table.since(call.scope, seen)
+            entries = self.table.writes_since(call.scope, seen)
             if entries is None:
                 yield _line("ERROR", _status(410, "Expired", "too old"))
                 return
