--- a/banyantiller/bundle/acceptance.py
+++ b/banyantiller/bundle/acceptance.py
@@ -1,8 +1,9 @@
-"""Rolls a signed proposal: one conditional write of the head accepts it.
+"""Rolls a signed proposal with one conditional write of the head object.
 
-The head object of a deployment is created by the first roll and updated by
-each later one under the resource version that was read, so of two racing
-rolls the object API accepts one. A lost answer is settled by reading back.
+The first roll of a deployment creates the head. Each later roll updates it on
+condition of the resource version that was read, so the object API accepts only
+one of two concurrent rolls. If the response to the write is lost, the head is
+read back to find the outcome.
 """
 
 import asyncio
@@ -38,7 +39,7 @@
 
 
 class _RollRequest(NamedTuple):
-    """One roll: what is to be accepted, and what it follows."""
+    """A bundle to be accepted, and the head that it replaces."""
 
     store: interface.ObjectStore
     deployment: str
@@ -59,12 +60,13 @@
         store: The object API.
         deployment: Fleet that the proposal is for.
         digest: Digest of the proposal, at least 32 digits.
-        operator: Who rolls; any operator whose key is trusted.
+        operator: Operator that rolls; any operator with a trusted key.
 
     Returns:
-        `Rolled` once the object API has shown that the bundle is accepted,
-        also if an earlier roll had accepted it. Unless it is `Rolled` or
-        `NotKnown`, this roll has changed nothing that is in force.
+        `Rolled` once the object API has confirmed that the bundle is
+        accepted, also if an earlier roll accepted it. After any outcome but
+        `Rolled` and `NotKnown`, this roll has not changed the bundle in
+        force.
     """
     proposal = await reading.read_proposal(store, deployment, digest)
     if isinstance(proposal, NotFound | DamagedObject):
@@ -104,7 +106,9 @@
     result = type(outcome).__name__.lower()
     failure = await operator.audit("roll_result", {**detail, "result": result})
     if failure:
-        log.warning("bundle: the result of a roll was not recorded.")
+        log.warning(
+            "bundle: result of a roll was not recorded in the audit trail."
+        )
     return outcome
 
 
@@ -125,7 +129,9 @@
     if base.item is not None and not base.version:
         return Refused((DAMAGED_HEAD,))
     if base.version < manifest.version - 1:
-        return NotReached("it shows an older bundle than was proposed upon")
+        return NotReached(
+            "it returned an older bundle than the proposal follows"
+        )
     return OutOfDate(base.roller, base.version, base.digest)
 
 
@@ -148,7 +154,10 @@
 
 
 async def _write_head(request: _RollRequest) -> RollOutcome:
-    """Writes the head; a try after a lost answer has the same condition."""
+    """Writes the head, with retries.
+
+    A retry after a lost response has the same condition as the first write.
+    """
     attempts = writing.FailedAttempts()
     for pause in writing.retry_pauses():
         outcome = await _write_head_once(request)
@@ -175,7 +184,7 @@
 
 
 async def _read_back(request: _RollRequest) -> RollOutcome | None:
-    """Reads back; None while the head tells nothing newer than before."""
+    """Reads the head back; None if it is no newer than before the write."""
     head = await reading.read_head(request.store, request.deployment)
     if not isinstance(head, HeadFound):
         return None
@@ -189,7 +198,11 @@
 
 
 async def _is_accepted(request: _RollRequest, head: HeadFound) -> bool | None:
-    """Tells whether a head is the attempt or follows it; None if unclear."""
+    """Returns whether a head is the requested bundle or a descendant of it.
+
+    Returns:
+        None if the ancestors of the head cannot be read far enough.
+    """
     if head.digest == request.digest:
         return True
     requested_version = request.accepted.manifest.version
--- a/banyantiller/bundle/approval.py
+++ b/banyantiller/bundle/approval.py
@@ -29,7 +29,7 @@
 
 
 class _SignRequest(NamedTuple):
-    """One operator's will to sign a proposal."""
+    """A proposal to be signed and the operator that signs it."""
 
     store: interface.ObjectStore
     deployment: str
@@ -52,7 +52,7 @@
         operator: The signer, who must not be the proposer.
 
     Returns:
-        `Signed` once the object API has shown the signature.
+        `Signed` once the object API has confirmed the signature.
     """
     request = _SignRequest(store, deployment, digest, operator)
     proposal = await _read_proposal(request)
@@ -75,7 +75,11 @@
 async def _write_signature(
     request: _SignRequest, proposal: ProposalFound
 ) -> SignOutcome:
-    """Adds the signature, also beside one that was added meanwhile."""
+    """Adds the signature, with retries.
+
+    A conflicting update is retried on the proposal as it is then, so that
+    signatures which were added meanwhile are kept.
+    """
     attempts = writing.FailedAttempts()
     current: Any = proposal
     for pause in writing.retry_pauses():
@@ -86,7 +90,9 @@
             outcome = await _update_proposal(request.store, current, signature)
             if isinstance(outcome, interface.Found):
                 return Signed(current.manifest, current.digest)
-            attempts.record(outcome, "others wrote first")
+            attempts.record(
+                outcome, "other operators updated the proposal first"
+            )
         await asyncio.sleep(pause)
         current = await _read_proposal(request)
     return attempts.outcome()
@@ -115,7 +121,7 @@
 async def _find_refusal(
     request: _SignRequest, proposal: ProposalFound, signature: Signature
 ) -> Refused | NotReached | None:
-    """Judges what would be signed: its form, its proposer, its content."""
+    """Checks the manifest, the signatures and the content before signing."""
     if len(proposal.signatures) >= reading.MAX_SIGNATURES:
         return Refused(("The proposal has too many signatures.",))
     proposer_signatures = tuple(
--- a/banyantiller/bundle/canonical.py
+++ b/banyantiller/bundle/canonical.py
@@ -1,8 +1,8 @@
 """Canonical JSON of parts, manifests and accepted bundles.
 
-Canonical means: UTF-8, keys sorted, no spaces, fields at their default left
-out. Decoding is strict: bytes that a decoded value would not be encoded to
-again are refused, so a value has exactly one digest.
+Canonical JSON is UTF-8 with sorted keys and no spaces, and leaves out fields
+that have their default value. Decoding is strict: it rejects bytes that differ
+from the encoding of the decoded value, so each value has exactly one digest.
 """
 
 import hashlib
@@ -23,7 +23,7 @@
 
 
 class CanonicalError(ValueError):
-    """Bytes are not the canonical form of the expected value."""
+    """The bytes are not the canonical JSON of the expected type."""
 
 
 def encode(value: Any) -> bytes:
@@ -76,16 +76,16 @@
 
 
 def decode_part(data: bytes, part: Part) -> Service:
-    """Decodes one part and checks it against the manifest's reference.
+    """Decodes one part and checks it against its reference in the manifest.
 
     Raises:
-        CanonicalError: The bytes do not belong to the reference.
+        CanonicalError: The bytes do not match the reference.
     """
     if len(data) != part.size or digest(data) != part.digest:
         raise CanonicalError(f"the part of '{part.service}' was altered")
     service = decode(data, Service, MAX_BUNDLE_BYTES)
     if service.name != part.service:
-        raise CanonicalError(f"the part of '{part.service}' names another")
+        raise CanonicalError(f"the part of '{part.service}' has another name")
     return service
 
 
@@ -119,7 +119,7 @@
 
 
 def manifest_digest(manifest: Manifest) -> str:
-    """Returns the hex SHA-256 by which a manifest is named."""
+    """Returns the hex SHA-256 that identifies a manifest."""
     return digest(encode_manifest(manifest))
 
 
--- a/banyantiller/bundle/consistency.py
+++ b/banyantiller/bundle/consistency.py
@@ -1,4 +1,4 @@
-"""Checks of a bundle that look at more than one value."""
+"""Checks of a bundle that involve more than one value."""
 
 from collections.abc import Iterator, Sequence
 from typing import TypeVar
@@ -20,11 +20,11 @@
 
 
 def check(bundle: Bundle, problems: Problems) -> None:
-    """Adds what is wrong or doubtful in a bundle.
+    """Adds errors and warnings about a bundle.
 
     Args:
         bundle: The bundle; an item that could not be built is None.
-        problems: Takes the errors and warnings.
+        problems: Collects the errors and warnings.
     """
     if len(bundle.description) > MAX_DESCRIPTION_CHARS:
         message = f"It is longer than {MAX_DESCRIPTION_CHARS} characters."
@@ -40,7 +40,7 @@
 
 
 def path_covers(outer: str, inner: str) -> bool:
-    """Tells whether a path prefix, by whole segments, covers another."""
+    """Returns whether a path prefix, by whole segments, covers another."""
     prefix = outer.rstrip("/")
     return inner.rstrip("/") == prefix or inner.startswith(f"{prefix}/")
 
@@ -126,7 +126,7 @@
 def _shadowed_rules(
     rules: list[tuple[str, RequestRule]],
 ) -> Iterator[tuple[str, str]]:
-    """Yields the places of rules that never match and of what hides them."""
+    """Yields the paths of rules that never match and of the earlier rules."""
     for index, (place, rule) in enumerate(rules):
         for earlier_place, earlier in rules[:index]:
             if _shadows(earlier, rule):
@@ -163,13 +163,17 @@
     last = -1.0
     for where, stage in _present_items(f"{path}.stages", service.stages):
         if stage.after_s <= last:
-            message = f"It must be above {last:g} s, that of the stage before."
+            message = (
+                f"It must be above {last:g} s, the time of the previous stage."
+            )
             problems.error(f"{where}.after_s", message)
         last = max(last, stage.after_s)
         _check_shares(f"{where}.shares", stage.shares, groups, problems)
         named |= {item.group for item in stage.shares if item is not None}
     if service.stages and not service.shares:
-        message = "Until the first stage all groups share the traffic alike."
+        message = (
+            "Until the first stage all groups get equal shares of traffic."
+        )
         problems.warn(f"{path}.stages", message)
     for group in sorted(groups - named) if named else ():
         message = f"The servers of group '{group}' get no share."
--- a/banyantiller/bundle/descriptions.py
+++ b/banyantiller/bundle/descriptions.py
@@ -1,4 +1,4 @@
-"""Sentences on outcomes that are no success."""
+"""Messages for outcomes other than success."""
 
 from banyantiller.bundle.outcomes import (
     DamagedObject,
@@ -22,7 +22,7 @@
 
 
 def describe(outcome: FailureOutcome) -> str:
-    """Returns one or more sentences on an outcome that is no success."""
+    """Returns one or more sentences that explain a failed operation."""
     match outcome:
         case NotFound(what):
             return f"There is no {what}."
--- a/banyantiller/bundle/difference.py
+++ b/banyantiller/bundle/difference.py
@@ -9,7 +9,7 @@
 
 
 class Difference(NamedTuple):
-    """One value that differs.
+    """One value that differs between two bundles.
 
     Attributes:
         path: Path of the value, such as "services[desk].slots".
@@ -32,8 +32,8 @@
 def compare(before: Any, after: Any) -> tuple[Difference, ...]:
     """Compares two typed values of the same type.
 
-    Items of a list that have a name are matched by name, others by place.
-    Unlike in canonical form, values at their default are compared too.
+    List items with a name or group are matched by it, others by index. Unlike
+    canonical JSON, the comparison includes fields at their default value.
     """
     return tuple(_compare_values("", before, after))
 
--- a/banyantiller/bundle/history.py
+++ b/banyantiller/bundle/history.py
@@ -1,4 +1,4 @@
-"""Reads whole bundles and earlier versions from the object API."""
+"""Reads complete bundles and earlier versions from the object API."""
 
 from banyantiller.bundle import reading
 from banyantiller.bundle.manifest import Manifest
--- a/banyantiller/bundle/manifest.py
+++ b/banyantiller/bundle/manifest.py
@@ -1,15 +1,15 @@
-"""Manifests: what is proposed, signed and accepted.
+"""Manifests of bundles, their signatures and acceptance.
 
-A bundle is split into one part a service. A part is canonical JSON (sorted
-keys, no spaces, UTF-8) and is named by its hex SHA-256. The manifest lists
-the parts; operators sign the manifest's canonical JSON.
+A bundle is split into one part per service. A part is canonical JSON (sorted
+keys, no spaces, UTF-8) and is identified by its hex SHA-256. The manifest
+lists the parts; operators sign the canonical JSON of the manifest.
 """
 
 from typing import NamedTuple
 
 
 class Part(NamedTuple):
-    """Reference to one part.
+    """Reference to the part of one service.
 
     Attributes:
         service: Service name.
@@ -23,15 +23,15 @@
 
 
 class Manifest(NamedTuple):
-    """The signed statement of one bundle version.
+    """Description of one bundle version, which operators sign.
 
     Attributes:
         deployment: Fleet that the bundle is for.
         version: 1 for the first bundle, then higher than the parent's.
         parent: Digest of the parent manifest, empty for the first.
         proposer: Operator that proposed it.
-        description: What the change is for.
-        parts: One part a service, sorted by service name.
+        description: Purpose of the change.
+        parts: One part per service, sorted by service name.
     """
 
     deployment: str
@@ -46,9 +46,10 @@
     """One operator's Ed25519 signature of a manifest.
 
     Attributes:
-        operator: Name in the trusted keys.
+        operator: Name of the operator in the trusted keys.
         role: "propose" or "sign".
-        value: Hex signature over role, NUL and the canonical manifest.
+        value: Hex signature over the role, a NUL byte and the canonical JSON
+            of the manifest.
     """
 
     operator: str
@@ -57,12 +58,12 @@
 
 
 class AcceptedBundle(NamedTuple):
-    """A bundle that the object API accepted, as daemons pass it on.
+    """A bundle that was accepted, as the object API and daemons store it.
 
     Attributes:
-        manifest: What was signed.
-        signatures: The proposer's and at least one other signer's.
-        accepted_at: Wall-clock seconds at which the roll was written.
+        manifest: The signed manifest.
+        signatures: Signatures of the proposer and at least one other operator.
+        accepted_at: Wall-clock time of the roll, in seconds.
         roller: Operator that rolled it.
     """
 
--- a/banyantiller/bundle/operators.py
+++ b/banyantiller/bundle/operators.py
@@ -1,4 +1,4 @@
-"""Who changes bundles, and what is needed to act and to be recorded."""
+"""The operator that changes bundles, and its access to the audit trail."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
@@ -6,18 +6,18 @@
 from banyantiller.config.defaults import TrustedKey
 
 AuditRecorder = Callable[[str, dict[str, Any]], Awaitable[str]]
-"""Records an action and its particulars; returns why it failed, or ""."""
+"""Records an action and its details; returns the failure, or an empty text."""
 
 
 class Operator(NamedTuple):
-    """Who acts, and what is needed to act and to be recorded.
+    """An operator with the keys, audit trail and clock that its actions use.
 
     Attributes:
-        name: Name in the trusted keys.
+        name: Name of the operator in the trusted keys.
         private: Private key as 64 hex digits.
         trusted: Keys of all operators.
-        audit: Records an action in the audit trail before it is done.
-        wall: Returns wall-clock seconds.
+        audit: Records an action in the audit trail before it takes place.
+        wall: Returns wall-clock time in seconds.
     """
 
     name: str
--- a/banyantiller/bundle/outcomes.py
+++ b/banyantiller/bundle/outcomes.py
@@ -1,4 +1,8 @@
-"""Tagged outcomes of proposing, signing, rolling and reading bundles."""
+"""Tagged outcomes of proposing, signing, rolling and reading bundles.
+
+The lower-case class names of the members of `RollOutcome` are stored in the
+audit trail, so these classes keep their names.
+"""
 
 import dataclasses
 
@@ -9,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadFound:
-    """A bundle was accepted; `item` is the object that says so."""
+    """A bundle was accepted; `item` is the head object that holds it."""
 
     accepted: AcceptedBundle
     digest: str
@@ -23,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartFound:
-    """A part that fits its reference; `data` is its canonical JSON."""
+    """A part that matches its reference; `data` is its canonical JSON."""
 
     service: Service
     data: bytes
@@ -31,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProposalFound:
-    """A proposal; `item` is the object that holds it."""
+    """A proposal; `item` is the object that stores it."""
 
     manifest: Manifest
     digest: str
@@ -49,11 +53,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DamagedObject:
-    """The object was altered or is not of the expected form.
+    """The object was altered or does not have the expected form.
 
     Attributes:
         reason: One sentence.
-        item: The object, where it may be replaced.
+        item: The object, if it may be replaced.
     """
 
     reason: str
@@ -62,28 +66,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotReached:
-    """The object API gave no answer; nothing was changed."""
+    """The object API did not respond; nothing was changed."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The bundle may not be taken; nothing was changed."""
+    """The bundle is rejected; nothing was changed."""
 
     reasons: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotKnown:
-    """A write may have taken effect; reading back gave no answer in time."""
+    """A write may have taken effect; it could not be read back in time."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutOfDate:
-    """The proposal follows another bundle than the one in force.
+    """The parent of the proposal is not the bundle in force.
 
     Attributes:
         roller: Operator that rolled the bundle in force, or empty.
@@ -101,8 +105,8 @@
     """Another operator's roll was accepted first.
 
     Attributes:
-        winner: Operator that rolled it.
-        version: Version that it has.
+        winner: Operator whose roll was accepted.
+        version: Version in force.
         digest: Digest of its manifest.
     """
 
@@ -113,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposed:
-    """The proposal waits for a signature."""
+    """The proposal is stored and needs a second signature."""
 
     manifest: Manifest
     digest: str
@@ -132,9 +136,10 @@
     """The bundle is accepted.
 
     Attributes:
-        accepted: What the object API holds, or held before a later roll.
+        accepted: The bundle that the object API holds, or held before a later
+            roll.
         digest: Digest of its manifest.
-        note: What the operator should know besides, or empty.
+        note: Additional information for the operator, or empty.
     """
 
     accepted: AcceptedBundle
--- a/banyantiller/bundle/parsing.py
+++ b/banyantiller/bundle/parsing.py
@@ -1,4 +1,4 @@
-"""Parses a bundle file and gathers everything that is wrong with it."""
+"""Parses a bundle file and collects all its errors and warnings."""
 
 from typing import NamedTuple
 
@@ -13,7 +13,7 @@
 
     Attributes:
         bundle: Its typed content.
-        warnings: What its author should look at.
+        warnings: Warnings for its author.
     """
 
     bundle: Bundle
@@ -25,10 +25,10 @@
 
     Args:
         text: YAML text.
-        path: Name of the file for messages.
+        path: File name for messages.
 
     Raises:
-        ConfigError: With every error that was found.
+        ConfigError: The bundle has errors; it lists all of them.
     """
     bundle, problems = loading.load(text, path, Bundle)
     if bundle is not None:
@@ -36,7 +36,7 @@
     problems.raise_errors()
     _check_size(bundle, problems)
     problems.raise_errors()
-    # Services have no order: as parts they are sorted by name.
+    # The order of services has no meaning; parts are sorted by name.
     services = sorted(bundle.services, key=lambda item: item.name)
     ordered = bundle._replace(services=tuple(services))
     return ParsedBundle(ordered, problems.warnings())
--- a/banyantiller/bundle/plain.py
+++ b/banyantiller/bundle/plain.py
@@ -1,8 +1,9 @@
 """Converts typed values to plain JSON values and strictly back.
 
-A `NamedTuple` becomes an object that leaves out fields at their default, so
-an option that a bundle does not use never appears in it. For this reason the
-default of a bundle option is never changed once released.
+A `NamedTuple` becomes an object that leaves out fields at their default value,
+so an option that a bundle does not use never appears in it. The default of a
+released bundle option must therefore never change: stored bundles would get
+another meaning.
 """
 
 import functools
@@ -36,7 +37,7 @@
     """Builds a typed value.
 
     Args:
-        plain: What `to_plain` returned, as JSON carries it.
+        plain: Result of `to_plain`, as decoded from JSON.
         value_type: `NamedTuple` type, `tuple[X, ...]`, `X | None` or a scalar
             type.
         path: Path of the value for messages.
--- a/banyantiller/bundle/proposals.py
+++ b/banyantiller/bundle/proposals.py
@@ -39,13 +39,13 @@
         deployment: Fleet that the bundle is for.
         bundle: Its checked content.
         operator: The proposer.
-        floor: Highest version known to be in force at any daemon. Should
-            the object API have lost accepted bundles, the next version
-            still is above all that daemons hold.
+        floor: Highest version in force at any daemon. It keeps the new
+            version above all versions that daemons hold, even if the object
+            API has lost accepted bundles.
 
     Returns:
         `Proposed` once the proposal and all its parts are stored. Proposing
-        the same content again finds the same proposal.
+        the same content again returns the same proposal.
     """
     head = await reading.read_head(store, deployment)
     if isinstance(head, NotReached):
@@ -76,7 +76,7 @@
 def _find_refusal_reasons(
     manifest: Manifest, signature: Signature, operator: Operator, now: float
 ) -> tuple[str, ...]:
-    """Lists why daemons would refuse the proposal even if another signs it."""
+    """Lists why daemons would reject the proposal even if it is signed."""
     return (
         *verification.check_manifest(manifest, manifest.deployment),
         *verification.check_proposer(
@@ -86,7 +86,7 @@
 
 
 def _next_version(base: reading.ProposalBase, floor: int) -> int:
-    # Version 1 is only for a bundle without a parent.
+    # Version 1 is reserved for a bundle without a parent.
     lowest = 1 if base.digest else 0
     return max(base.version, floor, lowest) + 1
 
@@ -113,7 +113,7 @@
 async def _store_part(
     store: interface.ObjectStore, part: Part, value: dict[str, Any]
 ) -> Refused | NotReached | NotKnown | None:
-    """Stores a part, or renews an old one so that nobody prunes it."""
+    """Stores a part, or writes an old one anew so that it is not pruned."""
     for _ in writing.retry_pauses():
         item = await writing.ensure_exists(
             store,
--- a/banyantiller/bundle/reading.py
+++ b/banyantiller/bundle/reading.py
@@ -42,7 +42,7 @@
 
 
 def decode_head(item: interface.StoredObject) -> HeadFound | DamagedObject:
-    """Decodes a head object, as a read or a watch delivered it."""
+    """Decodes a head object that a read or a watch returned."""
     try:
         accepted = canonical.decode_accepted(_field_bytes(item, "accepted"))
     except canonical.CanonicalError as error:
@@ -52,7 +52,10 @@
 
 
 def head_value(accepted: AcceptedBundle) -> dict[str, Any]:
-    """Builds the value of a head; all but "accepted" is for readers."""
+    """Builds the value of a head; only "accepted" is decoded again.
+
+    The other fields are for people who inspect the object.
+    """
     return {
         "accepted": canonical.encode_accepted(accepted).decode(),
         "digest": canonical.manifest_digest(accepted.manifest),
@@ -61,14 +64,14 @@
 
 
 class ProposalBase(NamedTuple):
-    """What a next bundle follows.
+    """The state of the head that the next bundle is based on.
 
     Attributes:
         version: Version in force, 0 if there is none or it is unreadable.
-        digest: Digest that the next bundle names as its parent, or empty.
-        roller: Who rolled it, or empty.
-        parts: Its parts, which are stored already.
-        item: The head to replace, or None if there is none.
+        digest: Digest that the next bundle has as its parent, or empty.
+        roller: Operator that rolled the bundle in force, or empty.
+        parts: Parts of the bundle in force, which are already stored.
+        item: The head object to replace, or None if there is none.
     """
 
     version: int = 0
@@ -81,10 +84,10 @@
     def from_head(
         cls, head: HeadFound | NoHead | DamagedObject
     ) -> "ProposalBase":
-        """Takes what a read of the head found.
+        """Builds the base from the outcome of reading the head.
 
-        A head that is damaged can be followed too, by the digest of what
-        it holds; otherwise nobody could replace it.
+        A damaged head is identified by the digest of its content, so that a
+        new bundle can replace it.
         """
         if isinstance(head, HeadFound):
             accepted = head.accepted
@@ -104,7 +107,7 @@
 
 
 async def read_part(store: interface.ObjectStore, part: Part) -> ReadPart:
-    """Reads a part and checks it against the manifest's reference."""
+    """Reads a part and checks it against its reference in the manifest."""
     outcome = await store.get(PARTS, part.digest)
     if isinstance(outcome, interface.Unavailable):
         return NotReached(outcome.reason)
@@ -151,7 +154,7 @@
 async def read_proposal(
     store: interface.ObjectStore, deployment: str, digest: str
 ) -> ReadProposal:
-    """Reads a proposal by its digest, of which 32 digits suffice."""
+    """Reads a proposal by its digest, or by the first 32 digits of it."""
     outcome = await store.get(PROPOSALS, proposal_name(deployment, digest))
     if isinstance(outcome, interface.Unavailable):
         return NotReached(outcome.reason)
--- a/banyantiller/bundle/retention.py
+++ b/banyantiller/bundle/retention.py
@@ -1,9 +1,9 @@
-"""Deletes proposals and parts that nothing needs any more.
+"""Deletes proposals and parts that are no longer needed.
 
-Parts are listed before proposals. A part that a proposal uses anew is written
-again when it is old, so its resource version changes and a delete that was
-decided before fails. A part is therefore never deleted under a proposal that
-was made within `MIN_AGE_S` of storing its parts.
+Parts are listed before proposals. A proposal that reuses an old part writes it
+again, which changes its resource version, so a delete that was decided before
+fails. A part is therefore never deleted while a proposal needs it that was
+stored within `MIN_AGE_S` of its parts.
 """
 
 import dataclasses
@@ -28,12 +28,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PruneResult:
-    """What was deleted, or would be.
+    """Objects that were deleted, or would be in a dry run.
 
     Attributes:
         proposals: Names of proposals.
         parts: Names of parts.
-        failed: Deletes that the object API did not confirm.
+        failed: Number of deletes that the object API did not confirm.
     """
 
     proposals: tuple[str, ...]
@@ -51,14 +51,14 @@
     operator: Operator,
     dry_run: bool = False,
 ) -> PruneOutcome:
-    """Deletes what neither the kept versions nor young proposals need.
+    """Deletes objects that neither kept versions nor recent proposals need.
 
     Args:
         store: The object API of the deployment.
         deployment: Fleet whose bundles are pruned.
         versions: Accepted versions to keep, the one in force included.
-        operator: Who prunes.
-        dry_run: Only tell what would be deleted.
+        operator: Operator that prunes.
+        dry_run: Only return what would be deleted.
     """
     if versions < MIN_VERSIONS:
         return Refused((f"Keep at least {MIN_VERSIONS} versions.",))
@@ -88,7 +88,7 @@
     versions: int,
     before: float,
 ) -> list[interface.StoredObject]:
-    """Returns what is older than `before` and not needed any more."""
+    """Returns objects older than `before` that are no longer needed."""
     decoded = [reading.decode_proposal(item) for item in proposals]
     found = [item for item in decoded if isinstance(item, ProposalFound)]
     kept = _latest_accepted(head, found, versions)
--- a/banyantiller/bundle/signing.py
+++ b/banyantiller/bundle/signing.py
@@ -1,4 +1,4 @@
-"""Ed25519 keys of operators and signatures of manifests."""
+"""Ed25519 keys of operators and their signatures of manifests."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
     """A key pair as hex digits.
 
     Attributes:
-        private: 32 bytes as 64 hex digits; to be kept secret.
+        private: 32 bytes as 64 hex digits; must be kept secret.
         public: 32 bytes as 64 hex digits.
     """
 
@@ -25,7 +25,7 @@
 
     @classmethod
     def generate(cls) -> "KeyPair":
-        """Makes a new key pair."""
+        """Generates a new key pair."""
         return cls.from_private(
             ed25519.Ed25519PrivateKey.generate().private_bytes_raw().hex()
         )
@@ -57,7 +57,7 @@
 
 
 def is_valid(public: str, signature: Signature, manifest: Manifest) -> bool:
-    """Tells whether a signature of a manifest was made by a key."""
+    """Returns whether a signature of a manifest was made with a key."""
     try:
         key = ed25519.Ed25519PublicKey.from_public_bytes(bytes.fromhex(public))
         key.verify(
--- a/banyantiller/bundle/validity.py
+++ b/banyantiller/bundle/validity.py
@@ -1,4 +1,4 @@
-"""Checks the content of a bundle that did not come from a file here."""
+"""Checks the content of a bundle that was not parsed from a local file."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def find_errors(bundle: Bundle) -> tuple[str, ...]:
-    """Lists what is wrong with a bundle: single values, then consistency."""
+    """Lists errors of single values or, if there are none, of consistency."""
     found = tuple(_check_values(bundle, fields.NO_OPTION, ""))
     if found:
         return found
--- a/banyantiller/bundle/verification.py
+++ b/banyantiller/bundle/verification.py
@@ -1,9 +1,9 @@
 """Decides whether an accepted bundle may be put in force.
 
-A key's `not_after` limits what the key may bring into force, not how long
-it stays there: expiry is judged at the time of acceptance. Otherwise a
-daemon that restarts after the expiry would have no bundle at all. A key that
-was stolen is taken out of the trusted keys instead of left to expire.
+A key's `not_after` limits which bundles the key may bring into force, not how
+long they stay in force: expiry is checked at the time of acceptance. Otherwise
+a daemon that restarts after the expiry would have no bundle at all. A stolen
+key has to be removed from the trusted keys instead.
 """
 
 import datetime
@@ -21,14 +21,14 @@
     deployment: str,
     wall_now: float,
 ) -> tuple[str, ...]:
-    """Lists the reasons for which an accepted bundle must be refused.
+    """Lists the reasons to reject an accepted bundle.
 
     Args:
-        accepted: The bundle as the object API or a peer gave it.
+        accepted: The bundle as received from the object API or a peer.
         trusted: Keys of operators.
         deployment: Fleet of this process.
-        wall_now: Wall-clock seconds; an acceptance later than this is taken
-            to have happened now.
+        wall_now: Wall-clock time in seconds; a later time of acceptance is
+            replaced by it.
 
     Returns:
         One sentence for each reason; empty if the bundle may be used.
@@ -41,7 +41,7 @@
 
 
 def check_manifest(manifest: Manifest, deployment: str) -> tuple[str, ...]:
-    """Lists what is wrong with a manifest itself."""
+    """Lists errors of a manifest itself."""
     reasons = []
     if manifest.deployment != deployment:
         reasons.append(
@@ -70,16 +70,16 @@
     trusted: tuple[TrustedKey, ...],
     at: float,
 ) -> tuple[str, ...]:
-    """Lists why the signatures do not suffice.
+    """Lists why the signatures are not sufficient.
 
     One valid signature of the proposer and one of another operator with
-    another key suffice; further signatures are not judged.
+    another key are sufficient; any other signatures are ignored.
 
     Args:
-        manifest: What was signed.
+        manifest: The signed manifest.
         signatures: Signatures of any operators.
         trusted: Keys of operators.
-        at: Wall-clock seconds at which the keys have to be valid.
+        at: Wall-clock time in seconds at which the keys must be valid.
     """
     proposer_reasons = check_proposer(manifest, signatures, trusted, at)
     if proposer_reasons:
@@ -109,7 +109,7 @@
     trusted: tuple[TrustedKey, ...],
     at: float,
 ) -> tuple[str, ...]:
-    """Lists why the proposer's signature does not suffice."""
+    """Lists why the proposer's signature is not sufficient."""
     reasons = []
     for signature in signatures:
         if signature.role != signing.PROPOSE:
@@ -130,15 +130,15 @@
     at: float,
     proposer_keys: list[str] | None = None,
 ) -> str:
-    """Returns what is wrong with one signature, or an empty text.
+    """Returns the error of one signature, or an empty text.
 
     Args:
-        manifest: What was signed.
+        manifest: The signed manifest.
         signature: The signature.
         trusted: Keys of operators.
-        at: Wall-clock seconds at which the key has to be valid.
-        proposer_keys: Public keys of the proposer, for a signature that has
-            to come from someone else.
+        at: Wall-clock time in seconds at which the key must be valid.
+        proposer_keys: Public keys of the proposer, with which a second
+            signature must not be made.
     """
     operator = signature.operator
     if signature.role == signing.SIGN and operator == manifest.proposer:
@@ -164,7 +164,7 @@
 
 
 def is_expired(key: TrustedKey, at: float) -> bool:
-    """Tells whether a key's last day, in UTC, is over."""
+    """Returns whether the last valid day of a key, in UTC, is over."""
     if not key.not_after:
         return False
     last = datetime.datetime.fromisoformat(key.not_after)
--- a/banyantiller/bundle/writing.py
+++ b/banyantiller/bundle/writing.py
@@ -1,4 +1,4 @@
-"""Writes that settle a lost answer by reading back."""
+"""Helpers for writes that are read back if the response is lost."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 def retry_pauses() -> Iterator[float]:
-    """Yields the pause after each try, `MOST_TRIES` times."""
+    """Yields the pause in seconds after each attempt, `MOST_TRIES` times."""
     pause = INITIAL_PAUSE_S
     for _ in range(MAX_ATTEMPTS):
         yield pause
@@ -24,10 +24,10 @@
 
 
 class FailedAttempts:
-    """What the failed tries of one write leave open.
+    """Summary of the failed attempts of one write.
 
     Attributes:
-        unsure: Whether one of them may have taken effect.
+        may_have_written: Whether one of them may have taken effect.
         reason: Why the last one failed.
     """
 
@@ -48,14 +48,14 @@
         self.reason = getattr(outcome, "reason", default_reason)
 
     def outcome(self) -> NotKnown | NotReached:
-        """Returns the outcome when there are no more tries."""
+        """Returns the outcome after the last attempt."""
         if self.may_have_written:
             return NotKnown(self.reason)
         return NotReached(self.reason)
 
 
 def json_size(value: dict[str, Any]) -> int:
-    """Returns the most bytes that a value takes as JSON."""
+    """Returns the maximum size of a value as JSON, in bytes."""
     return len(json.dumps(value, separators=(",", ":")))
 
 
@@ -67,15 +67,15 @@
     labels: dict[str, str],
     is_same: Callable[[interface.StoredObject], bool],
 ) -> interface.StoredObject | DamagedObject | NotReached | NotKnown:
-    """Creates an object unless the same one exists already.
+    """Creates an object unless the same one already exists.
 
     Args:
         store: The object API.
         object_kind: Kind of the object.
-        name: Its name, which follows from its content.
-        value: Its value.
-        labels: Its labels.
-        is_same: Tells whether an existing object stands for the same content.
+        name: Name of the object, derived from its content.
+        value: Value of the object.
+        labels: Labels of the object.
+        is_same: Returns whether an existing object has the same content.
 
     Returns:
         The object; `Damaged` if another one has its name.
--- a/banyantiller/config/bounds.py
+++ b/banyantiller/config/bounds.py
@@ -1,4 +1,4 @@
-"""Judges single values by the option that declares them."""
+"""Checks single values against the option that declares them."""
 
 import re
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 def find_error(value: Any, option: Option) -> str:
-    """Returns what is wrong with a scalar under an option, or nothing."""
+    """Returns the error of a scalar under an option, or an empty text."""
     if isinstance(value, str):
         return _find_text_error(value, option)
     if isinstance(value, bool):
--- a/banyantiller/config/checks.py
+++ b/banyantiller/config/checks.py
@@ -1,6 +1,6 @@
 """Named checks of single values, used by `Option.check`.
 
-Each check takes a text and returns what is wrong with it, or an empty text.
+Each check takes a text and returns its error, or an empty text if it is valid.
 """
 
 import datetime
@@ -16,11 +16,11 @@
 
 
 def ip_address(text: str) -> str:
-    """Accepts an IPv4 or IPv6 number."""
+    """Accepts an IPv4 or IPv6 address."""
     try:
         ipaddress.ip_address(text)
     except ValueError:
-        return "is not an IP number"
+        return "is not an IP address"
     return ""
 
 
@@ -29,7 +29,7 @@
     if not text.startswith("/"):
         return "does not begin with '/'"
     if any(char in "?#" or char <= " " or char > "~" for char in text):
-        return "has a character that a path cannot have"
+        return "has a character that is not allowed in a path"
     return ""
 
 
@@ -39,8 +39,8 @@
 
 
 def method(text: str) -> str:
-    """Accepts an HTTP method in capitals."""
-    return "" if METHOD.fullmatch(text) else "is not a method in capitals"
+    """Accepts an HTTP method in upper case."""
+    return "" if METHOD.fullmatch(text) else "is not a method in upper case"
 
 
 def host(text: str) -> str:
@@ -49,13 +49,13 @@
 
 
 def date(text: str) -> str:
-    """Accepts an empty text or a date as YYYY-MM-DD."""
+    """Accepts an empty text or a date in the form YYYY-MM-DD."""
     if not text:
         return ""
     try:
         datetime.date.fromisoformat(text)
     except ValueError:
-        return "is not a date as YYYY-MM-DD"
+        return "is not a date in the form YYYY-MM-DD"
     return ""
 
 
--- a/banyantiller/config/defaults.py
+++ b/banyantiller/config/defaults.py
@@ -1,6 +1,6 @@
 """Every setting of the daemon, declared once with its default.
 
-Fields without a default must be given in the settings file.
+Fields without a default are required in the settings file.
 """
 
 from typing import Annotated, NamedTuple
@@ -16,16 +16,16 @@
 
 
 class Endpoint(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
-    address: Annotated[str, Option("IP number.", check="ip_address")]
+    address: Annotated[str, Option("IP address.", check="ip_address")]
     port: Annotated[
         int, Option("Port; 0 lets the system choose.", low=0, high=65535)
     ]
 
 
 class TlsFiles(NamedTuple):
-    """Files for TLS on one side."""
+    """TLS files of one side of a connection."""
 
     certificate: Annotated[
         str, Option("Path of the PEM certificate chain.")
@@ -34,15 +34,15 @@
     trust: Annotated[
         str,
         Option(
-            "Path of the PEM certificates to trust. If empty, the system's are"
-            " trusted, and callers need no certificate."
+            "Path of the trusted PEM certificates. If empty, those of the"
+            " system are trusted, and callers need no certificate."
         ),
     ] = ""
     server_name: Annotated[
         str,
         Option(
-            "Name expected in the other side's certificate. If empty, its IP"
-            " number is expected; between daemons no name is."
+            "Expected name in the certificate of the other side. If empty, its"
+            " IP address is expected; between daemons the name is not checked."
         ),
     ] = ""
 
@@ -59,32 +59,32 @@
     ]
     roles: Annotated[
         tuple[str, ...],
-        Option("What the key may do.", choices=("propose", "sign")),
+        Option("Roles of the key.", choices=("propose", "sign")),
     ] = ("propose", "sign")
     not_after: Annotated[
         str,
         Option(
-            "UTC date after which the key signs nothing new, or empty.",
+            "Last UTC date on which the key may sign, or empty.",
             check="date",
         ),
     ] = ""
 
 
 class ObjectApiSettings(NamedTuple):
-    """How the platform's object API is reached."""
+    """Access to the platform's object API."""
 
-    endpoint: Annotated[Endpoint, Option("Where the object API listens.")]
+    endpoint: Annotated[Endpoint, Option("Address of the object API.")]
     adapter: Annotated[str, Option("Name of the plug-in.")] = "kubernetes"
-    group: Annotated[str, Option("API group of the product's kinds.")] = (
+    group: Annotated[str, Option("API group of the object kinds.")] = (
         "banyantiller.example"
     )
     timeout_s: Annotated[
         float,
-        Option("Longest wait for one answer.", unit="s", low=0.05, high=60),
+        Option("Timeout of a request.", unit="s", low=0.05, high=60),
     ] = 2.0
     bookmark_s: Annotated[
         float,
-        Option("A watch silent for longer is opened anew.", unit="s", low=0.2),
+        Option("Timeout of a watch without events.", unit="s", low=0.2),
     ] = 3.0
     poll_s: Annotated[
         float,
@@ -93,7 +93,7 @@
         ),
     ] = 10.0
     watchers: Annotated[
-        int, Option("Daemons that watch the object API.", low=1, high=64)
+        int, Option("Number of daemons that watch it.", low=1, high=64)
     ] = 3
     tls: Annotated[TlsFiles | None, Option("TLS towards the object API.")] = (
         None
@@ -101,9 +101,9 @@
 
 
 class VmListSettings(NamedTuple):
-    """How the platform's VM list is reached."""
+    """Access to the platform's VM list."""
 
-    endpoint: Annotated[Endpoint, Option("Where the VM list listens.")]
+    endpoint: Annotated[Endpoint, Option("Address of the VM list.")]
     adapter: Annotated[str, Option("Name of the plug-in.")] = "http"
     period_s: Annotated[
         float, Option("Period of reads.", unit="s", low=0.2, high=300)
@@ -111,9 +111,11 @@
 
 
 class PeerSettings(NamedTuple):
-    """How daemons reach each other."""
+    """Connections between daemons."""
 
-    listen: Annotated[Endpoint, Option("Where this daemon listens for peers.")]
+    listen: Annotated[
+        Endpoint, Option("Address on which this daemon listens for peers.")
+    ]
     seeds: Annotated[
         tuple[Endpoint, ...], Option("Peers to contact first.", most=64)
     ] = ()
@@ -122,7 +124,7 @@
         Option("Shared secret that authenticates peers when TLS is not set."),
     ] = ""
     links: Annotated[
-        int, Option("Most outgoing links to other daemons.", low=1, high=16)
+        int, Option("Maximum outgoing links to peers.", low=1, high=16)
     ] = 4
     heartbeat_s: Annotated[
         float,
@@ -130,7 +132,11 @@
     ] = 0.5
     suspect_s: Annotated[
         float,
-        Option("Silence after which a peer is suspected.", unit="s", low=0.1),
+        Option(
+            "Time without messages until a peer is suspected.",
+            unit="s",
+            low=0.1,
+        ),
     ] = 2.0
     tls: Annotated[
         TlsFiles | None, Option("TLS between daemons, both sides verified.")
@@ -138,61 +144,70 @@
 
 
 class CallerSettings(NamedTuple):
-    """How callers are served."""
+    """Connections of callers."""
 
     listen: Annotated[
-        Endpoint, Option("Where this daemon listens for callers.")
+        Endpoint, Option("Address on which this daemon listens for callers.")
     ]
     head_timeout_s: Annotated[
         float,
-        Option("Longest wait for a whole request head.", unit="s", low=0.05),
+        Option("Timeout of reading a request head.", unit="s", low=0.05),
     ] = 10.0
     body_timeout_s: Annotated[
         float,
-        Option("Longest silence within a request body.", unit="s", low=0.05),
+        Option("Timeout of one read of a request body.", unit="s", low=0.05),
     ] = 10.0
     idle_timeout_s: Annotated[
-        float, Option("Longest idle time of a connection.", unit="s", low=0.05)
+        float, Option("Idle timeout of a connection.", unit="s", low=0.05)
     ] = 60.0
     write_timeout_s: Annotated[
         float,
         Option(
-            "Longest stall of a caller reading an answer.", unit="s", low=0.05
+            "Maximum stall of a caller that reads a response.",
+            unit="s",
+            low=0.05,
         ),
     ] = 30.0
     max_head_bytes: Annotated[
         int,
-        Option("Largest request head.", unit="bytes", low=1024, high=1 << 20),
+        Option(
+            "Maximum size of a request head.",
+            unit="bytes",
+            low=1024,
+            high=1 << 20,
+        ),
     ] = 32768
     max_body_bytes: Annotated[
-        int, Option("Largest request body.", unit="bytes", low=1)
+        int, Option("Maximum size of a request body.", unit="bytes", low=1)
     ] = 1 << 30
     replay_bytes: Annotated[
         int,
         Option(
-            "Largest request body kept for another try.", unit="bytes", low=0
+            "Maximum size of a request body kept for a retry.",
+            unit="bytes",
+            low=0,
         ),
     ] = 65536
     max_connections: Annotated[
-        int, Option("Most open caller connections.", low=1)
+        int, Option("Maximum open connections of callers.", low=1)
     ] = 4096
     tls: Annotated[TlsFiles | None, Option("TLS towards callers.")] = None
 
 
 class BackendSettings(NamedTuple):
-    """How backend servers are reached."""
+    """Connections to backend servers."""
 
     connect_timeout_s: Annotated[
-        float, Option("Longest wait for a connection.", unit="s", low=0.01)
+        float, Option("Timeout of connecting.", unit="s", low=0.01)
     ] = 0.2
     idle_timeout_s: Annotated[
         float,
-        Option("Longest idle time of a pooled connection.", unit="s", low=0.1),
+        Option("Idle timeout of a pooled connection.", unit="s", low=0.1),
     ] = 30.0
     proven_s: Annotated[
         float,
         Option(
-            "A non-idempotent request reuses only a connection that answered"
+            "A non-idempotent request reuses only a connection with a response"
             " within this time.",
             unit="s",
             low=0,
@@ -200,11 +215,16 @@
     ] = 1.0
     silence_s: Annotated[
         float,
-        Option("Longest silence within an answer body.", unit="s", low=0.05),
+        Option("Timeout of one read of a response body.", unit="s", low=0.05),
     ] = 30.0
     max_head_bytes: Annotated[
         int,
-        Option("Largest answer head.", unit="bytes", low=1024, high=1 << 20),
+        Option(
+            "Maximum size of a response head.",
+            unit="bytes",
+            low=1024,
+            high=1 << 20,
+        ),
     ] = 65536
     tls: Annotated[TlsFiles | None, Option("TLS towards backend servers.")] = (
         None
@@ -217,29 +237,29 @@
     grace_s: Annotated[
         float,
         Option(
-            "Time that listeners go on after readiness falls.", unit="s", low=0
+            "Time from losing readiness until listeners close.", unit="s", low=0
         ),
     ] = 5.0
     limit_s: Annotated[
-        float, Option("Longest wait for calls in flight.", unit="s", low=0)
+        float, Option("Maximum wait for calls in flight.", unit="s", low=0)
     ] = 60.0
 
 
 class OutageSettings(NamedTuple):
-    """What a daemon does without the object API and without peers."""
+    """Behaviour of a daemon that reaches neither the object API nor peers."""
 
     when_isolated: Annotated[
         str,
         Option(
-            "'fence' refuses calls as not run; 'serve' goes on with the bundle"
-            " in force.",
+            "'fence' rejects calls as not run; 'serve' continues with the"
+            " bundle in force.",
             choices=("fence", "serve"),
         ),
     ] = "serve"
     isolated_after_s: Annotated[
         float,
         Option(
-            "Silence of store and peers that counts as isolated.",
+            "Time without store and peers that counts as isolated.",
             unit="s",
             low=1,
         ),
@@ -251,26 +271,26 @@
 
     level: Annotated[
         str,
-        Option("Least level.", choices=("debug", "info", "warning", "error")),
+        Option("Minimum level.", choices=("debug", "info", "warning", "error")),
     ] = "info"
     format: Annotated[
-        str, Option("Form of a line.", choices=("json", "text"))
+        str, Option("Format of a line.", choices=("json", "text"))
     ] = "json"
     access: Annotated[bool, Option("Whether each call is logged.")] = False
 
 
 class EvidenceSettings(NamedTuple):
-    """Summaries of what held, written to the object API."""
+    """Summaries of which promises held, written to the object API."""
 
     period_s: Annotated[
         float, Option("Period of summaries.", unit="s", low=1, high=3600)
     ] = 30.0
     most_requests: Annotated[
-        int, Option("Most requests named in one summary.", low=1, high=1000)
+        int, Option("Maximum requests listed in a summary.", low=1, high=1000)
     ] = 50
     retention_days: Annotated[
         int,
-        Option("Days for which summaries are kept.", unit="d", low=1, high=800),
+        Option("Time for which summaries are kept.", unit="d", low=1, high=800),
     ] = 30
 
 
@@ -289,7 +309,7 @@
     ]
     callers: Annotated[CallerSettings, Option("Callers.")]
     admin: Annotated[
-        Endpoint, Option("Where health, readiness and metrics are served.")
+        Endpoint, Option("Address that serves health, readiness and metrics.")
     ]
     peers: Annotated[PeerSettings, Option("Other daemons.")]
     object_api: Annotated[
@@ -316,14 +336,14 @@
     quarantine_s: Annotated[
         float,
         Option(
-            "Time for which a request under which servers ended is refused.",
+            "Time for which a request that crashes servers is refused.",
             unit="s",
             low=1,
         ),
     ] = 300.0
     routing: Annotated[str, Option("Name of the routing plug-in.")] = "adaptive"
     load_reader: Annotated[
-        str, Option("Name of the plug-in that reads the load servers tell.")
+        str, Option("Name of the plug-in that reads servers' load reports.")
     ] = "orca"
     trace_file: Annotated[
         str, Option("File that records a trace for replay, or empty.")
@@ -348,7 +368,7 @@
     ]
     key_file: Annotated[
         str,
-        Option("Path of the operator's private key; needed to change things."),
+        Option("Path of the operator's private key; required for changes."),
     ] = ""
     trusted_keys: Annotated[
         tuple[TrustedKey, ...], Option("Keys of operators.", most=64)
--- a/banyantiller/config/documents.py
+++ b/banyantiller/config/documents.py
@@ -1,4 +1,4 @@
-"""Reads YAML text into nodes that know their place, within bounds."""
+"""Reads YAML text of bounded size into nodes with line and column."""
 
 import yaml
 
@@ -15,7 +15,7 @@
 
 
 def place(mark: yaml.Mark | None) -> Place:
-    """Converts a mark of the YAML reader."""
+    """Converts a position of the YAML parser."""
     if mark is None:
         return START
     return Place(mark.line + 1, mark.column + 1)
@@ -41,14 +41,14 @@
 
 
 def compose(text: str, file: str) -> yaml.Node:
-    """Composes the one document of a text.
+    """Parses a text that is one YAML document.
 
     Args:
         text: YAML text.
-        file: Name for messages.
+        file: File name for messages.
 
     Returns:
-        The root node; its size and depth without aliases are bounded.
+        The root node, with bounded size and depth before aliases are expanded.
 
     Raises:
         ConfigError: The text is too large, empty or not YAML.
--- a/banyantiller/config/fields.py
+++ b/banyantiller/config/fields.py
@@ -1,4 +1,4 @@
-"""What is declared about option groups: their fields and types."""
+"""Introspection of option groups: their fields and types."""
 
 import functools
 import types
@@ -16,8 +16,8 @@
     Attributes:
         name: Name of the field and of its key in the file.
         kind: Type without its annotation.
-        option: What is said about it.
-        required: Whether the file must give it.
+        option: Declaration of the option.
+        required: Whether the file must contain it.
         default: Default value, if it is not required.
     """
 
@@ -42,7 +42,7 @@
 
 
 def is_group(kind: Any) -> bool:
-    """Tells whether a type is a group of options."""
+    """Returns whether a type is a group of options."""
     return isinstance(kind, type) and hasattr(kind, "_fields")
 
 
@@ -62,7 +62,7 @@
 
 
 def unwrap(hint: Any) -> tuple[Any, Option]:
-    """Splits a type from the option that it is annotated with."""
+    """Splits an annotated type into the type and its option."""
     if typing.get_origin(hint) is not typing.Annotated:
         return hint, NO_OPTION
     inner, *notes = typing.get_args(hint)
--- a/banyantiller/config/loading.py
+++ b/banyantiller/config/loading.py
@@ -1,4 +1,4 @@
-"""Loads YAML into the typed options, gathering every error with its place."""
+"""Loads YAML into typed options; collects all errors with their places."""
 
 from typing import Any
 
@@ -20,16 +20,16 @@
 
 
 def load(text: str, file: str, kind: type) -> tuple[Any, Problems]:
-    """Loads a YAML text into a `NamedTuple` type whose fields are annotated.
+    """Loads a YAML text into a `NamedTuple` type with annotated fields.
 
     Args:
         text: YAML text.
-        file: Name for messages.
+        file: File name for messages.
         kind: The type to build.
 
     Returns:
-        The value, and the problems found. While there are errors the value
-        may be None, and a list in it holds None for an item that is wrong.
+        The value and the problems found. If there are errors, the value may be
+        None, and lists in it contain None in place of invalid items.
 
     Raises:
         ConfigError: The text is not one bounded YAML document.
@@ -41,14 +41,14 @@
 
 
 class _Builder:
-    """Builds typed values from nodes; counts values so aliases stay bounded."""
+    """Builds typed values from nodes; bounds the expansion of aliases."""
 
     def __init__(self, problems: Problems) -> None:
         self.problems = problems
         self.values = 0
 
     def build(self, node: yaml.Node, kind: Any, option: Option, path: str):
-        """Builds one value, or `_INVALID` after noting what is wrong."""
+        """Builds one value; returns `_INVALID` after recording an error."""
         self.problems.places[path] = documents.place(node.start_mark)
         self.values += 1
         if self.values > MAX_VALUES:
--- a/banyantiller/config/problems.py
+++ b/banyantiller/config/problems.py
@@ -1,4 +1,4 @@
-"""Problems found in a file, each with its place, and how they are shown."""
+"""Errors and warnings about a file, with their places and rendering."""
 
 import difflib
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 
 
 class Place(NamedTuple):
-    """Where a value stands in its file; both numbers count from 1."""
+    """Position of a value in its file; both numbers start at 1."""
 
     line: int
     column: int
@@ -24,7 +24,7 @@
         place: Line and column.
         path: Path of the value, such as "services[2].servers[0].port".
         message: One or more sentences.
-        warning: Whether the file may be used all the same.
+        warning: Whether it is a warning, which does not prevent use.
     """
 
     file: str
@@ -34,7 +34,7 @@
     warning: bool = False
 
     def text(self) -> str:
-        """Renders one line in the form that editors can follow."""
+        """Renders one line in the format that editors recognise."""
         level = "warning" if self.warning else "error"
         where = f"{self.path}: " if self.path else ""
         line, column = self.place
@@ -42,12 +42,12 @@
 
 
 class Problems:
-    """Gathers the problems of one file.
+    """Collects the problems of one file.
 
     Attributes:
         file: File as the user named it.
         found: Problems so far.
-        places: Place of each value by its path, for later checks.
+        places: Place of each value by its path, for checks after loading.
     """
 
     def __init__(self, file: str) -> None:
@@ -69,7 +69,7 @@
         self.found.append(Problem(self.file, place, path, message, True))
 
     def place_of(self, path: str) -> Place:
-        """Returns the place of a value, or of what it stands in."""
+        """Returns the place of a value, or of the nearest value around it."""
         while path and path not in self.places:
             path = path[: max(path.rfind("."), path.rfind("["), 0)]
         return self.places.get(path, Place(1, 1))
@@ -83,10 +83,10 @@
         return _ordered(item for item in self.found if item.warning)
 
     def raise_errors(self) -> None:
-        """Raises every error at once, if there is any, and the warnings.
+        """Raises all errors together with the warnings, if there is any error.
 
         Raises:
-            ConfigError: With the whole list, one line each.
+            ConfigError: There are errors; its text has one line per problem.
         """
         if self.errors():
             problems = _ordered(self.found)
@@ -95,7 +95,7 @@
 
 
 def suggestion(name: str, known: Iterable[str]) -> str:
-    """Returns a sentence that names the nearest known name, or nothing."""
+    """Returns a sentence with the most similar known name, or an empty text."""
     near = difflib.get_close_matches(name, list(known), 1, SUGGESTION_CUTOFF)
     return f" Did you mean '{near[0]}'?" if near else ""
 
--- a/banyantiller/config/reference.py
+++ b/banyantiller/config/reference.py
@@ -16,10 +16,10 @@
 
 
 def render(kind: type, title: str, introduction: str) -> str:
-    """Renders the page of an option group and of all groups within it.
+    """Renders the page of an option group and all groups nested in it.
 
     Args:
-        kind: The group at the root of the file.
+        kind: The root group of the file.
         title: Heading of the page.
         introduction: Text under the heading.
 
--- a/banyantiller/config/scalars.py
+++ b/banyantiller/config/scalars.py
@@ -1,7 +1,7 @@
 """Reads single values from YAML nodes, more strictly than YAML does.
 
-A reader returns None for a node of another kind. So an unquoted `yes`, an
-octal number or a date is never taken for something that it is not.
+A reader returns None for a node of another type, so that an unquoted `yes`, an
+octal number or a date is never read as a value of another type.
 """
 
 import re
@@ -31,10 +31,10 @@
 
 
 def tag(node: yaml.Node) -> str:
-    """Returns the kind of a node, such as "str", "null" or "seq".
+    """Returns the type tag of a node, such as "str", "null" or "seq".
 
-    A file may put the tag of a scalar on a list or a mapping; the tag of the
-    node's form counts then.
+    A file may put the tag of a scalar on a list or a mapping; such a tag is
+    ignored.
     """
     if isinstance(node, yaml.SequenceNode):
         return "seq"
@@ -44,24 +44,24 @@
 
 
 def describe(node: yaml.Node) -> str:
-    """Names the kind of a node for a message."""
+    """Returns the type of a node in words, for a message."""
     return NODE_NAMES.get(tag(node), "a value of another type")
 
 
 def is_unquoted(node: yaml.Node) -> bool:
-    """Tells whether a node is a single value without quotes."""
+    """Returns whether a node is a single value without quotes."""
     return isinstance(node, yaml.ScalarNode) and not node.style
 
 
 def read_text(node: yaml.Node) -> str | None:
-    """Reads a text; a date counts as one, for options that hold a date."""
+    """Reads a text; accepts dates too, for options that are dates."""
     if tag(node) not in ("str", "timestamp"):
         return None
     return node.value if _is_encodable(node.value) else None
 
 
 def read_integer(node: yaml.Node) -> int | None:
-    """Reads a whole number in decimal digits."""
+    """Reads an integer in decimal digits."""
     if tag(node) != "int" or not INTEGER.fullmatch(node.value):
         return None
     digits = node.value.replace("_", "")
--- a/banyantiller/config/settings.py
+++ b/banyantiller/config/settings.py
@@ -23,20 +23,20 @@
         path: YAML file.
 
     Returns:
-        The settings, with defaults for what the file leaves out.
+        The settings, with defaults for options that the file omits.
 
     Raises:
-        ConfigError: With every error that was found.
+        ConfigError: The file has errors; it lists all of them.
     """
     settings, _ = load_with_warnings(path)
     return settings
 
 
 def load_with_warnings(path: str) -> tuple[Settings, tuple[Problem, ...]]:
-    """Loads the settings of a daemon and returns warnings besides.
+    """Loads the settings of a daemon; returns them with the warnings.
 
     Raises:
-        ConfigError: With every error that was found.
+        ConfigError: The file has errors; it lists all of them.
     """
     return parse(documents.read_file(path), path)
 
@@ -54,7 +54,7 @@
     """Loads and checks the settings of an operator.
 
     Raises:
-        ConfigError: With every error that was found.
+        ConfigError: The file has errors; it lists all of them.
     """
     settings, _ = parse_operator(documents.read_file(path), path)
     return settings
@@ -63,10 +63,10 @@
 def parse_operator(
     text: str, path: str
 ) -> tuple[OperatorSettings, tuple[Problem, ...]]:
-    """Parses the settings of an operator and returns warnings besides.
+    """Parses the settings of an operator; returns them with the warnings.
 
     Raises:
-        ConfigError: With every error that was found.
+        ConfigError: The file has errors; it lists all of them.
     """
     settings, problems = loading.load(text, path, OperatorSettings)
     if settings is not None:
@@ -103,7 +103,9 @@
     seen: dict[Endpoint, str] = {}
     for path, endpoint in listening.items():
         if endpoint in seen and endpoint.port:
-            problems.error(path, f"{seen[endpoint]} listens there too.")
+            problems.error(
+                path, f"{seen[endpoint]} listens on the same address and port."
+            )
         seen.setdefault(endpoint, path)
     contacted = {"object_api.endpoint": settings.object_api.endpoint}
     if settings.vm_list is not None:
@@ -112,7 +114,7 @@
         contacted[f"peers.seeds[{index}]"] = seed
     for path, endpoint in contacted.items():
         if endpoint is not None and endpoint.port == 0:
-            problems.error(f"{path}.port", "Port 0 cannot be contacted.")
+            problems.error(f"{path}.port", "Port 0 cannot be connected to.")
 
 
 def _check_peers(settings: Settings, problems: Problems) -> None:
@@ -144,7 +146,7 @@
 
 
 def check_keys(keys: tuple[TrustedKey, ...], problems: Problems) -> None:
-    """Checks that some operator can propose and another one can sign."""
+    """Checks that one operator can propose and another can sign."""
     present = [key for key in keys if key is not None]
     seen: dict[str, str] = {}
     for index, key in enumerate(keys):
@@ -176,7 +178,7 @@
     if files is None:
         return
     if bool(files.certificate) != bool(files.key):
-        problems.error(path, "'certificate' and 'key' go together.")
+        problems.error(path, "'certificate' and 'key' are required together.")
     elif serves and not files.certificate:
         problems.error(path, "'certificate' and 'key' are required here.")
     named: dict[str, Any] = files._asdict()
--- a/banyantiller/measuring/budget.py
+++ b/banyantiller/measuring/budget.py
@@ -1,8 +1,8 @@
-"""The fleet's budget for probes, kept in the object API.
+"""The fleet's budget for probes, stored in the object API.
 
-The task here reads and takes permits for services that want probes; the
-decisions are in `banyantiller.measuring.permits`. Without the object API
-nothing is taken, so no probes are sent. See docs/design/measuring-budget.md.
+The task here reads and acquires permits for services that want to send probes;
+`banyantiller.measuring.permits` decides. Without the object API no permits are
+acquired, so no probes are sent. See docs/design/measuring-budget.md.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
 
 
 class Budget:
-    """One daemon's part in the budgets of all services.
+    """One daemon's view of the probe budgets of all services.
 
     Attributes:
-        ledgers: Permits known and held, by service.
-        wished: Set when a probe was wanted and none was left.
+        ledgers: Permits observed and held, by service.
+        permits_wanted: Set when a probe was denied for lack of a permit.
     """
 
     def __init__(
@@ -56,19 +56,19 @@
         wall: Callable[[], float],
         nonce: nonces.NonceSource = nonces.random_64_bits,
     ) -> "Budget":
-        """Constructs the budgets of one daemon.
+        """Builds the budgets of one daemon.
 
         Args:
             store: The object API.
             deployment: Name of the fleet.
-            daemon: Name of this daemon; seeds its waiting times.
-            wall: Returns wall-clock seconds.
-            nonce: Returns a text that no other call of it anywhere returns.
+            daemon: Name of this daemon; seeds its random pauses.
+            wall: Returns wall-clock time in seconds.
+            nonce: Returns a text that is unique over all daemons and calls.
         """
         return cls(store, deployment, wall, random.Random(daemon), nonce)
 
     def configure(self, services: Iterable[options.Service]) -> None:
-        """Takes the budgets of the bundle in force."""
+        """Applies the budgets of the bundle in force."""
         before = self.ledgers
         self.ledgers = {}
         for service in services:
@@ -83,10 +83,9 @@
     def charger(self, service: str) -> Charger:
         """Returns the function that charges a service's probes.
 
-        It is called with the loop's time, and answers whether one probe may
-        be sent at once. A refusal is noted as a wish, and permits are then
-        taken within seconds, so a caller that still wants the probe asks
-        again about once a second.
+        The function takes the loop time and returns whether one probe may be
+        sent now. After a denial, permits are acquired within seconds, so a
+        prober that still wants to probe calls it again about once a second.
         """
 
         def charge(now: float) -> bool:
@@ -101,7 +100,7 @@
         return charge
 
     async def run(self) -> None:
-        """Takes permits for services that want probes, one call at a time."""
+        """Acquires permits for services that want probes, one after another."""
         while True:
             await self.permits_wanted.wait()
             await asyncio.sleep(FETCH_PAUSE_S * self.random.uniform(0.5, 1.5))
@@ -120,7 +119,7 @@
                 await self.fetch_permits(name)
 
     async def fetch_permits(self, service: str) -> None:
-        """Reads a service's permits and takes some if any are free."""
+        """Reads a service's permits and acquires free ones, if any."""
         ledger = self.ledgers[service]
         loop = asyncio.get_running_loop()
         name = f"{self.deployment}-{service}"
--- a/banyantiller/measuring/objects.py
+++ b/banyantiller/measuring/objects.py
@@ -1,4 +1,4 @@
-"""How permits are kept in the object API, and the writes that change them."""
+"""Permits as stored in the object API, and the writes that change them."""
 
 from typing import Any, NamedTuple
 
@@ -6,11 +6,11 @@
 
 
 class Permit(NamedTuple):
-    """One permit as it stands in the object API.
+    """One permit as stored in the object API.
 
     Attributes:
-        nonce: Names the take that wrote it.
-        lasts_s: Time from the take until another daemon may use it.
+        nonce: Identifies the write that acquired the permit.
+        lasts_s: Time from that write until another daemon may acquire it.
     """
 
     nonce: str
@@ -18,13 +18,13 @@
 
 
 class TakeWrite(NamedTuple):
-    """A conditional update that takes permits.
+    """A conditional update that acquires permits.
 
     Attributes:
         value: New value of the object.
-        indexes: Permits that it takes.
-        uses: Probes that each of them is good for.
-        use_s: Time in which they have to be sent.
+        indexes: Indexes of the permits that it acquires.
+        uses: Probes that each of them allows.
+        use_s: Time within which the probes must be sent.
     """
 
     value: dict[str, Any]
@@ -34,7 +34,7 @@
 
 
 class ResetWrite(NamedTuple):
-    """A write of fresh permits, which nobody may use for their time.
+    """A write of new permits, which no daemon may use until they expire.
 
     Attributes:
         value: New value of the object.
@@ -44,7 +44,7 @@
 
 
 class YieldRequest(NamedTuple):
-    """A write that asks the last holders to leave the next turn to others.
+    """A write that asks the last holders to leave the permits to other daemons.
 
     Attributes:
         value: New value of the object.
@@ -57,7 +57,7 @@
 
 
 def read_permits(value: dict[str, Any]) -> list[Permit] | None:
-    """Reads the permits of an object, or None if they are not readable."""
+    """Decodes the permits of an object; None if they are malformed."""
     try:
         return msgspec.convert(value.get("permits"), list[Permit])
     except msgspec.ValidationError:
--- a/banyantiller/measuring/permits.py
+++ b/banyantiller/measuring/permits.py
@@ -1,10 +1,11 @@
-"""The right to probe one service, handed on without comparing clocks.
-
-A service has a few permits for the whole fleet. A permit allows one probe
-each `spacing_s`. It is held for a stated duration, counted by its holder from
-before it asks for it, and by everybody else from when they first see that it
-was taken. So the next holder begins after the last one's end, whatever their
-wall clocks say, and nobody needs to know how many daemons there are.
+"""Permits to probe one service, leased without comparing clocks.
+
+A service has a few permits for the whole fleet. A permit allows one probe per
+`spacing_s`. It is leased for a stated duration. The holder counts this duration
+from before it sends the write that acquires the permit, all other daemons from
+when they first observe that write. So one lease starts after the previous one
+has ended, even if the wall clocks differ, and no daemon needs to know the size
+of the fleet.
 """
 
 import dataclasses
@@ -31,11 +32,11 @@
 
 
 class ObservedPermit(NamedTuple):
-    """A permit and since when this daemon knows it.
+    """A permit as read from the object API.
 
     Attributes:
         permit: The permit.
-        since: Loop time at which it was seen first.
+        since: Loop time at which this daemon first observed it.
     """
 
     permit: objects.Permit
@@ -47,13 +48,13 @@
     """A permit that this daemon may use.
 
     Attributes:
-        nonce: Nonce of the take.
-        since: Loop time of the request that took it.
-        until: Loop time of its end.
-        wall: Wall-clock seconds of the request.
-        uses: Probes that are left.
-        last: Loop time of the last probe, or None.
-        counted: Whether its use has changed the appetite.
+        nonce: Nonce of the write that acquired it.
+        since: Loop time before that write was sent.
+        until: Loop time at which the lease ends.
+        wall: Wall-clock time in seconds before that write was sent.
+        uses: Remaining probes.
+        last_probe_at: Loop time of the last probe, or None.
+        batch_adapted: Whether its use has already changed `batch_probes`.
     """
 
     nonce: str
@@ -66,20 +67,23 @@
 
 
 class Ledger:
-    """What one daemon knows and holds of one service's permits.
+    """One daemon's view of the permits of one service.
 
     Attributes:
-        count: Permits that the budget allows.
-        spacing_s: Least time between two probes of one permit.
-        most_uses: Most probes for which a permit is held.
-        seen: Permits as last read, by index, or None if none could be read.
-        held: Permits that this daemon took last, by index.
-        waiting: Whether a daemon asked the last holders for the next turn.
-        missed: Turns of others seen since this daemon's own last turn.
-        wished_at: Loop time of the last probe that was not allowed.
-        appetite: Probes to take next, from how many were used before.
-        spent: Probes allowed so far.
-        due: Loop time before which the object API need not be asked.
+        count: Number of permits that the budget allows.
+        spacing_s: Minimum time between two probes of one permit.
+        max_uses: Maximum number of probes per lease of a permit.
+        observed: Permits as last read, by index; None if they were malformed.
+        held: Permits that this daemon acquired last, by index.
+        waiting: Whether a daemon has asked the last holders to yield.
+        missed_takes: Reads that showed a lease of another daemon since the
+            last lease of this one.
+        denied_at: Loop time of the last probe that was denied.
+        batch_probes: Number of probes to acquire next, adapted to how many
+            were used before.
+        spent_probes: Number of probes allowed so far.
+        next_read_at: Loop time of the next read of the object API.
+        jitter_s: Upper bound of the random delay of the next read.
     """
 
     def __init__(self, probes_per_second: float, rng: random.Random) -> None:
@@ -96,7 +100,7 @@
         self.configure(probes_per_second)
 
     def configure(self, probes_per_second: float) -> None:
-        """Takes the budget of the bundle in force."""
+        """Applies the budget of the bundle in force."""
         whole = max(1, math.floor(probes_per_second))
         self.count = 0 if probes_per_second <= 0 else min(whole, MAX_PERMITS)
         period_s = max(1.0, 1.0 / max(probes_per_second, 1e-6))
@@ -107,15 +111,15 @@
             del self.held[index]
 
     def charge(self, now: float, wall: float) -> bool:
-        """Takes one probe out of what is held.
+        """Spends one probe of the permits held, if there is one.
 
         Args:
             now: Loop time.
-            wall: Wall-clock seconds; shows a pause that the loop's clock
-                does not count.
+            wall: Wall-clock time in seconds; it reveals a pause that the
+                clock of the loop does not count.
 
         Returns:
-            Whether a probe may be sent at once.
+            Whether a probe may be sent now.
         """
         for held in self.held.values():
             if self._may_use(held, now, wall):
@@ -127,20 +131,20 @@
         return False
 
     def wants_permits(self, now: float) -> bool:
-        """Tells whether more permits are wanted than are in use."""
+        """Returns whether more permits are wanted than are in use."""
         if self.count == 0 or now - self.denied_at > DEMAND_WINDOW_S:
             return False
         return self._wanted_permits(now) > 0
 
     def observe(self, value: dict[str, Any], now: float) -> None:
-        """Takes what was read from the object API."""
+        """Records the permits read from the object API."""
         permits = objects.read_permits(value)
         self.waiting = bool(value.get("waiting"))
         if permits is None:
             self.observed = None
             return
-        # A permit that the object lacks may have been held before the object
-        # was written anew, so it too is left alone for the longest time.
+        # A permit that is missing from the object may have been held before
+        # the object was replaced, so it is not used for the longest lease.
         missing = objects.Permit("", self._max_lease_s())
         permits += [missing] * (self.count - len(permits))
         before = self.observed or {}
@@ -156,12 +160,12 @@
         )
 
     def plan_reset(self, nonce: str) -> objects.ResetWrite:
-        """Returns permits that count as taken just now by nobody."""
+        """Returns a write of new permits, leased from now on to no daemon."""
         permit = objects.Permit(nonce, self._max_lease_s())
         return objects.ResetWrite(objects.to_value([permit] * self.count))
 
     def plan_write(self, now: float, nonce: str) -> objects.Write | None:
-        """Decides what to write after a read; None means to wait."""
+        """Returns the write to send after a read; None to wait."""
         if self.observed is None:
             return self.plan_reset(nonce)
         free = [i for i in range(self.count) if now >= self.free_at(i)]
@@ -182,12 +186,12 @@
     def record_take(
         self, take: objects.TakeWrite, sent_at: float, wall: float
     ) -> None:
-        """The update took effect.
+        """Records permits that an update has acquired.
 
         Args:
-            take: What was written.
+            take: The update that took effect.
             sent_at: Loop time before it was sent.
-            wall: Wall-clock seconds before it was sent.
+            wall: Wall-clock time in seconds before it was sent.
         """
         self._adapt_batch(sent_at)
         self.observe(take.value, sent_at)
@@ -202,15 +206,15 @@
         self.next_read_at = sent_at + GRACE_S
 
     def record_failure(self, now: float) -> None:
-        """Another daemon was faster, or the object API did not answer."""
+        """Delays the next read after a conflict or a failed call."""
         self.next_read_at = now + self.random.uniform(0, self.jitter_s)
         self.jitter_s = min(self.jitter_s * 2, MAX_JITTER_S)
 
     def free_at(self, index: int) -> float:
-        """Returns the loop time from which a permit may be taken.
+        """Returns the loop time from which a permit may be acquired.
 
-        One that this daemon held last is left to others for a turn if they
-        ask for it.
+        If a daemon has asked the last holders to yield, this daemon leaves a
+        permit that it held last to the others for one more lease.
         """
         observed = (self.observed or {}).get(index)
         if observed is None:
@@ -227,7 +231,7 @@
         return any(h.nonce == permit.nonce for h in self.held.values())
 
     def _wanted_permits(self, now: float) -> int:
-        """Returns how many permits to take besides those in use."""
+        """Returns how many permits to acquire in addition to those in use."""
         in_use = sum(h.uses > 0 and now < h.until for h in self.held.values())
         wanted = math.ceil(self.batch_probes / self.max_uses)
         return min(wanted, self.count, MAX_PERMITS_PER_TAKE) - in_use
@@ -244,10 +248,10 @@
         return objects.YieldRequest(objects.to_value(permits, waiting=True))
 
     def _schedule_read(self, now: float) -> None:
-        """Plans the next read, earlier the more turns were missed.
+        """Schedules the next read, earlier the more leases were missed.
 
-        Who sees a take late may take the next turn late only, and would miss
-        that one too.
+        A daemon that observes a lease late counts its end from then on, so it
+        would be late for the next lease as well.
         """
         soonest = min(self.free_at(index) for index in range(self.count))
         pause_s = max(POLL_S, (soonest - now) / max(1, self.missed_takes))
@@ -274,7 +278,7 @@
         return objects.to_value(permits)
 
     def _adapt_batch(self, now: float) -> None:
-        """Doubles what is taken while all of it is used, else halves it."""
+        """Doubles the batch if all of it was used, else halves it."""
         for held in self.held.values():
             if held.batch_adapted or (held.uses and now < held.until):
                 continue
--- a/banyantiller/platform/__init__.py
+++ b/banyantiller/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls."""
+"""Adapter to the platform: its names, formats and requests."""
--- a/banyantiller/platform/documents.py
+++ b/banyantiller/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' document as the platform's store holds it."""
+"""Decodes the operators' document from the platform's store."""
 
 import math
 from typing import Any, NotRequired, TypedDict
@@ -7,12 +7,12 @@
 
 from banyantiller.gateway import types
 
-# A route that may be repeated; every other word means that it must not.
+# Type of a route whose requests may be retried; any other type forbids it.
 REPEATABLE = "safe"
 
 
 class PartFields(TypedDict):
-    """One service of a split route."""
+    """One service of a route with split traffic."""
 
     service: str
     weight: float
@@ -24,13 +24,13 @@
     name: str
     hostname: str
     pathPrefix: str
-    # Not the kind of a route but whether its requests are idempotent.
+    # Despite its name, states whether requests are idempotent.
     routeType: str
     timeoutS: float
-    # A goal for the whole answer; nothing ends when it passes.
+    # Objective for the whole response; exceeding it does not end a request.
     targetLatencyS: float
     priority: int
-    # Servers that one request may be sent to, the first included.
+    # Maximum servers that one request is sent to, including the first.
     maxAttempts: int
     service: str
     trafficSplit: list[PartFields]
@@ -41,9 +41,9 @@
 
     name: str
     healthPath: str
-    # For each server and all callers together, not for the service.
+    # Per server and for all callers together, not per service.
     maxConns: int
-    # Of one cold server, from all daemons together.
+    # Rate for one cold server, from all daemons together.
     warmupPerS: NotRequired[float]
 
 
@@ -57,7 +57,7 @@
 
 
 class DocumentFields(TypedDict):
-    """The whole document."""
+    """The document."""
 
     version: int
     routes: list[RouteFields]
@@ -69,7 +69,7 @@
     """Decodes a document.
 
     Raises:
-        ValueError: It can't be read whole; the message names the place.
+        ValueError: It is malformed; the message names the place.
     """
     fields = msgspec.convert(value, DocumentFields)
     services = {
--- a/banyantiller/platform/headers.py
+++ b/banyantiller/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header fields between callers, this program and the platform's servers."""
+"""Header fields exchanged with callers and the platform's servers."""
 
 import re
 from collections.abc import Sequence
@@ -6,32 +6,32 @@
 from banyantiller.gateway import types
 
 WIRE = types.WireNames(
-    # One sending by a caller; a caller's retry has another.
+    # Identifies one request of a caller; a retry by the caller has another.
     request_id=b"attempt-id",
-    # Time left from now on, not a point in time.
+    # Remaining time, not a point in time.
     deadline_ms=b"deadline-ms",
-    # Shows that the answer is a server's; it signs nothing.
+    # Shows that the response is from a server; not a cryptographic signature.
     signature=b"upstream-signature",
     expected_instance=b"target-instance",
     instance=b"instance-id",
     load=b"upstream-load",
     not_run=b"not-executed",
-    # Only in answers to questions for health; left out by a warm server.
+    # Only in responses to health probes; omitted by a warm server.
     warmup_ms=b"warmup-ms",
-    # Requests a second from all daemons together, not from one.
+    # Requests per second from all daemons together, not per daemon.
     limit=b"server-limit",
-    # The key of a caller's organisation, in place of the usual field.
+    # Key of the caller's organisation, instead of the standard field.
     caller=b"credential",
 )
 
 NORMAL_SLOWNESS_PERCENT = 100.0
-# Digits on either side of the point; more are no figure of requests a second.
+# More digits on either side of the point are no plausible rate.
 LIMIT = re.compile(r"\d{1,9}(\.\d{0,9})?|\.\d{1,9}", re.ASCII)
 MAX_SHOWN_CHARS = 20
 
 
 def read_load(value: bytes) -> types.Load | None:
-    """Decodes "running,waiting,slots[,slowness]", slowness in percent."""
+    """Decodes "running,waiting,slots[,slowness]", with slowness in percent."""
     try:
         numbers = [int(part) for part in value.split(b",")]
     except ValueError:
@@ -43,16 +43,16 @@
 
 
 def read_limit(texts: Sequence[str]) -> float:
-    """Decodes the requests a second that a server takes.
+    """Decodes the rate limit of a server, in requests per second.
 
     Args:
-        texts: Values of the field, one for each time that it occurs.
+        texts: Values of all occurrences of the field.
 
     Raises:
         ValueError: They are not one decimal number.
     """
     if len(set(texts)) != 1:
-        raise ValueError("the field occurs twice")
+        raise ValueError("the field occurs with different values")
     text = texts[0].strip()
     if not LIMIT.fullmatch(text):
         raise ValueError(f"'{text[:MAX_SHOWN_CHARS]}' is not a decimal number")
--- a/banyantiller/platform/plugin.py
+++ b/banyantiller/platform/plugin.py
@@ -1,4 +1,4 @@
-"""Registers the adapter."""
+"""Registers the adapter to the platform."""
 
 from banyantiller import plugins
 from banyantiller.config import defaults
@@ -8,17 +8,17 @@
 DOCUMENT_KIND = "config"
 DOCUMENT_NAME = "main"
 SERVER_KIND = "servers"
-# The name of an object is the zone; what it holds says nothing.
+# The name of an object is the zone; its content has no meaning.
 EVACUATION_KIND = "evacuations"
 
 
 def register(registry: plugins.Registry) -> None:
-    """Adds the adapter under the form of store that it speaks."""
+    """Adds the adapter under the name of the store protocol."""
     registry.add("gateway", "objects", create)
 
 
 def create(endpoint: defaults.Endpoint) -> types.Adapter:
-    """Makes the adapter for the store that listens at an endpoint."""
+    """Builds the adapter for the store at an endpoint."""
     return types.Adapter(
         store=store.PlatformStore.from_address(endpoint.address, endpoint.port),
         document_kind=DOCUMENT_KIND,
--- a/banyantiller/platform/registrations.py
+++ b/banyantiller/platform/registrations.py
@@ -1,4 +1,4 @@
-"""Decodes what servers write of themselves into the platform's store."""
+"""Decodes the registrations that servers write to the platform's store."""
 
 import socket
 from typing import Any, NotRequired, TypedDict
@@ -8,23 +8,23 @@
 from banyantiller.gateway import types
 
 LEAVING = "draining"
-# An entry with any other state was not written by a server.
+# A registration with another state was not written by a server.
 STATES = frozenset(("ready", LEAVING))
 
 
 class RegistrationFields(TypedDict):
-    """What a server writes of itself."""
+    """Registration of one server."""
 
     service: str
     address: str
     zone: str
-    # Requests executed at once; connections have a limit of their own.
+    # Concurrent requests; connections have a separate limit.
     maxConcurrency: int
     state: str
-    # Slow for so long after its start; it takes requests all the same.
+    # Remaining time for which the server is slow; it accepts requests.
     warmupLeftS: float
-    # Unix milliseconds of the start, not an age; servers of earlier releases
-    # leave it out.
+    # Start as Unix time in milliseconds, not an age; servers of earlier
+    # releases omit it.
     born: NotRequired[int]
 
 
@@ -33,17 +33,17 @@
 
     Args:
         name: Name of the object, which is the instance.
-        value: Its content.
+        value: Content of the object.
 
     Raises:
-        ValueError: It can't be read whole; the message names the place.
+        ValueError: It is malformed; the message names the place.
     """
     fields = msgspec.convert(value, RegistrationFields)
     host, port = _parse_address(fields["address"])
     if fields["state"] not in STATES:
         raise ValueError(f"state: '{fields['state']}' is not known")
     if fields["maxConcurrency"] < 1:
-        raise ValueError("maxConcurrency: it is below 1")
+        raise ValueError("maxConcurrency: the value is below 1")
     return types.Server(
         instance=name,
         service=fields["service"],
@@ -65,5 +65,5 @@
     except (OSError, ValueError):
         number = 0
     if not 0 < number < 65536:
-        raise ValueError(f"address: '{text}' is not an IP number and a port")
+        raise ValueError(f"address: '{text}' is not an IPv4 address and a port")
     return host, number
--- a/banyantiller/platform/store.py
+++ b/banyantiller/platform/store.py
@@ -1,4 +1,4 @@
-"""Reads the platform's store: lists in pages, and changes as they come."""
+"""Reads the platform's store by paged lists and long polls."""
 
 import collections
 import re
@@ -10,37 +10,36 @@
 from banyantiller.http import client, messages, outcomes
 from banyantiller.store import interface
 
-# The store answers in milliseconds, and in 0.4 s at its slowest seen; a call
-# that takes this much longer than the store was asked to wait is lost. With
-# the pause between calls it bounds how long the store's return goes unseen.
+# The store responds within milliseconds, in the slowest case within 0.4 s. A
+# call that exceeds the requested wait by this timeout has failed. Together with
+# the pause between calls, it bounds the delay until a recovery is noticed.
 TIMEOUT_S = 0.8
-# A connection that lost its other side is noticed after 3 s, the time for
-# which a daemon counts as disturbed after that.
+# A connection whose peer has vanished is detected after 3 s, which is also the
+# time for which a daemon then counts as disturbed.
 LIMITS = messages.Limits(connections=8, silence_s=3)
-# Halves of surrogate pairs, as JSON escapes: one without its other half makes
-# a decoder refuse the whole page.
+# JSON escapes of surrogates. An unpaired one makes the decoder reject the whole
+# page.
 SURROGATE = re.compile(rb"\\u[dD][89a-fA-F][0-9a-fA-F]{2}")
 REPLACEMENT = rb"\\ufffd"
 
 
-# Fields of an object besides its content; `revision` is of its last change.
 class ObjectFields(TypedDict):
-    """What the store says of an object."""
+    """Metadata of an object; `revision` is of its last change."""
 
     name: str
     revision: int
 
 
 class Item(TypedDict):
-    """One object; `revision` is of its last change."""
+    """One object."""
 
     metadata: ObjectFields
-    # Decoded one by one: what nobody can read spoils no other object.
+    # Decoded separately, so that a malformed object does not affect others.
     spec: NotRequired[msgspec.Raw]
 
 
 class Page(TypedDict):
-    """A page of a list; `currentRev` is the store's, not an object's."""
+    """A page of a list; `currentRev` is the revision of the store."""
 
     items: list[Item]
     more: bool
@@ -48,14 +47,14 @@
 
 
 class Event(TypedDict):
-    """One change; a removed object is as it was."""
+    """One change; of a removed object, `object` is its last state."""
 
     removed: bool
     object: Item
 
 
 class Events(TypedDict):
-    """Changes, and the revision to go on from."""
+    """Changes, and the revision from which to continue."""
 
     events: list[Event]
     currentRev: int
@@ -65,8 +64,8 @@
     """Lists and watches objects; see `store.interface.ObjectReader`.
 
     Attributes:
-        user: Client of the store.
-        calls: Calls so far by verb; each is paid for.
+        http_client: HTTP client of the store.
+        calls: Calls so far by verb; each call is charged for.
     """
 
     def __init__(self, http_client: client.HttpClient) -> None:
@@ -75,13 +74,13 @@
 
     @classmethod
     def from_address(cls, address: str, port: int) -> "PlatformStore":
-        """Makes a client that is not connected yet."""
+        """Builds a store; it connects on the first call."""
         return cls(client.HttpClient(address, port, LIMITS))
 
     async def list(
         self, kind: str, labels: dict[str, str] | None = None
     ) -> interface.ListOutcome:
-        """Reads all objects of a kind; the store knows no labels."""
+        """Reads all objects of a kind; the store does not support labels."""
         del labels
         items: list[interface.StoredObject] = []
         first_revision = ""
@@ -96,7 +95,7 @@
                 return interface.Unavailable("status 410")
             if isinstance(page, interface.Unavailable):
                 return page
-            # Changes between two pages are seen again by a watch from here.
+            # A watch from the first page's revision repeats later changes.
             first_revision = first_revision or str(page["currentRev"])
             items.extend(
                 _to_stored_object(kind, item) for item in page["items"]
@@ -105,12 +104,14 @@
                 return interface.Listed(tuple(items), first_revision)
             before, after = after, page["items"][-1]["metadata"]["name"]
             if after <= before:
-                return interface.Unavailable("the pages of a list don't end")
+                return interface.Unavailable(
+                    "the pages of the list do not advance"
+                )
 
     async def changes(
         self, kind: str, version: str, wait_s: float
     ) -> interface.ChangesOutcome:
-        """Reads what changed; see `ObjectReader.changes`."""
+        """Reads the changes after a version; see `ObjectReader.changes`."""
         wait_ms = str(int(wait_s * 1000))
         target = _build_target(kind, watch=version, waitMs=wait_ms)
         self.calls["watch"] += 1
@@ -137,14 +138,16 @@
         try:
             return _decode(outcome.body, kind)
         except msgspec.DecodeError as error:
-            return interface.Unavailable(f"an answer can't be read: {error}")
+            return interface.Unavailable(
+                f"a response can't be decoded: {error}"
+            )
 
 
 def _decode(body: bytes, kind: Any) -> Any:
-    """Decodes an answer in which single objects may be spoilt.
+    """Decodes a response in which single objects may be malformed.
 
     Raises:
-        DecodeError: The answer itself can't be read.
+        DecodeError: The response itself is malformed.
     """
     try:
         return msgspec.json.decode(body, type=kind)
@@ -173,9 +176,9 @@
 
 
 def _decode_spec(item: Item) -> Any:
-    """Returns what an object holds; None if it can't be read.
+    """Decodes the content of an object; returns None if it is malformed.
 
-    Who decodes it further reports that with the object's name.
+    The decoder of the object's kind reports None with the name of the object.
     """
     try:
         return msgspec.json.decode(item["spec"])
--- a/banyantiller/store/__init__.py
+++ b/banyantiller/store/__init__.py
@@ -1,1 +1,1 @@
-"""The object API: one narrow interface and its adapters."""
+"""Interface to the object API and its adapters."""
--- a/banyantiller/store/interface.py
+++ b/banyantiller/store/interface.py
@@ -1,10 +1,10 @@
-"""The narrow interface to the platform's object API.
+"""The interface to the platform's object API.
 
-Objects follow the custom objects of Kubernetes: a kind, a name, an opaque
-resource version that changes with each write, and a value. Every call
-returns a tagged outcome. `Unavailable` means the call had no effect;
-`Unknown` means that a write may have taken effect, so the caller has to
-read back.
+Objects are modelled on Kubernetes custom objects: a kind, a name, an opaque
+resource version that changes with each write, and a value. Every call returns
+a tagged outcome. `Unavailable` means that the call had no effect; `Unknown`
+means that a write may have taken effect, so the caller has to read the object
+back.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 class StoredObject(NamedTuple):
-    """One object as the object API holds it.
+    """One object as stored in the object API.
 
     Attributes:
         kind: Plural kind, such as "bundleheads".
@@ -35,19 +35,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Found:
-    """The object exists, or was written; `item` is its present state."""
+    """The object exists or was written; `item` is its current state."""
 
     item: StoredObject
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listed:
-    """A list and the resource version from which a watch may go on.
+    """A list and the resource version at which a watch may start.
 
     Attributes:
         items: The objects.
-        version: The version.
-        second_hand: Whether another daemon told it, and not the store.
+        version: The resource version.
+        relayed: Whether a peer reported it instead of the object API.
     """
 
     items: tuple[StoredObject, ...]
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """A create found an object, or an update found another version."""
+    """The object to create exists, or the one to write has another version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
 
     Attributes:
         reason: One sentence for the log.
-        again_s: Longest pause before the next try, in seconds.
+        retry_within_s: Maximum pause before the next attempt, in seconds.
     """
 
     reason: str
@@ -85,28 +85,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The answer was lost; a write may or may not have taken effect."""
+    """The response was lost; a write may or may not have taken effect."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changed:
-    """A watch saw an object created or updated."""
+    """A watch reported an object that was created or updated."""
 
     item: StoredObject
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deleted:
-    """A watch saw an object deleted."""
+    """A watch reported an object that was deleted."""
 
     item: StoredObject
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bookmark:
-    """A watch is alive and has delivered all up to `version`."""
+    """A watch is alive and has delivered all events up to `version`."""
 
     version: str
 
@@ -121,12 +121,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What happened since a version.
+    """Changes since a resource version.
 
     Attributes:
         events: Changes in their order.
-        version: Version from which to go on.
-        second_hand: Whether another daemon told it, and not the store.
+        version: Version from which to continue.
+        relayed: Whether a peer reported them instead of the object API.
     """
 
     events: tuple[Changed | Deleted, ...]
@@ -138,12 +138,12 @@
 
 
 class ObjectReader(Protocol):
-    """What is needed to follow the objects of a kind by calls that wait.
+    """Interface to follow the objects of a kind by long polling.
 
-    Its versions are texts of whole numbers that rise with each change.
+    Versions are texts of integers that increase with each change.
 
     Attributes:
-        calls: Calls made so far by verb; one that waits counts as one.
+        calls: Calls so far by verb; a long poll counts as one.
     """
 
     calls: dict[str, int]
@@ -156,12 +156,12 @@
     async def changes(
         self, kind: str, version: str, wait_s: float
     ) -> ChangesOutcome:
-        """Reads what changed after `version`.
+        """Reads the changes after `version`.
 
         Args:
             kind: Kind of the objects.
-            version: Version from an earlier list or read of changes.
-            wait_s: How long to wait for a first change, in seconds.
+            version: Version of an earlier list or read of changes.
+            wait_s: Maximum wait for the first change, in seconds.
         """
 
     async def close(self) -> None:
@@ -169,10 +169,10 @@
 
 
 class ObjectStore(Protocol):
-    """What an adapter of an object API provides.
+    """Interface of an adapter of an object API.
 
     Attributes:
-        calls: Calls made so far by verb; a waiting watch counts as one.
+        calls: Calls so far by verb; an open watch counts as one.
     """
 
     calls: dict[str, int]
@@ -206,7 +206,7 @@
         """Yields changes after `version`.
 
         Ends after `Gone` or `Unavailable`. A watch that delivers nothing,
-        not even a bookmark, within the adapter's silence limit ends with
+        not even a bookmark, within the adapter's bookmark timeout ends with
         `Unavailable`.
         """
 
--- a/banyantiller/store/kubernetes.py
+++ b/banyantiller/store/kubernetes.py
@@ -1,4 +1,4 @@
-"""Adapter of an object API with the REST form of Kubernetes custom objects."""
+"""Adapter of an object API that serves Kubernetes custom objects by REST."""
 
 import asyncio
 import collections
@@ -22,16 +22,16 @@
 
 
 class ListExpiredError(Exception):
-    """The pages read so far can't be continued."""
+    """The continuation token of a paged list has expired."""
 
 
 class KubernetesStore:
     """An `ObjectStore` over HTTP.
 
     Attributes:
-        calls: Requests by verb; a waiting watch counts as one.
-        timeout_s: Longest wait for one answer.
-        bookmark_s: A watch that is silent for longer ends.
+        calls: Requests by verb; an open watch counts as one.
+        timeout_s: Timeout of one request.
+        bookmark_s: Timeout of a watch that delivers nothing.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
     def from_settings(
         cls, object_api: defaults.ObjectApiSettings, deployment: str
     ) -> "KubernetesStore":
-        """Builds the adapter; it connects with the first call.
+        """Builds the adapter; it connects on the first call.
 
         Args:
-            object_api: How the object API is reached.
-            deployment: Fleet, whose objects are in the namespace of its name.
+            object_api: Settings of the object API.
+            deployment: Name of the fleet, which is also its namespace.
 
         Raises:
             ConfigError: A TLS file is missing or not valid.
@@ -83,7 +83,7 @@
     ) -> interface.ListOutcome:
         """Reads all objects of a kind that carry the given labels.
 
-        A list whose pages expire while they are read is begun anew.
+        A list whose pages expire while they are read is started again.
         """
         for _ in range(MAX_LIST_ATTEMPTS):
             try:
@@ -152,7 +152,7 @@
     async def _events(
         self, kind: str, stream: client.Stream
     ) -> AsyncIterator[interface.WatchEvent]:
-        """Yields the events of an open watch and then why it ended."""
+        """Yields the events of an open watch, then the reason why it ended."""
         if stream.response.status == 410:
             yield interface.Gone()
             return
@@ -168,16 +168,18 @@
         except (wire.WireError, connection.ConnectionLostError) as error:
             yield interface.Unavailable(str(error))
         except TimeoutError:
-            log.info("store: a watch was silent.", kind=kind)
-            yield interface.Unavailable(f"silent for {self.bookmark_s:g} s")
+            log.info("store: watch timed out without an event.", kind=kind)
+            yield interface.Unavailable(f"no event for {self.bookmark_s:g} s")
         else:
-            yield interface.Unavailable("the watch was ended")
+            yield interface.Unavailable(
+                "the watch was closed by the object API"
+            )
 
     async def _lines(self, stream: client.Stream) -> AsyncIterator[bytes]:
         """Splits the body into lines.
 
         Raises:
-            TimeoutError: Nothing came within `bookmark_s`.
+            TimeoutError: Nothing was received within `bookmark_s`.
             WireError: A line is too long.
             ConnectionLostError: The connection failed.
         """
@@ -194,7 +196,7 @@
                 for line in filter(None, lines):
                     yield line
             if len(rest) > MAX_LINE_BYTES:
-                raise wire.WireError("a line of a watch is too long")
+                raise wire.WireError("a line of the watch is too long")
 
     async def _list_pages(
         self, kind: str, labels: dict[str, str]
@@ -228,7 +230,7 @@
             query["continue"] = metadata.next_page
 
     async def _read(self, verb: str, target: str) -> outcomes.Outcome:
-        """Sends a read, and once more if a reused connection broke."""
+        """Sends a read, and retries it once if a reused connection broke."""
         self.calls[verb] += 1
         outcome = await self.http_client.request("GET", target, self.timeout_s)
         if _is_stale_connection(outcome):
@@ -247,7 +249,7 @@
     ) -> outcomes.Outcome:
         if len(wire.encode(item.value)) > interface.MAX_VALUE_BYTES:
             return outcomes.NotSent(
-                f"a value is over {interface.MAX_VALUE_BYTES} bytes"
+                f"the value is over {interface.MAX_VALUE_BYTES} bytes"
             )
         body = wire.encode_object(self.paths.api_version, item)
         return await self._send(verb, method, target, body)
--- a/banyantiller/store/memory.py
+++ b/banyantiller/store/memory.py
@@ -1,7 +1,7 @@
 """An object store in memory, for tests and for embedding.
 
-Several stores may share one `ObjectTable`, each with faults of its own, as
-daemons reach one object API over different networks.
+Several stores may share one `ObjectTable`. Each has its own faults, which
+models daemons that reach one object API over different networks.
 """
 
 import asyncio
@@ -23,14 +23,15 @@
 
 @dataclasses.dataclass
 class Faults:
-    """Switches that make a store fail.
+    """Faults to inject into a store.
 
     Attributes:
-        down: No call has an effect; open watches end.
-        slow_s: Time until a call takes effect, in seconds of the loop's
-            clock. A write that is slower than the store's timeout is answered
-            `Unknown` and takes effect afterwards.
-        lose_answers: The next writes whose answer is lost; they take effect.
+        down: Calls fail without effect; open watches end.
+        slow_s: Delay until a call takes effect, in seconds of the loop's
+            clock. A write slower than the store's timeout returns `Unknown`
+            and takes effect afterwards.
+        lose_answers: Number of next writes that take effect but whose
+            response is lost.
         silent_watches: Watches stay open and deliver nothing.
     """
 
@@ -45,11 +46,12 @@
 
     Attributes:
         table: The objects; may be shared.
-        faults: Switches of this store.
-        calls: Calls by verb; a waiting watch counts as one.
-        timeout_s: Longest wait for one call.
-        bookmark_s: A watch that is silent for longer ends.
-        stale_view: Objects that reads are answered from, or None.
+        faults: Faults of this store.
+        calls: Calls by verb; an open watch counts as one.
+        timeout_s: Timeout of one call.
+        bookmark_s: Timeout of a watch that delivers nothing.
+        stale_snapshot: Old objects that reads return, or None for current
+            ones.
     """
 
     def __init__(
@@ -67,7 +69,7 @@
         self.stale_snapshot: tables.Snapshot | None = None
 
     def serve_stale(self, on: bool) -> None:
-        """Answers reads from the present state until switched off."""
+        """Freezes the state that reads return, until switched off."""
         self.stale_snapshot = self.table.snapshot() if on else None
 
     async def get(self, kind: str, name: str) -> interface.GetOutcome:
@@ -132,7 +134,7 @@
                 return
             if self.faults.silent_watches:
                 if loop.time() - last >= self.bookmark_s:
-                    yield interface.Unavailable("the watch is silent")
+                    yield interface.Unavailable("the watch delivered no event")
                     return
                 await self._pause()
                 continue
@@ -150,7 +152,7 @@
                 await self._pause()
 
     async def close(self) -> None:
-        """Closes nothing; the table goes on."""
+        """Does nothing; the table may be shared."""
 
     async def _pause(self) -> None:
         await self.table.wait(self.bookmark_s / BOOKMARKS_PER_TIMEOUT)
@@ -164,13 +166,13 @@
             outcome, interface.Unavailable | interface.Unknown
         ):
             self.faults.lose_answers -= 1
-            return interface.Unknown("the answer was lost")
+            return interface.Unknown("the response was lost")
         return outcome
 
     async def _answer(
         self, effect: Callable[[], T], timeout_outcome: Callable[[str], Any]
     ) -> T | Any:
-        """Applies a call after the set delay, even if nobody waits for it."""
+        """Applies a call after the injected delay, even after its timeout."""
         if self.faults.down:
             return interface.Unavailable("the object API is down")
         if not self.faults.slow_s:
@@ -182,7 +184,7 @@
         await asyncio.wait([done], timeout=self.timeout_s)
         if done.done():
             return done.result()
-        return timeout_outcome(f"no answer within {self.timeout_s} s")
+        return timeout_outcome(f"no response within {self.timeout_s} s")
 
 
 def _complete(done: "asyncio.Future[T]", effect: Callable[[], T]) -> None:
--- a/banyantiller/store/nonces.py
+++ b/banyantiller/store/nonces.py
@@ -1,4 +1,4 @@
-"""Texts that tell one write of the object API from all others."""
+"""Unique texts that identify one write to the object API."""
 
 import secrets
 from collections.abc import Callable
--- a/banyantiller/store/responses.py
+++ b/banyantiller/store/responses.py
@@ -1,20 +1,20 @@
-"""What an answer of the object API says about a call.
+"""Translates HTTP responses of the object API into outcomes of calls.
 
-A write is `Unavailable` only when it certainly had no effect. Whatever else
-goes wrong with a write is `Unknown`.
+The outcome of a failed write is `Unavailable` only if the write certainly had
+no effect, and `Unknown` otherwise.
 """
 
 from banyantiller.http import outcomes
 from banyantiller.store import interface, wire
 
-# Refusals that the API server makes before it changes anything.
+# The API server returns these before it changes anything.
 NO_EFFECT_STATUSES = frozenset(
     (400, 401, 402, 403, 405, 406, 411, 413, 414, 415, 422, 429, 431)
 )
 
 
 def describe_refusal(answer: outcomes.Answered) -> str:
-    """Returns a short reason out of a refusal."""
+    """Returns a short reason from an error response."""
     code = answer.response.status
     status = wire.decode_status(answer.body)
     detail = status.message or status.reason
@@ -22,10 +22,10 @@
 
 
 def has_no_effect(answer: outcomes.Answered) -> bool:
-    """Tells whether a refused write certainly had no effect.
+    """Returns whether a failed write certainly had no effect.
 
-    A 503 counts only if the API server itself made it and asks to come back
-    later; one of something in between could follow a write that was passed on.
+    A 503 counts only if it is from the API server itself, with a Retry-After
+    field; an intermediary may return one for a write that it has forwarded.
     """
     code = answer.response.status
     if code == 503 and answer.response.header("retry-after"):
@@ -56,7 +56,7 @@
 
     Args:
         sent: The object that was sent.
-        outcome: What came back.
+        outcome: Outcome of the HTTP request.
         verb: "create", "update" or "delete".
     """
     if isinstance(outcome, outcomes.NotSent):
@@ -83,11 +83,11 @@
     try:
         item = wire.decode_object(sent.kind, answer.body)
     except wire.WireError as error:
-        # A delete is answered by the object or by a bare status.
+        # The response to a delete is the object or just a status.
         status = wire.decode_status(answer.body).status
         if verb == "delete" and status == "Success":
             return interface.Found(sent)
         return interface.Unknown(str(error))
     if item.name != sent.name:
-        return interface.Unknown("the answer is about another object")
+        return interface.Unknown("the response is about another object")
     return interface.Found(item)
--- a/banyantiller/store/table.py
+++ b/banyantiller/store/table.py
@@ -1,7 +1,7 @@
 """A table of versioned objects in memory, with a history for watches.
 
-It is the state behind `MemoryStore` and behind the object-API stand-in. It
-has no faults and no waiting of its own beyond waking watchers.
+It is the state of `MemoryStore` and of the object API stand-in. It injects no
+faults and adds no delays; it only wakes watchers.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class Record(NamedTuple):
-    """One object at rest.
+    """One stored object.
 
     Attributes:
         version: Revision of the last write.
@@ -33,10 +33,10 @@
 
 
 class HistoryEntry(NamedTuple):
-    """One write, for watches.
+    """One write in the history that watches read.
 
     Attributes:
-        revision: Revision that the write made.
+        revision: Revision that the write created.
         event: What a watch of `event.item.kind` delivers.
         created: Whether the object did not exist before.
     """
@@ -47,13 +47,13 @@
 
 
 class ObjectTable:
-    """Objects by kind and name; each write raises one common revision.
+    """Objects by kind and name; each write increases a common revision.
 
     Attributes:
         revision: Revision of the last write.
         records: Objects by kind and name.
         history: Latest writes, oldest first.
-        oldest: A watch has to start at this revision or later.
+        oldest_revision: First revision at which a watch may start.
     """
 
     def __init__(
@@ -67,13 +67,13 @@
         self.waiters: set[asyncio.Future[None]] = set()
 
     def snapshot(self) -> Snapshot:
-        """Copies the present objects, to serve stale reads from."""
+        """Copies the current objects, to serve stale reads from."""
         return dict(self.records)
 
     def get(
         self, kind: str, name: str, snapshot: Snapshot | None = None
     ) -> interface.Found | interface.Missing:
-        """Reads one object from the table or from an older view of it."""
+        """Reads one object from the table or from a snapshot of it."""
         record = (self.records if snapshot is None else snapshot).get(
             (kind, name)
         )
@@ -149,8 +149,8 @@
         """Returns the writes to a kind after a revision.
 
         Returns:
-            None if the history doesn't reach back that far, or the revision
-            has not been made yet.
+            None if the revision is older than the history, or has not been
+            created yet.
         """
         if revision < self.oldest_revision or revision > self.revision:
             return None
@@ -161,12 +161,12 @@
         return tuple(reversed(found))
 
     def compact(self) -> None:
-        """Forgets the history, so that older watches get `Gone`."""
+        """Drops the history, so that older watches get `Gone`."""
         self.history.clear()
         self.oldest_revision = self.revision
 
     async def wait(self, timeout_s: float) -> None:
-        """Waits for the next write, at most the given time."""
+        """Waits for the next write or until the timeout."""
         future = asyncio.get_running_loop().create_future()
         self.waiters.add(future)
         try:
@@ -214,7 +214,7 @@
 
 
 def to_item(kind: str, name: str, record: Record) -> interface.StoredObject:
-    """Builds a fresh object, so that no two readers share a value."""
+    """Builds a new object, so that readers never share a value."""
     return interface.StoredObject(
         kind,
         name,
--- a/banyantiller/store/wire.py
+++ b/banyantiller/store/wire.py
@@ -1,4 +1,4 @@
-"""The JSON and the paths of Kubernetes custom objects."""
+"""JSON and URL paths of Kubernetes custom objects."""
 
 import json
 from typing import Any
@@ -13,11 +13,11 @@
 
 
 class WireError(ValueError):
-    """Bytes from the object API are not what its protocol says."""
+    """Bytes from the object API violate its protocol."""
 
 
 class Metadata(msgspec.Struct):
-    """Part of an object's metadata that is used here."""
+    """The fields of an object's metadata that are used here."""
 
     name: str = ""
     resourceVersion: str = ""  # noqa: N815
@@ -25,14 +25,14 @@
 
 
 class CustomObject(msgspec.Struct):
-    """One object as it travels."""
+    """One object on the wire."""
 
     metadata: Metadata
     spec: dict[str, Any] = {}
 
 
 class ListMetadata(msgspec.Struct):
-    """Metadata of a list; `continue` names the next page."""
+    """Metadata of a list; `continue` is the token of the next page."""
 
     resourceVersion: str  # noqa: N815
     next_page: str = msgspec.field(default="", name="continue")
@@ -46,7 +46,7 @@
 
 
 class Status(msgspec.Struct):
-    """The body of a refusal."""
+    """The body of an error response."""
 
     kind: str = ""
     status: str = ""
@@ -77,17 +77,17 @@
         )
 
     def collection(self, kind: str, **query: str) -> str:
-        """Returns the target of a kind, with a query."""
+        """Returns the request target of a kind, with a query."""
         path = f"{self.base}/{kind}"
         return f"{path}?{parse.urlencode(query)}" if query else path
 
     def item(self, kind: str, name: str) -> str:
-        """Returns the target of one object."""
+        """Returns the request target of one object."""
         return f"{self.base}/{kind}/{parse.quote(name, safe='')}"
 
 
 def singular(kind: str) -> str:
-    """Returns the `kind` of a plural, as "Bundlehead" of "bundleheads"."""
+    """Returns the `kind` of a plural, such as "Bundlehead"."""
     return kind.removesuffix("s").capitalize()
 
 
@@ -97,7 +97,7 @@
 
 
 def encode_object(api_version: str, item: interface.StoredObject) -> bytes:
-    """Returns the JSON of an object; an empty version is left out."""
+    """Returns the JSON of an object, without a version if it is empty."""
     metadata: dict[str, Any] = {"name": item.name}
     if item.labels:
         metadata["labels"] = item.labels
@@ -114,7 +114,7 @@
 
 
 def encode_delete(version: str) -> bytes:
-    """Returns the options of a delete of an object with this version."""
+    """Returns the options to delete an object only at this version."""
     return encode(
         {
             "apiVersion": "v1",
@@ -127,7 +127,7 @@
 def decode_object(
     kind: str, data: bytes | msgspec.Raw
 ) -> interface.StoredObject:
-    """Reads an object.
+    """Decodes an object.
 
     Raises:
         WireError: It is not an object with a name and a version.
@@ -139,7 +139,7 @@
 def decode_list(
     kind: str, data: bytes
 ) -> tuple[tuple[interface.StoredObject, ...], ListMetadata]:
-    """Reads one page of a list.
+    """Decodes one page of a list.
 
     Raises:
         WireError: It is not a list of objects.
@@ -149,7 +149,7 @@
 
 
 def decode_status(data: bytes | msgspec.Raw) -> Status:
-    """Reads the body of a refusal; an empty one if it is something else."""
+    """Decodes an error response; returns an empty status for another body."""
     try:
         return _decode(data, Status)
     except WireError:
@@ -157,7 +157,7 @@
 
 
 def decode_event(kind: str, line: bytes) -> interface.WatchEvent:
-    """Reads one line of a watch.
+    """Decodes one line of a watch.
 
     Raises:
         WireError: It is not an event.
--- a/banyantiller/tests/bundle/acceptance_case.py
+++ b/banyantiller/tests/bundle/acceptance_case.py
@@ -1,4 +1,4 @@
-"""What tests of acceptance share: bundles, the head, alterations."""
+"""Shared helpers of the acceptance tests."""
 
 from banyantiller.bundle import (
     reading,
@@ -19,7 +19,7 @@
 
 
 def alter(store: MemoryStore, kind: str, name: str, old: str, new: str) -> None:
-    """Alters an object behind the back of its users."""
+    """Alters a stored object without a new resource version."""
     record = store.table.records[kind, name]
     assert old.encode() in record.data
     data = record.data.replace(old.encode(), new.encode())
--- a/banyantiller/tests/bundle/samples.py
+++ b/banyantiller/tests/bundle/samples.py
@@ -41,8 +41,8 @@
 """
 
 
-class Trail:
-    """An audit trail in a list, which can be made to fail."""
+class AuditTrail:
+    """An audit trail in memory that can be made to fail."""
 
     def __init__(self) -> None:
         self.entries: list[tuple[str, dict[str, Any]]] = []
@@ -58,8 +58,8 @@
     return parsing.parse(text, "b.yaml").bundle
 
 
-def operator(name: str, trail: Trail | None = None) -> operators.Operator:
-    audit = (trail or Trail()).record
+def operator(name: str, trail: AuditTrail | None = None) -> operators.Operator:
+    audit = (trail or AuditTrail()).record
     return operators.Operator(
         name, KEYS[name].private, TRUSTED, audit, lambda: NOW
     )
--- a/banyantiller/tests/bundle/test_acceptance.py
+++ b/banyantiller/tests/bundle/test_acceptance.py
@@ -1,4 +1,4 @@
-"""Tests of proposing, signing and rolling through an object API that fails."""
+"""Tests of proposing, signing and rolling bundles."""
 
 from banyantiller.bundle import (
     acceptance,
@@ -75,7 +75,7 @@
 
     def test_each_change_is_recorded_before_it_is_made(self):
         async def body():
-            store, trail = MemoryStore(), samples.Trail()
+            store, trail = MemoryStore(), samples.AuditTrail()
             ana = samples.operator("ana", trail)
             ben = samples.operator("ben", trail)
             bundle = samples.bundle()
@@ -83,8 +83,8 @@
             await approval.sign(store, DEPLOYMENT, done.digest, ben)
             await acceptance.roll(store, DEPLOYMENT, done.digest, ana)
             actions = [action for action, _ in trail.entries]
-            wanted = ["propose", "sign", "roll", "roll_result"]
-            self.assertEqual(wanted, actions)
+            expected = ["propose", "sign", "roll", "roll_result"]
+            self.assertEqual(expected, actions)
             self.assertEqual("rolled", trail.entries[-1][1]["result"])
             second = await samples.prepare(store, SECOND)
             trail.failure = "the trail is unavailable"
@@ -96,14 +96,14 @@
 
 
 class RefusalTest(TestCase):
-    """Nothing in force changes by a roll that is refused."""
+    """A refused roll does not change the bundle in force."""
 
-    def refused(self, spoil, part: str) -> None:
+    def check_refused(self, prepare, part: str) -> None:
         async def body():
             store = MemoryStore()
             await samples.roll(store, await samples.prepare(store, BUNDLE))
             before = await head_of(store)
-            outcome = await samples.roll(store, await spoil(store))
+            outcome = await samples.roll(store, await prepare(store))
             self.assertIsInstance(outcome, Refused)
             self.assertIn(part, " ".join(outcome.reasons))
             self.assertEqual(before, await head_of(store))
@@ -111,31 +111,31 @@
         self.run_paused(body())
 
     def test_unsigned(self):
-        async def spoil(store):
+        async def prepare(store):
             bundle, ana = samples.bundle(SECOND), samples.operator("ana")
             done = await proposals.propose(store, DEPLOYMENT, bundle, ana)
             return done.digest
 
-        self.refused(spoil, "not signed by a second operator")
+        self.check_refused(prepare, "not signed by a second operator")
 
     def test_self_signed(self):
-        async def spoil(store):
+        async def prepare(store):
             bundle, ana = samples.bundle(SECOND), samples.operator("ana")
             done = await proposals.propose(store, DEPLOYMENT, bundle, ana)
             signed = await approval.sign(store, DEPLOYMENT, done.digest, ana)
             self.assertIsInstance(signed, Refused)
             return done.digest
 
-        self.refused(spoil, "not signed by a second operator")
+        self.check_refused(prepare, "not signed by a second operator")
 
     def test_tampered_manifest(self):
-        async def spoil(store):
+        async def prepare(store):
             digest = await samples.prepare(store, SECOND)
             name = reading.proposal_name(DEPLOYMENT, digest)
             alter(store, reading.PROPOSALS, name, "Second", "Third!")
             return digest
 
-        self.refused(spoil, "altered")
+        self.check_refused(prepare, "altered")
 
     def test_tampered_and_missing_part(self):
         async def change(store, drop: bool) -> str:
@@ -150,14 +150,16 @@
                 alter(store, reading.PARTS, part.digest, "9001", "9666")
             return digest
 
-        self.refused(lambda store: change(store, False), "was altered")
-        self.refused(lambda store: change(store, True), "There is no part")
+        self.check_refused(lambda store: change(store, False), "was altered")
+        self.check_refused(
+            lambda store: change(store, True), "There is no part"
+        )
 
     def test_unknown_proposal(self):
-        async def spoil(store):
+        async def prepare(store):
             return "0" * 64
 
-        self.refused(spoil, "There is no proposal")
+        self.check_refused(prepare, "There is no proposal")
 
     def test_out_of_date(self):
         async def body():
@@ -173,7 +175,7 @@
 
         self.run_paused(body())
 
-    def test_a_damaged_head_is_followed_only_by_a_new_proposal(self):
+    def test_only_a_new_proposal_replaces_a_damaged_head(self):
         async def body():
             store = MemoryStore()
             await samples.roll(store, await samples.prepare(store, BUNDLE))
@@ -190,7 +192,7 @@
 
         self.run_paused(body())
 
-    def test_a_restored_head_is_followed_above_what_daemons_hold(self):
+    def test_version_after_a_restored_head_is_above_those_of_daemons(self):
         async def body():
             store = MemoryStore()
             await samples.roll(store, await samples.prepare(store, BUNDLE))
@@ -208,7 +210,7 @@
 
 
 class SignTest(TestCase):
-    def test_content_that_no_file_could_hold_is_not_signed(self):
+    def test_content_that_parsing_would_reject_is_not_signed(self):
         async def body():
             store = MemoryStore()
             ana, ben = samples.operator("ana"), samples.operator("ben")
@@ -219,8 +221,8 @@
                 (desk._replace(path="x"), "does not begin with '/'"),
                 (desk._replace(path="/archive"), "the same host and path"),
             ):
-                odd = bundle._replace(services=(service, archive))
-                done = await proposals.propose(store, DEPLOYMENT, odd, ana)
+                invalid = bundle._replace(services=(service, archive))
+                done = await proposals.propose(store, DEPLOYMENT, invalid, ana)
                 signed = await approval.sign(
                     store, DEPLOYMENT, done.digest, ben
                 )
@@ -243,7 +245,7 @@
 
         self.run_paused(body())
 
-    def test_a_part_that_no_object_can_hold_is_refused(self):
+    def test_a_part_too_large_for_an_object_is_refused(self):
         async def body():
             store = MemoryStore()
             bundle = samples.bundle()
@@ -261,7 +263,7 @@
 
         self.run_paused(body())
 
-    def test_a_planted_part_is_not_taken_for_ours(self):
+    def test_a_stored_part_with_other_content_is_refused(self):
         async def body():
             store = MemoryStore()
             bundle, ana = samples.bundle(), samples.operator("ana")
--- a/banyantiller/tests/bundle/test_acceptance_races.py
+++ b/banyantiller/tests/bundle/test_acceptance_races.py
@@ -1,4 +1,4 @@
-"""Tests of operators that race, and of answers that are lost."""
+"""Tests of concurrent operators and of lost responses."""
 
 from banyantiller.bundle import (
     approval,
@@ -76,8 +76,8 @@
         self.run_paused(body())
 
 
-class LostAnswerTest(TestCase):
-    def test_each_lost_answer_is_settled_by_reading_back(self):
+class LostResponseTest(TestCase):
+    def test_each_lost_response_is_resolved_by_reading_back(self):
         async def body():
             for lost in range(1, 9):
                 store = MemoryStore(faults=Faults(lose_answers=lost))
@@ -88,7 +88,7 @@
 
         self.run_paused(body())
 
-    def test_a_signature_whose_answer_was_lost_is_added_once(self):
+    def test_a_signature_with_a_lost_response_is_added_once(self):
         async def body():
             store = MemoryStore()
             bundle, ana = samples.bundle(), samples.operator("ana")
@@ -103,7 +103,7 @@
 
         self.run_paused(body())
 
-    def test_a_write_that_lands_after_its_answer_was_given_up(self):
+    def test_a_write_that_takes_effect_after_its_timeout(self):
         async def body():
             store = MemoryStore(timeout_s=0.5)
             digest = await samples.prepare(store, BUNDLE)
@@ -122,7 +122,7 @@
 
         self.run_paused(body())
 
-    def test_unsettled_is_said_so_and_can_be_run_again(self):
+    def test_an_unknown_outcome_is_reported_and_can_be_repeated(self):
         async def body():
             store = MemoryStore()
             digest = await samples.prepare(store, BUNDLE)
--- a/banyantiller/tests/bundle/test_parsing.py
+++ b/banyantiller/tests/bundle/test_parsing.py
@@ -1,4 +1,4 @@
-"""Tests of parsing bundles: every error and warning, with its place."""
+"""Tests of parsing bundles: all errors and warnings, with their places."""
 
 from banyantiller import exceptions
 from banyantiller.bundle import parsing
@@ -37,13 +37,13 @@
 
 
 class ParsingTest(TestCase):
-    def test_a_good_bundle(self):
+    def test_a_valid_bundle(self):
         parsed = parsing.parse(samples.BUNDLE, "b.yaml")
         self.assertEqual((), parsed.warnings)
         names = [item.name for item in parsed.bundle.services]
         self.assertEqual(["archive", "desk"], names)
 
-    def test_errors_of_many_services_are_gathered(self):
+    def test_errors_of_all_services_are_collected(self):
         found = errors_of(
             "services:\n"
             + service(
@@ -76,7 +76,7 @@
         for start, line in zip(expected, found, strict=True):
             self.assertIn(start, line)
 
-    def test_warnings_are_told_beside_errors(self):
+    def test_errors_are_raised_with_the_warnings(self):
         text = service("requests: []", "slots: 0")
         error = self.assertRaises(
             exceptions.ConfigError, parsing.parse, f"services:\n{text}", "b"
@@ -89,7 +89,7 @@
         (found,) = errors_of(f"services:\n{text}")
         self.assertIn("Service 'desk' has the same host and path", found)
 
-    def test_servers_of_one_service_differ(self):
+    def test_servers_of_one_service_must_differ(self):
         text = service().replace("9002", "9001").replace("two", "one")
         found = "\n".join(errors_of(f"services:\n{text}"))
         self.assertIn("servers[1].name: 'one' is the name of", found)
@@ -98,7 +98,7 @@
     def test_single_values_are_checked(self):
         for line, part in (
             ("key_header: 'a b'", "is not a header name"),
-            ("requests: [{idempotent: true, methods: [get]}]", "in capitals"),
+            ("requests: [{idempotent: true, methods: [get]}]", "in upper case"),
             ("requests: [{idempotent: true, path: a}]", "begin with '/'"),
             ("hosts: [A.example]", "in lower case"),
             ("objective: cheap", "is not one of latency, cost"),
@@ -135,7 +135,7 @@
         ):
             self.check(part, f"services:\n{service(f'requests: {rules}')}")
 
-    def test_rules_on_neighbouring_paths_do_not_hide_each_other(self):
+    def test_rules_on_paths_with_a_common_prefix_are_not_shadowed(self):
         rules = (
             "[{idempotent: false, path: /desk/a},"
             " {idempotent: true, methods: [GET], path: /desk/ab}]"
@@ -152,7 +152,7 @@
         )
         self.check("Until the first stage", f"services:\n{service(stage)}")
 
-    def test_other_doubts(self):
+    def test_other_warnings(self):
         one, two = service(), service(name="shop")
         found = warnings_of(f"services:\n{one}{two}")
         self.assertEqual(2, len(found))
--- a/banyantiller/tests/bundle/test_retention.py
+++ b/banyantiller/tests/bundle/test_retention.py
@@ -1,4 +1,4 @@
-"""Tests that pruning deletes nothing that anyone needs."""
+"""Tests that pruning deletes only objects that are not needed."""
 
 from banyantiller.bundle import operators, proposals, reading, retention
 from banyantiller.bundle.options import Bundle
@@ -36,7 +36,7 @@
 
 
 class RetentionTest(TestCase):
-    def test_kept_versions_open_and_young_proposals_stay(self):
+    def test_kept_versions_and_open_or_recent_proposals_stay(self):
         async def body():
             store = MemoryStore()
             await accept(store, 4)
@@ -45,7 +45,8 @@
             pruned = await retention.prune(
                 store, DEPLOYMENT, 2, late_operator()
             )
-            # Versions 1 and 2 go; of their parts version 2's is used anew.
+            # Versions 1 and 2 are deleted. The recent proposal reuses the
+            # part of version 2.
             self.assertEqual(2, len(pruned.proposals))
             self.assertEqual(1, len(pruned.parts))
             self.assertEqual(0, pruned.failed)
@@ -67,7 +68,7 @@
         done = await proposals.propose(store, DEPLOYMENT, bundle, ana)
         return done.digest
 
-    def test_a_part_used_anew_while_pruning_is_not_deleted(self):
+    def test_a_part_reused_while_pruning_is_not_deleted(self):
         async def body():
             store = MemoryStore()
             await accept(store, 4)
@@ -88,7 +89,7 @@
 
         self.run_paused(body())
 
-    def test_a_young_part_waits_for_its_proposal(self):
+    def test_a_recent_part_without_a_proposal_is_kept(self):
         async def body():
             store = MemoryStore()
             await accept(store, 2)
@@ -102,7 +103,7 @@
 
         self.run_paused(body())
 
-    def test_young_objects_and_a_dry_run(self):
+    def test_recent_objects_and_a_dry_run(self):
         async def body():
             store = MemoryStore()
             await accept(store, 4)
@@ -111,10 +112,10 @@
                 store, DEPLOYMENT, 2, samples.operator("ana")
             )
             self.assertEqual(retention.PruneResult((), ()), young)
-            told = await retention.prune(
+            listed = await retention.prune(
                 store, DEPLOYMENT, 2, late_operator(), dry_run=True
             )
-            self.assertEqual(2, len(told.proposals))
+            self.assertEqual(2, len(listed.proposals))
             self.assertEqual(before, store.table.records)
 
         self.run_paused(body())
--- a/banyantiller/tests/bundle/test_verification.py
+++ b/banyantiller/tests/bundle/test_verification.py
@@ -45,7 +45,7 @@
 
 
 class VerificationTest(TestCase):
-    def test_a_good_bundle_has_no_reason_against_it(self):
+    def test_a_valid_bundle_has_no_reason_against_it(self):
         self.assertEqual("", reasons(accepted()))
         self.assertEqual("", reasons(accepted(signers=("ana", "cy"))))
 
@@ -65,7 +65,7 @@
         trusted = (TRUSTED[0], same)
         self.assertIn("a key of the proposer", reasons(offered, trusted))
 
-    def test_every_signed_field_is_bound(self):
+    def test_signatures_cover_every_field(self):
         offered = accepted()
         good = offered.manifest
         part = good.parts[0]
@@ -79,7 +79,7 @@
             altered = offered._replace(manifest=good._replace(**change))
             self.assertNotEqual("", reasons(altered), change)
 
-    def test_a_signature_in_one_role_is_none_in_the_other(self):
+    def test_a_signature_is_valid_for_one_role_only(self):
         offered = accepted()
         proposed = signing.sign(
             KEYS["ben"].private, "ben", signing.PROPOSE, offered.manifest
@@ -89,7 +89,7 @@
         offered = offered._replace(signatures=signatures)
         self.assertIn("does not fit the bundle", reasons(offered))
 
-    def test_garbage_signatures(self):
+    def test_malformed_signatures(self):
         offered = accepted()
         for value in ("", "zz", "00", "00" * 64):
             signature = offered.signatures[1]._replace(value=value)
@@ -130,10 +130,10 @@
         late = accepted()._replace(accepted_at=NOW + DAY)
         now = NOW + 2 * DAY
         self.assertIn("has expired", reasons(late, trusted, now=now))
-        # The clock of whoever rolled it is ahead: it cannot be later than now.
+        # If the clock of the roller is ahead, the time of verification counts.
         self.assertEqual("", reasons(late, trusted, now=NOW))
 
-    def test_keys_are_rotated_by_two_keys_of_one_name(self):
+    def test_keys_are_rotated_with_two_keys_of_one_name(self):
         old = TRUSTED[1]._replace(not_after="2020-01-01")
         spare = TrustedKey("ben", "ee" * 32)
         self.assertIn(
@@ -168,7 +168,7 @@
         )
         self.assertEqual(len(data), part.size)
 
-    def test_other_bytes_are_refused(self):
+    def test_bytes_that_are_not_canonical_are_refused(self):
         good = canonical.encode_manifest(manifest()).decode()
         for bad in (
             "",
--- a/banyantiller/tests/bundle/test_writing.py
+++ b/banyantiller/tests/bundle/test_writing.py
@@ -1,4 +1,4 @@
-"""Tests of writes whose outcome has to be read back."""
+"""Tests of writes that have to be read back."""
 
 from banyantiller.bundle import writing
 from banyantiller.bundle.outcomes import DamagedObject, NotKnown, NotReached
@@ -8,7 +8,7 @@
 
 
 class UnreadableStore(MemoryStore):
-    """A store that takes writes and answers no read."""
+    """A store that accepts writes and fails all reads."""
 
     async def get(self, kind, name):
         return interface.Unavailable("no answer")
@@ -27,7 +27,7 @@
             )
         )
 
-    def test_the_same_object_is_found_and_another_one_is_not_taken(self):
+    def test_the_same_object_is_found_and_another_one_is_refused(self):
         store = MemoryStore()
         created = self.ensure_exists(store, "one")
         self.assertEqual(created, self.ensure_exists(store, "one"))
@@ -39,7 +39,7 @@
         expected = NotReached("it exists, but cannot be read")
         self.assertEqual(expected, self.ensure_exists(store, "one"))
 
-    def test_a_lost_answer_stays_in_doubt(self):
+    def test_a_lost_response_that_cannot_be_read_back_is_unknown(self):
         store = UnreadableStore()
         store.faults.lose_answers = 1
         self.assertIsInstance(self.ensure_exists(store, "one"), NotKnown)
--- a/banyantiller/tests/config/test_settings.py
+++ b/banyantiller/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of loading settings: every error, with its place."""
+"""Tests of loading settings: all errors, with their places."""
 
 import tempfile
 import textwrap
@@ -11,7 +11,7 @@
 
 KEY = "ab" * 32
 
-GOOD = f"""\
+VALID = f"""\
 deployment: orders
 daemon: balancer-1
 zone: zone-1
@@ -38,9 +38,9 @@
     return []
 
 
-class GoodSettingsTest(TestCase):
+class ValidSettingsTest(TestCase):
     def test_defaults_and_values(self):
-        loaded, warnings = settings.parse(GOOD, "s.yaml")
+        loaded, warnings = settings.parse(VALID, "s.yaml")
         self.assertEqual((), warnings)
         self.assertEqual(8080, loaded.callers.listen.port)
         self.assertEqual(10.0, loaded.callers.head_timeout_s)
@@ -49,7 +49,7 @@
         self.assertIsNone(loaded.vm_list)
 
     def test_aliases_may_be_used(self):
-        text = GOOD.replace(
+        text = VALID.replace(
             "admin: {address: 127.0.0.1, port: 8081}",
             "admin: &here {address: 127.0.0.1, port: 0}\n"
             "vm_list: {endpoint: {address: 127.0.0.1, port: 1}}",
@@ -69,8 +69,8 @@
                     self.assertIn(kind, scalars.READERS)
 
 
-class BadSettingsTest(TestCase):
-    def test_every_error_is_gathered_with_its_place(self):
+class InvalidSettingsTest(TestCase):
+    def test_all_errors_are_collected_with_their_places(self):
         found = errors_of("""\
             deployment: Orders
             daemon: 17
@@ -98,7 +98,7 @@
             "s.yaml:3:1: error: zonne: No option is named 'zonne'."
             " Did you mean 'zone'?",
             "s.yaml:5:21: error: callers.listen.address: 'localhost' is not"
-            " an IP number.",
+            " an IP address.",
             "s.yaml:5:38: error: callers.listen.port: 70000 is above 65535.",
             "s.yaml:6:19: error: callers.head_timeout_s: Expected a number,"
             " found text.",
@@ -118,7 +118,7 @@
             self.assertEqual(start, line[: len(start)])
 
     def test_checks_over_several_values(self):
-        text = GOOD.replace("port: 8081", "port: 8080").replace(
+        text = VALID.replace("port: 8081", "port: 8080").replace(
             "secret: 0123456789abcdef",
             "heartbeat_s: 3\n  tls: {certificate: none.pem}\n"
             "  seeds: [{address: 127.0.0.1, port: 0}]",
@@ -127,11 +127,13 @@
         text += "outage: {isolated_after_s: 2}\n"
         found = "\n".join(errors_of(text))
         for part in (
-            "6:8: error: admin: callers.listen listens there too.",
+            "6:8: error: admin: callers.listen listens on the same address"
+            " and port.",
             "peers.suspect_s: It must be above heartbeat_s, 3 s.",
-            "10:8: error: peers.tls: 'certificate' and 'key' go together.",
+            "10:8: error: peers.tls: 'certificate' and 'key' are required"
+            " together.",
             "peers.tls.certificate: There is no file 'none.pem'.",
-            "peers.seeds[0].port: Port 0 cannot be contacted.",
+            "peers.seeds[0].port: Port 0 cannot be connected to.",
             "outage.isolated_after_s: It must be above peers.suspect_s.",
             "trusted_keys[2].public_key: 'ana' has the same public key.",
             "trusted_keys[2].roles: The key has no role.",
@@ -139,45 +141,45 @@
             self.assertIn(part, found)
 
     def test_peers_must_authenticate(self):
-        text = GOOD.replace("  secret: 0123456789abcdef\n", "")
+        text = VALID.replace("  secret: 0123456789abcdef\n", "")
         self.assertIn("peers: Peers need 'tls' or", errors_of(text)[0])
 
     def test_peers_need_a_trust_file_with_their_certificate(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         files = certificates.Authority(folder.name).issue("d0")
-        own = f"certificate: {files.certificate}, key: {files.key}"
+        identity = f"certificate: {files.certificate}, key: {files.key}"
         secret = "secret: 0123456789abcdef"
-        (found,) = errors_of(GOOD.replace(secret, f"tls: {{{own}}}"))
+        (found,) = errors_of(VALID.replace(secret, f"tls: {{{identity}}}"))
         self.assertIn("peers.tls: Peers verify each other", found)
-        trusting = f"tls: {{{own}, trust: {files.trust}}}"
-        self.assertEqual([], errors_of(GOOD.replace(secret, trusting)))
+        trusting = f"tls: {{{identity}, trust: {files.trust}}}"
+        self.assertEqual([], errors_of(VALID.replace(secret, trusting)))
 
     def test_one_operator_alone_is_warned_about(self):
-        text = GOOD[: GOOD.index("  - {name: ben")]
+        text = VALID[: VALID.index("  - {name: ben")]
         _, warnings = settings.parse(text, "s.yaml")
         self.assertEqual(["trusted_keys"], [item.path for item in warnings])
 
     def test_numbers_in_other_notations_are_refused(self):
         for wrong in ("0x1f", "010", "1:30", ".inf", "1.0", "yes", "~"):
-            text = GOOD.replace("port: 8080", f"port: {wrong}")
+            text = VALID.replace("port: 8080", f"port: {wrong}")
             self.assertEqual(1, len(errors_of(text)), wrong)
 
     def test_a_tag_does_not_make_a_list_or_mapping_a_scalar(self):
         for tag in ("int", "float", "bool", "null", "str"):
             for value, name in (("[1]", "a list"), ("{a: 1}", "a mapping")):
                 tagged = f"!!{tag} {value}"
-                text = GOOD.replace("port: 8080", f"port: {tagged}")
+                text = VALID.replace("port: 8080", f"port: {tagged}")
                 (found,) = errors_of(text)
                 self.assertIn(f"found {name}.", found)
-                text = GOOD + f"log: {{access: {tagged}}}\n"
+                text = VALID + f"log: {{access: {tagged}}}\n"
                 (found,) = errors_of(text)
                 self.assertIn(f"found {name}.", found)
-                text = GOOD + f"vm_list: {tagged}\n"
+                text = VALID + f"vm_list: {tagged}\n"
                 self.assertNotEqual([], errors_of(text))
 
 
-class BadDocumentTest(TestCase):
+class InvalidDocumentTest(TestCase):
     def refusal(self, text: str) -> str:
         (line,) = errors_of(text)
         return line
@@ -200,14 +202,14 @@
         self.patch(loading, "MAX_VALUES", 1000)
         seeds = "&a {address: 127.0.0.1, port: 1}" + ", *a" * 60
         keys = f"&k {{name: a, public_key: '{KEY}', roles: [sign"
-        text = GOOD.replace("secret:", f"seeds: [{seeds}]\n  secret:")
+        text = VALID.replace("secret:", f"seeds: [{seeds}]\n  secret:")
         roles = ", sign" * 100
         text = text[: text.index("trusted_keys")]
         text += f"trusted_keys: [{keys}{roles}]}}{', *k' * 60}]\n"
         self.assertIn("There are too many values.", "\n".join(errors_of(text)))
 
     def test_a_recursive_alias_ends(self):
-        found = "\n".join(errors_of(GOOD + "vm_list: &a {endpoint: *a}\n"))
+        found = "\n".join(errors_of(VALID + "vm_list: &a {endpoint: *a}\n"))
         self.assertIn("No option is named 'endpoint'", found)
 
     def test_files_that_cannot_be_read(self):
--- a/banyantiller/tests/measuring/test_budget.py
+++ b/banyantiller/tests/measuring/test_budget.py
@@ -1,4 +1,4 @@
-"""Counts probes of a whole fleet against its budget, under faults."""
+"""Tests that the probes of a fleet stay within its budget under faults."""
 
 import asyncio
 import itertools
@@ -24,7 +24,7 @@
 
 
 class Prober:
-    """A daemon that probes whenever it may."""
+    """A daemon that probes whenever it is allowed to."""
 
     def __init__(self, fleet: "Fleet", name: str, rate: float) -> None:
         self.fleet = fleet
@@ -89,7 +89,7 @@
 
 
 def most_in_window(times: list[float], window_s: float) -> int:
-    """Returns the most probes in any window that is open at its end."""
+    """Returns the maximum number of probes in any half-open window."""
     ordered = sorted(times)
     most = first = 0
     for last, time in enumerate(ordered):
@@ -118,7 +118,7 @@
         fleet.stop()
         self.check_budget(fleet)
 
-    def test_whole_fleet_stays_within_the_budget_and_uses_most_of_it(
+    def test_fleet_stays_within_the_budget_and_uses_a_large_part_of_it(
         self,
     ) -> None:
         for rate, size in ((2.0, 14), (2.7, 14), (0.2, 14), (20.0, 3)):
@@ -155,7 +155,7 @@
 
         self.run_paused(scenario())
 
-    def test_daemons_that_share_nothing_but_the_object_api(self) -> None:
+    def test_daemons_without_peer_links_share_the_budget(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(2, 1.0)
             await self.settle(fleet, 200)
@@ -184,7 +184,7 @@
 
         self.run_paused(scenario())
 
-    def test_daemon_whose_clocks_stood_still_spends_nothing_old(self) -> None:
+    def test_daemon_spends_no_expired_permit_after_a_pause(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(1, 1.0)
             prober = fleet.probers[0]
@@ -265,7 +265,9 @@
 
 
 class LedgerTest(base.TestCase):
-    def test_unreadable_object_is_begun_anew_and_waits(self) -> None:
+    def test_malformed_object_is_reset_and_its_permits_expire_first(
+        self,
+    ) -> None:
         ledger = permits.Ledger(2.0, random.Random(1))
         ledger.observe({"permits": "x"}, 10.0)
         reset = ledger.plan_write(10.0, "n1")
@@ -277,7 +279,7 @@
         ledger.observe(reset.value, 30.0)
         self.assertIsInstance(ledger.plan_write(30.0, "n3"), objects.TakeWrite)
 
-    def test_lower_budget_drops_what_is_held(self) -> None:
+    def test_lower_budget_drops_held_permits(self) -> None:
         ledger = permits.Ledger(3.0, random.Random(1))
         ledger.observe(ledger.plan_reset("n1").value, 0.0)
         ledger.batch_probes = 24
@@ -289,7 +291,7 @@
         self.assertFalse(ledger.charge(51.0, 1.0))
         self.assertFalse(ledger.wants_permits(51.0))
 
-    def test_permits_of_a_newer_bundle_are_kept(self) -> None:
+    def test_permits_beyond_the_local_budget_are_kept(self) -> None:
         ledger = permits.Ledger(1.0, random.Random(1))
         wide = permits.Ledger(3.0, random.Random(1)).plan_reset("n1").value
         ledger.observe(wide, 0.0)
--- a/banyantiller/tests/platform/test_decoding.py
+++ b/banyantiller/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Tests of documents, registrations and loads as the platform writes them."""
+"""Tests of decoding documents, registrations and loads of the platform."""
 
 import hypothesis
 from hypothesis import strategies
@@ -48,7 +48,7 @@
     def read(self, **route):
         return documents.read_document(DOCUMENT | {"routes": [ROUTE | route]})
 
-    def test_document_is_read_whole(self):
+    def test_document_is_decoded(self):
         found = self.read()
         self.assertEqual(7, found.version)
         self.assertEqual(
@@ -62,11 +62,13 @@
             types.CallerLimits(16384, 67108864, 3, 15), found.limits
         )
 
-    def test_every_kind_but_safe_must_not_be_repeated(self):
-        for kind in ("unsafe", "keyed", "stream", ""):
-            self.assertFalse(self.read(routeType=kind).routes[0].idempotent)
+    def test_only_routes_of_type_safe_are_idempotent(self):
+        for route_type in ("unsafe", "keyed", "stream", ""):
+            self.assertFalse(
+                self.read(routeType=route_type).routes[0].idempotent
+            )
 
-    def test_split_goes_before_the_service(self):
+    def test_traffic_split_takes_precedence_over_the_service(self):
         split = [{"service": "one", "weight": 90}]
         parts = self.read(trafficSplit=split).routes[0].parts
         self.assertEqual((types.Part("one", 90),), parts)
@@ -98,31 +100,31 @@
             ),
         )
     )
-    def test_nothing_but_an_error_comes_of_garbage(self, value):
+    def test_malformed_document_raises_value_error_only(self, value):
         try:
             documents.read_document(value)
         except ValueError:
             return
-        self.fail("garbage was taken")
+        self.fail("a malformed document was accepted")
 
 
 class RegistrationsTest(base.TestCase):
-    def test_registration_is_read(self):
+    def test_registration_is_decoded(self):
         found = registrations.read_server("i-1", SERVER)
         self.assertEqual(
             types.Server("i-1", "one", "10.0.0.9", 8080, "z", 2, False, 0),
             found,
         )
 
-    def test_start_is_read(self):
+    def test_start_time_is_decoded(self):
         found = registrations.read_server("i", SERVER | {"born": 17000})
         self.assertEqual(17000, found.started_ms)
 
-    def test_what_is_no_object_is_an_error(self):
+    def test_registration_that_is_no_object_is_an_error(self):
         for value in (None, [], "draining", 7):
             self.assertRaises(ValueError, registrations.read_server, "i", value)
 
-    def test_leaving_server_is_told(self):
+    def test_draining_server_is_leaving(self):
         found = registrations.read_server("i", SERVER | {"state": "draining"})
         self.assertTrue(found.leaving)
 
@@ -150,6 +152,6 @@
             types.Load(1, 2, 2, 5.0), headers.read_load(b"1,2,2,500")
         )
 
-    def test_what_is_no_load_is_none(self):
+    def test_malformed_load_is_none(self):
         for value in (b"", b"1,2", b"a,b,c", b"-1,0,2", b"1;0;2"):
             self.assertIsNone(headers.read_load(value))
--- a/banyantiller/tests/platform/test_words.py
+++ b/banyantiller/tests/platform/test_words.py
@@ -1,4 +1,4 @@
-"""Tests that the platform's names stay in the adapter."""
+"""Tests that names of the platform occur in the adapter only."""
 
 import pathlib
 import re
@@ -14,12 +14,12 @@
     "warmupLeftS", "currentRev", "waitMs", "staleOk", "addrReuseS",
     "configApplyS", "graceS", "retryBudgetRatio", "api/objects",
 )  # fmt: skip
-WORDS = FIELDS + tuple(name.decode() for name in headers.WIRE)
+NAMES = FIELDS + tuple(name.decode() for name in headers.WIRE)
 
 
-class WordsTest(base.TestCase):
-    def test_names_of_the_platform_are_in_the_adapter_only(self):
-        names = "|".join(map(re.escape, WORDS))
+class PlatformNamesTest(base.TestCase):
+    def test_names_of_the_platform_occur_in_the_adapter_only(self):
+        names = "|".join(map(re.escape, NAMES))
         pattern = re.compile(rf"(?<![\w-])(?:{names})(?![\w-])", re.IGNORECASE)
         found = []
         for path in PACKAGE.rglob("*.py"):
@@ -31,7 +31,7 @@
                     found.append(f"{path.name}:{number}: {line.strip()}")
         self.assertEqual([], found)
 
-    def test_the_adapter_has_them(self):
+    def test_the_adapter_contains_them(self):
         text = "".join(
             path.read_text() for path in (PACKAGE / "platform").glob("*.py")
         )
--- a/banyantiller/tests/store/contract.py
+++ b/banyantiller/tests/store/contract.py
@@ -1,4 +1,4 @@
-"""What every object store has to do; each adapter's tests inherit it."""
+"""Contract of object stores; the tests of each adapter inherit it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 
 
 class StoreContract:
-    """Mixin of a test case; `run_with_store` gives each check a store."""
+    """Mixin of a test case; `run_with_store` provides a store to each check."""
 
     def run_with_store(self, check: Check) -> None:
         """Runs a check on the paused clock with an empty store."""
@@ -58,14 +58,14 @@
     async def check_recreated_object_conflicts(
         self, store: interface.ObjectStore
     ):
-        """A version of a deleted object doesn't fit its successor."""
+        """The version of a deleted object conflicts after its re-creation."""
         old = await store.create(KIND, "a", {"n": 1})
         await store.delete(old.item)
         await store.create(KIND, "a", {"n": 1})
         self.assertEqual(interface.Conflict(), await store.update(old.item, {}))
 
     async def check_lists_by_label(self, store: interface.ObjectStore):
-        """Lists only what carries all labels, by name, over many pages."""
+        """Lists only objects with all the labels, sorted by name."""
         for number in range(7):
             colour = "red" if number % 2 else "blue"
             labels = {"colour": colour, "size": str(number)}
@@ -80,7 +80,7 @@
         self.assertEqual((), (await store.list("none")).items)
 
     async def check_watch(self, store: interface.ObjectStore):
-        """Delivers what came since, then live changes and bookmarks."""
+        """Delivers changes after the version, live changes and bookmarks."""
         first = await store.create(KIND, "a", {"n": 1})
         start = (await store.list(KIND)).version
         second = await store.update(first.item, {"n": 2})
@@ -100,7 +100,7 @@
         self.assertEqual(1, store.calls["watch"])
 
     async def check_too_large(self, store: interface.ObjectStore):
-        """A value over the limit is refused without effect."""
+        """A value over the limit is rejected without effect."""
         large = {"text": "x" * interface.MAX_VALUE_BYTES}
         outcome = await store.create(KIND, "a", large)
         self.assertIsInstance(outcome, interface.Unavailable)
--- a/banyantiller/tests/store/test_kubernetes.py
+++ b/banyantiller/tests/store/test_kubernetes.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter against the stand-in's server and raw answers."""
+"""Tests of the adapter against the stand-in and raw responses."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 async def connect(handler):
-    """Starts a server and returns a store that uses it, and a way to end."""
+    """Starts a server; returns a store that uses it and a function to close."""
     listener = server.HttpServer(handler, messages.Limits(body_bytes=4 << 20))
     bound = await listener.start(ADDRESS, 0)
     settings = defaults.ObjectApiSettings(
@@ -63,7 +63,7 @@
 
 
 class FaultTest(AdapterTestCase):
-    def test_lost_answer_is_unknown_and_took_effect(self):
+    def test_lost_response_is_unknown_and_took_effect(self):
         async def check(store, api):
             api.faults.lose_answers = 1
             lost = await store.create("k", "a", {"n": 1})
@@ -103,7 +103,7 @@
         expected = [refused] * 4 + [interface.Unknown] + [refused] * 3
         self.assertEqual(expected, self.run_with_api(check))
 
-    def test_nothing_listens(self):
+    def test_refused_connection_is_unavailable(self):
         async def body():
             settings = defaults.ObjectApiSettings(defaults.Endpoint(ADDRESS, 1))
             store = kubernetes.KubernetesStore.from_settings(settings, "f")
@@ -132,7 +132,7 @@
 
         self.assertEqual(interface.Gone(), self.run_with_api(check)[-1])
 
-    def test_silent_watch_ends_after_the_limit(self):
+    def test_watch_without_events_ends_after_the_timeout(self):
         async def check(store, api):
             api.faults.silent_watch = True
             start = asyncio.get_running_loop().time()
@@ -156,7 +156,7 @@
         self.assertEqual({"n": 1}, seen.item.value)
         self.assertEqual(interface.Conflict(), outcome)
 
-    def test_list_in_pages_is_one_state(self):
+    def test_paged_list_is_one_state(self):
         async def check(store, api):
             for number in range(kubernetes.PAGE_ITEMS + 5):
                 await store.create("k", f"{number:04}", {"n": number})
@@ -168,7 +168,7 @@
         self.assertEqual(2, calls)
         self.assertEqual(2, counts["by_kind"]["k"]["list"])
 
-    def test_list_of_large_values_takes_smaller_pages(self):
+    def test_list_of_large_values_uses_smaller_pages(self):
         async def check(store, api):
             text = "x" * 900_000
             for number in range(10):
@@ -177,7 +177,7 @@
 
         self.assertEqual(10, self.run_with_api(check))
 
-    def test_expired_pages_begin_anew(self):
+    def test_list_with_expired_pages_is_restarted(self):
         async def check(store, api):
             for number in range(kubernetes.PAGE_ITEMS + 1):
                 await store.create("k", f"{number:04}", {})
@@ -206,7 +206,7 @@
 
         self.assertIsInstance(self.run_with_api(check), interface.Unavailable)
 
-    def test_read_is_sent_again_when_a_reused_connection_breaks(self):
+    def test_read_is_retried_when_a_reused_connection_breaks(self):
         api = object_api.ObjectApi()
         cuts = []
 
@@ -225,9 +225,9 @@
         self.assertEqual(2, calls)
 
 
-class RawAnswerTest(AdapterTestCase):
+class RawResponseTest(AdapterTestCase):
     def outcomes_of(self, *answers):
-        """Returns outcomes of a create, get, list and watch for each answer."""
+        """Returns outcomes of a create, get, list and watch per response."""
         left = [answer for answer in answers for _ in range(4)]
 
         async def handler(request):
@@ -249,7 +249,7 @@
 
         return self.run_with(handler, check)
 
-    def test_garbage_is_never_taken_for_success(self):
+    def test_malformed_response_is_never_a_success(self):
         other = {"metadata": {"name": "b", "resourceVersion": "1"}}
         bodies = (
             b"",
@@ -268,7 +268,7 @@
         answer = messages.Response(201, (), json.dumps(other).encode())
         self.assertEqual(interface.Unknown, self.outcomes_of(answer)[0][0])
 
-    def test_only_certain_refusals_had_no_effect(self):
+    def test_only_some_error_responses_mean_no_effect(self):
         failure = b'{"kind":"Status","status":"Failure","code":503}'
         later = (("retry-after", "1"),)
         expected = {
@@ -285,7 +285,7 @@
         found = [kinds[0] for kinds in self.outcomes_of(*expected)]
         self.assertEqual(list(expected.values()), found)
 
-    def test_bare_success_is_enough_for_a_delete_only(self):
+    def test_status_without_object_is_a_success_for_a_delete_only(self):
         body = b'{"kind":"Status","status":"Success"}'
 
         async def handler(request):
@@ -303,7 +303,7 @@
         expected = [interface.Found, interface.Unknown, interface.Unknown]
         self.assertEqual(expected, [type(outcome) for outcome in found])
 
-    def test_oversized_answer(self):
+    def test_oversized_response(self):
         size = kubernetes.LIMITS.body_bytes + 1
         answer = messages.Response(200, (), b" " * size)
 
@@ -318,12 +318,12 @@
         self.assertIsInstance(read, interface.Unavailable)
 
     def test_endless_line_of_a_watch(self):
-        async def pour():
+        async def endless_body():
             while True:
                 yield b"x" * 100_000
 
         async def handler(request):
-            return messages.Response(200, (), pour())
+            return messages.Response(200, (), endless_body())
 
         async def check(store):
             return [event async for event in store.watch("k", "1")]
--- a/banyantiller/tests/store/test_memory.py
+++ b/banyantiller/tests/store/test_memory.py
@@ -16,7 +16,7 @@
 
 
 class MemoryStoreTest(base.TestCase):
-    def test_lost_answer_takes_effect(self):
+    def test_write_with_a_lost_response_takes_effect(self):
         async def body():
             store = memory.MemoryStore()
             store.faults.lose_answers = 1
@@ -76,7 +76,7 @@
         self.assertEqual(interface.Missing(), found)
         self.assertEqual((), listed.items)
 
-    def test_silent_watch_ends_after_the_limit(self):
+    def test_watch_without_events_ends_after_the_timeout(self):
         async def body():
             store = memory.MemoryStore(bookmark_s=3)
             store.faults.silent_watches = True
@@ -90,7 +90,7 @@
         self.assertIsInstance(events[0], interface.Unavailable)
         self.assertAlmostEqual(3, took, places=3)
 
-    def test_watch_before_the_history_or_after_the_present_is_gone(self):
+    def test_watch_before_the_history_or_after_the_last_write_is_gone(self):
         async def body():
             shared = table.ObjectTable(history=2)
             store = memory.MemoryStore(shared)
--- a/banyantiller/tests/store/test_tls.py
+++ b/banyantiller/tests/store/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of TLS towards the object API, on the loopback interface."""
+"""Tests of TLS to the object API, on the loopback interface."""
 
 import asyncio
 import tempfile
@@ -14,7 +14,12 @@
 
 class TlsTest(base.TestCase):
     def create_over(self, served, trusted):
-        """Creates an object; the server's files and what the client trusts."""
+        """Creates an object over TLS.
+
+        Args:
+            served: TLS files of the server.
+            trusted: Path of the certificates that the client trusts.
+        """
 
         async def body():
             listener = server.HttpServer(object_api.ObjectApi().handle)
@@ -32,14 +37,14 @@
 
         return asyncio.run(body())
 
-    def test_trusted_server_is_used_and_another_gets_nothing(self):
+    def test_only_a_trusted_server_is_used(self):
         with (
             tempfile.TemporaryDirectory() as one,
             tempfile.TemporaryDirectory() as two,
         ):
-            mine = Authority(one).issue("server")
+            trusted = Authority(one).issue("server")
             other = Authority(two).issue("server")
-            used = self.create_over(mine, mine.trust)
-            refused = self.create_over(mine, other.trust)
+            used = self.create_over(trusted, trusted.trust)
+            refused = self.create_over(trusted, other.trust)
         self.assertIsInstance(used, interface.Found)
         self.assertIsInstance(refused, interface.Unavailable)
--- a/banyantiller/tests/vmlist/test_http.py
+++ b/banyantiller/tests/vmlist/test_http.py
@@ -71,7 +71,7 @@
         self.assertIs(interface.VmState.LEAVING, leaving.vms[0].state)
         self.assertEqual((), gone.vms)
 
-    def test_stale_and_lagging_lists_say_so(self):
+    def test_stale_and_lagging_lists_show_their_time(self):
         async def check(adapter, put):
             await asyncio.sleep(10)
             await put("/standin/faults", {"stale": True})
@@ -103,8 +103,8 @@
             list(found),
         )
 
-    def test_garbage(self):
-        documents = (
+    def test_malformed_response(self):
+        bodies = (
             b"",
             b"{}",
             b'{"as_of":1,"vms":[{"name":"a"}]}',
@@ -112,16 +112,16 @@
             json.dumps({"as_of": 1, "vms": [{**VM, "address": "x"}]}).encode(),
             json.dumps({"as_of": 1, "vms": [{**VM, "state": "x"}]}).encode(),
         )
-        left = list(documents)
+        left = list(bodies)
 
         async def handler(request):
             return messages.Response(200, (), left.pop(0))
 
         async def check(adapter, put):
-            return [await adapter.read() for _ in documents]
+            return [await adapter.read() for _ in bodies]
 
         found = self.run_with(handler, check)
-        self.assertEqual(len(documents), len(found))
+        self.assertEqual(len(bodies), len(found))
         for outcome in found:
             self.assertIsInstance(outcome, interface.VmListUnavailable)
             self.assertIn("not a VM list: ", outcome.reason)
--- a/banyantiller/tests/vmlist/test_tracker.py
+++ b/banyantiller/tests/vmlist/test_tracker.py
@@ -42,7 +42,7 @@
         self.assertEqual([], observe(watched, listed(5)))
         self.assertEqual({"a"}, watched.leaving())
 
-    def test_gone_after_two_newer_lists(self):
+    def test_removed_after_two_newer_lists(self):
         watched = tracker.VmTracker()
         lists = [listed(1, a=LIVE, z=LIVE), listed(2, z=LIVE)]
         self.assertEqual([], observe(watched, *lists))
@@ -53,7 +53,7 @@
         found = observe(watched, listed(7, a=LIVE, z=LIVE))
         self.assertEqual([("a", "back")], found)
 
-    def test_empty_lists_take_no_vm_away(self):
+    def test_empty_lists_remove_no_vm(self):
         watched = tracker.VmTracker()
         observe(watched, listed(1, a=LIVE))
         for as_of in range(2, 9):
@@ -71,7 +71,7 @@
             )
         )
     )
-    def test_order_of_arrival_never_undoes_newer(self, states):
+    def test_older_list_never_undoes_a_newer_one(self, states):
         watched = tracker.VmTracker()
         newest = None
         for as_of, vms in states:
--- a/banyantiller/vmlist/__init__.py
+++ b/banyantiller/vmlist/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's VM list: one narrow interface and its adapters."""
+"""Interface to the platform's VM list and its adapters."""
--- a/banyantiller/vmlist/http.py
+++ b/banyantiller/vmlist/http.py
@@ -1,7 +1,7 @@
 """Adapter of a VM list that is served as JSON over HTTP.
 
-`GET /vms` answers an object with `as_of`, in seconds of the platform's
-clock, and `vms`, a list of objects with the fields of `Vm`.
+`GET /vms` returns an object with `as_of`, in seconds of the platform's clock,
+and `vms`, a list of objects with the fields of `Vm`.
 """
 
 import ipaddress
@@ -18,7 +18,7 @@
 
 
 class VmEntry(msgspec.Struct):
-    """One VM as it travels."""
+    """One VM on the wire."""
 
     name: str
     address: str
@@ -28,7 +28,7 @@
 
 
 class VmDocument(msgspec.Struct):
-    """The answer."""
+    """The response body."""
 
     as_of: float
     vms: list[VmEntry]
@@ -38,7 +38,7 @@
     """A `VmList` over HTTP.
 
     Attributes:
-        timeout_s: Longest wait for the list.
+        timeout_s: Timeout of a read.
         calls: Number of reads.
     """
 
@@ -51,13 +51,13 @@
 
     @classmethod
     def from_settings(cls, vm_list: defaults.VmListSettings) -> "HttpVmList":
-        """Builds the adapter; it connects with the first read."""
+        """Builds the adapter; it connects on the first read."""
         endpoint = vm_list.endpoint
         http_client = client.HttpClient(endpoint.address, endpoint.port, LIMITS)
         return cls(http_client, TIMEOUT_S)
 
     async def read(self) -> interface.VmListing | interface.VmListUnavailable:
-        """Reads the present list."""
+        """Reads the current list."""
         self.calls += 1
         outcome = await self.http_client.request("GET", TARGET, self.timeout_s)
         if not isinstance(outcome, outcomes.Answered):
@@ -77,11 +77,11 @@
 
 
 def _decode(body: bytes) -> interface.VmListing:
-    """Reads the answer.
+    """Decodes the response body.
 
     Raises:
-        ValueError: It is not valid, or names a VM twice.
-        MsgspecError: It has another shape.
+        ValueError: An address is not valid, or a VM is listed twice.
+        MsgspecError: The body has another structure.
     """
     found = msgspec.json.decode(body, type=VmDocument)
     names = {entry.name for entry in found.vms}
--- a/banyantiller/vmlist/interface.py
+++ b/banyantiller/vmlist/interface.py
@@ -1,4 +1,4 @@
-"""The narrow interface to the platform's list of live and leaving VMs."""
+"""The interface to the platform's list of live and leaving VMs."""
 
 import dataclasses
 import enum
@@ -6,7 +6,7 @@
 
 
 class VmState(enum.StrEnum):
-    """State of a VM as the platform tells it; it may lag."""
+    """State of a VM as reported by the platform, possibly late."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -17,7 +17,7 @@
 
     Attributes:
         name: Name of the VM.
-        address: IP number.
+        address: IP address.
         zone: Availability zone.
         state: Live or leaving.
         role: "balancer" or "backend".
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmListing:
-    """The list, which may be stale, and the platform's time for it."""
+    """The list, which may be stale, and its time on the platform's clock."""
 
     vms: tuple[Vm, ...]
     as_of: float
@@ -46,10 +46,10 @@
 
 
 class VmList(Protocol):
-    """What an adapter of a VM list provides."""
+    """Interface of an adapter of a VM list."""
 
     async def read(self) -> VmListing | VmListUnavailable:
-        """Reads the present list."""
+        """Reads the current list."""
 
     async def close(self) -> None:
         """Closes all connections."""
--- a/banyantiller/vmlist/memory.py
+++ b/banyantiller/vmlist/memory.py
@@ -6,13 +6,13 @@
 
 
 class MemoryVmList:
-    """A `VmList` whose content is set by its owner.
+    """A `VmList` with content that the test or application sets.
 
     Attributes:
         vms: VMs by name.
-        as_of: Platform time of the list.
+        as_of: Time of the list on the platform's clock.
         down: Whether reads fail.
-        slow_s: Time that a read takes, in seconds of the loop's clock.
+        slow_s: Duration of a read, in seconds of the loop's clock.
         reads: Number of reads.
     """
 
@@ -36,7 +36,7 @@
         self.as_of += 1
 
     async def read(self) -> interface.VmListing | interface.VmListUnavailable:
-        """Reads the present list."""
+        """Reads the current list."""
         self.reads += 1
         await asyncio.sleep(self.slow_s)
         if self.down:
@@ -44,4 +44,4 @@
         return interface.VmListing(tuple(self.vms.values()), self.as_of)
 
     async def close(self) -> None:
-        """Closes nothing."""
+        """Does nothing."""
--- a/banyantiller/vmlist/tracker.py
+++ b/banyantiller/vmlist/tracker.py
@@ -1,9 +1,9 @@
-"""Turns successive VM lists into changes.
+"""Derives changes from successive VM lists.
 
-The list lags and may be read from differently old copies. A list with an
-older time than one seen before is ignored, so that it can't undo what a newer
-one said. A VM counts as gone only after it is missing from several newer
-lists in a row.
+The list lags, and successive reads may return copies of different age. A list
+older than one that was read before is ignored, so that it cannot undo a newer
+one. A VM counts as removed only after it is missing from several consecutive
+newer lists.
 """
 
 import enum
@@ -15,7 +15,7 @@
 
 
 class Change(enum.StrEnum):
-    """What happened to a VM."""
+    """Kind of change of a VM."""
 
     NEW = "new"
     LEAVING = "leaving"
@@ -27,7 +27,7 @@
     """One change of one VM.
 
     Attributes:
-        change: What happened.
+        change: Kind of the change.
         vm: The VM as last listed.
     """
 
@@ -36,12 +36,13 @@
 
 
 class VmTracker:
-    """What the newest lists said.
+    """State of the VMs according to the newest lists.
 
     Attributes:
-        as_of: Platform time of the newest list, or None.
-        vms: VMs by name, those that have been missing for a short time too.
-        missing: Number of newer lists in a row that lack a VM, by name.
+        as_of: Time of the newest list on the platform's clock, or None.
+        vms: VMs by name, including those that are missing but not yet removed.
+        missing: Number of consecutive newer lists that lack a VM, by name.
+        removed: Names of removed VMs.
     """
 
     def __init__(self, lists_until_removed: int = LISTS_UNTIL_REMOVED) -> None:
@@ -52,11 +53,11 @@
         self.removed: set[str] = set()
 
     def observe(self, listed: interface.VmListing) -> tuple[VmChange, ...]:
-        """Takes a list and returns what it changes, sorted by VM name.
+        """Records a list and returns its changes, sorted by VM name.
 
-        A VM that was gone or leaving and is listed as live again is "back".
-        An empty list changes nothing: the reader itself runs on a VM, so the
-        platform can't have meant it.
+        The change of a removed or leaving VM that is listed as live again is
+        `BACK`. An empty list is ignored as wrong, since the reader itself runs
+        on a VM.
         """
         if self.as_of is not None and listed.as_of <= self.as_of:
             return ()
