--- a/banyantiller/bundle/consistency.py
+++ b/banyantiller/bundle/consistency.py
@@ -110,20 +110,20 @@
         if rule.idempotent and not rule.methods:
             message = "It lets requests of any method, also POST, run twice."
             problems.warn(place, message)
-    for place, earlier_place in _shadowed_rules(rules):
+    for place, earlier_place in _find_shadowed_rules(rules):
         message = f"It has no effect: {earlier_place} matches first."
         problems.warn(place, message)
     unsafe = not rules or any(not rule.idempotent for _, rule in rules)
     if (
         service.key_required
         and not unsafe
-        and _matches_every_request(rules, service)
+        and _has_catch_all_rule(rules, service)
     ):
         message = "It has no effect: every request is idempotent."
         problems.warn(f"{path}.key_required", message)
 
 
-def _shadowed_rules(
+def _find_shadowed_rules(
     rules: list[tuple[str, RequestRule]],
 ) -> Iterator[tuple[str, str]]:
     """Yields the paths of rules that never match and of the earlier rules."""
@@ -142,7 +142,7 @@
     return bool(later.methods) and set(later.methods) <= set(earlier.methods)
 
 
-def _matches_every_request(
+def _has_catch_all_rule(
     rules: list[tuple[str, RequestRule]], service: Service
 ) -> bool:
     return any(
--- a/banyantiller/bundle/difference.py
+++ b/banyantiller/bundle/difference.py
@@ -59,10 +59,10 @@
     for key in before | after:
         where = f"{path}[{key}]"
         yield from _compare_values(where, before.get(key), after.get(key))
-    kept = [key for key in before if key in after]
-    moved = [key for key in after if key in before]
-    if kept != moved:
-        yield Difference(path, kept, moved)
+    order_before = [key for key in before if key in after]
+    order_after = [key for key in after if key in before]
+    if order_before != order_after:
+        yield Difference(path, order_before, order_after)
 
 
 def _by_key(items: tuple[Any, ...]) -> dict[str, Any]:
--- a/banyantiller/bundle/proposals.py
+++ b/banyantiller/bundle/proposals.py
@@ -113,7 +113,7 @@
 async def _store_part(
     store: interface.ObjectStore, part: Part, value: dict[str, Any]
 ) -> Refused | NotReached | NotKnown | None:
-    """Stores a part, or writes an old one anew so that it is not pruned."""
+    """Stores a part; renews an old one so that it is not pruned."""
     for _ in writing.retry_pauses():
         item = await writing.ensure_exists(
             store,
--- a/banyantiller/bundle/verification.py
+++ b/banyantiller/bundle/verification.py
@@ -49,7 +49,7 @@
             f" not for '{deployment}'."
         )
     if manifest.version < 1 or (manifest.version == 1 and manifest.parent):
-        reasons.append("The bundle's version does not fit its parent.")
+        reasons.append("The bundle's version does not match its parent.")
     names = [part.service for part in manifest.parts]
     if names != sorted(set(names)):
         reasons.append("The bundle's parts are not sorted by service.")
@@ -155,7 +155,7 @@
         if signing.is_valid(key.public_key, signature, manifest)
     ]
     if not matching:
-        return f"The signature of '{operator}' does not fit the bundle."
+        return f"The signature of '{operator}' does not match the bundle."
     if all(key.public_key in (proposer_keys or ()) for key in matching):
         return f"Operator '{operator}' signed with a key of the proposer."
     if all(is_expired(key, at) for key in matching):
--- a/banyantiller/measuring/permits.py
+++ b/banyantiller/measuring/permits.py
@@ -82,7 +82,7 @@
         batch_probes: Number of probes to acquire next, adapted to how many
             were used before.
         spent_probes: Number of probes allowed so far.
-        next_read_at: Loop time of the next read of the object API.
+        next_read_at: Earliest loop time of the next read of the object API.
         jitter_s: Upper bound of the random delay of the next read.
     """
 
@@ -105,8 +105,8 @@
         self.count = 0 if probes_per_second <= 0 else min(whole, MAX_PERMITS)
         period_s = max(1.0, 1.0 / max(probes_per_second, 1e-6))
         self.spacing_s = period_s * SPACING_MARGIN
-        fitting = int(MAX_USE_S / self.spacing_s)
-        self.max_uses = max(1, min(MAX_USES, fitting))
+        fitting_uses = int(MAX_USE_S / self.spacing_s)
+        self.max_uses = max(1, min(MAX_USES, fitting_uses))
         for index in [i for i in self.held if i >= self.count]:
             del self.held[index]
 
@@ -287,5 +287,5 @@
                 self.batch_probes = max(1, self.batch_probes // 2)
             else:
                 self.batch_probes *= 2
-        most = self.max_uses * min(self.count, MAX_PERMITS_PER_TAKE)
-        self.batch_probes = max(1, min(self.batch_probes, most))
+        max_batch = self.max_uses * min(self.count, MAX_PERMITS_PER_TAKE)
+        self.batch_probes = max(1, min(self.batch_probes, max_batch))
--- a/banyantiller/store/responses.py
+++ b/banyantiller/store/responses.py
@@ -50,12 +50,12 @@
 
 
 def decode_write(
-    sent: interface.StoredObject, outcome: outcomes.Outcome, verb: str
+    sent_item: interface.StoredObject, outcome: outcomes.Outcome, verb: str
 ) -> interface.UpdateOutcome:
     """Returns the outcome of a write.
 
     Args:
-        sent: The object that was sent.
+        sent_item: The object that was sent.
         outcome: Outcome of the HTTP request.
         verb: "create", "update" or "delete".
     """
@@ -65,7 +65,7 @@
         return interface.Unknown(outcome.reason)
     code = outcome.response.status
     if code in (200, 201, 202):
-        return _decode_written(sent, outcome, verb)
+        return _decode_written(sent_item, outcome, verb)
     if code == 409:
         return interface.Conflict()
     if code == 404:
@@ -78,16 +78,16 @@
 
 
 def _decode_written(
-    sent: interface.StoredObject, answer: outcomes.Answered, verb: str
+    sent_item: interface.StoredObject, answer: outcomes.Answered, verb: str
 ) -> interface.Found | interface.Unknown:
     try:
-        item = wire.decode_object(sent.kind, answer.body)
+        item = wire.decode_object(sent_item.kind, answer.body)
     except wire.WireError as error:
         # The response to a delete is the object or just a status.
         status = wire.decode_status(answer.body).status
         if verb == "delete" and status == "Success":
-            return interface.Found(sent)
+            return interface.Found(sent_item)
         return interface.Unknown(str(error))
-    if item.name != sent.name:
+    if item.name != sent_item.name:
         return interface.Unknown("the response is about another object")
     return interface.Found(item)
--- a/banyantiller/tests/bundle/test_acceptance.py
+++ b/banyantiller/tests/bundle/test_acceptance.py
@@ -98,12 +98,12 @@
 class RefusalTest(TestCase):
     """A refused roll does not change the bundle in force."""
 
-    def check_refused(self, prepare, part: str) -> None:
+    def check_refused(self, make_invalid, part: str) -> None:
         async def body():
             store = MemoryStore()
             await samples.roll(store, await samples.prepare(store, BUNDLE))
             before = await head_of(store)
-            outcome = await samples.roll(store, await prepare(store))
+            outcome = await samples.roll(store, await make_invalid(store))
             self.assertIsInstance(outcome, Refused)
             self.assertIn(part, " ".join(outcome.reasons))
             self.assertEqual(before, await head_of(store))
@@ -111,31 +111,31 @@
         self.run_paused(body())
 
     def test_unsigned(self):
-        async def prepare(store):
+        async def make_invalid(store):
             bundle, ana = samples.bundle(SECOND), samples.operator("ana")
             done = await proposals.propose(store, DEPLOYMENT, bundle, ana)
             return done.digest
 
-        self.check_refused(prepare, "not signed by a second operator")
+        self.check_refused(make_invalid, "not signed by a second operator")
 
     def test_self_signed(self):
-        async def prepare(store):
+        async def make_invalid(store):
             bundle, ana = samples.bundle(SECOND), samples.operator("ana")
             done = await proposals.propose(store, DEPLOYMENT, bundle, ana)
             signed = await approval.sign(store, DEPLOYMENT, done.digest, ana)
             self.assertIsInstance(signed, Refused)
             return done.digest
 
-        self.check_refused(prepare, "not signed by a second operator")
+        self.check_refused(make_invalid, "not signed by a second operator")
 
     def test_tampered_manifest(self):
-        async def prepare(store):
+        async def make_invalid(store):
             digest = await samples.prepare(store, SECOND)
             name = reading.proposal_name(DEPLOYMENT, digest)
             alter(store, reading.PROPOSALS, name, "Second", "Third!")
             return digest
 
-        self.check_refused(prepare, "altered")
+        self.check_refused(make_invalid, "altered")
 
     def test_tampered_and_missing_part(self):
         async def change(store, drop: bool) -> str:
@@ -156,10 +156,10 @@
         )
 
     def test_unknown_proposal(self):
-        async def prepare(store):
+        async def make_invalid(store):
             return "0" * 64
 
-        self.check_refused(prepare, "There is no proposal")
+        self.check_refused(make_invalid, "There is no proposal")
 
     def test_out_of_date(self):
         async def body():
--- a/banyantiller/tests/bundle/test_verification.py
+++ b/banyantiller/tests/bundle/test_verification.py
@@ -20,19 +20,19 @@
 
 
 def accepted(
-    statement: Manifest | None = None,
+    to_sign: Manifest | None = None,
     signers: tuple[str, ...] = ("ben",),
     proposer: str = "ana",
 ) -> AcceptedBundle:
-    statement = statement or manifest()
+    to_sign = to_sign or manifest()
     signatures = [
-        signing.sign(KEYS[proposer].private, "ana", signing.PROPOSE, statement)
+        signing.sign(KEYS[proposer].private, "ana", signing.PROPOSE, to_sign)
     ]
     signatures += [
-        signing.sign(KEYS[name].private, name, signing.SIGN, statement)
+        signing.sign(KEYS[name].private, name, signing.SIGN, to_sign)
         for name in signers
     ]
-    return AcceptedBundle(statement, tuple(signatures), NOW, "ana")
+    return AcceptedBundle(to_sign, tuple(signatures), NOW, "ana")
 
 
 def reasons(
@@ -58,25 +58,29 @@
 
     def test_one_key_under_two_names_is_self_signed(self):
         same = TRUSTED[0]._replace(name="ben")
-        statement = manifest()
+        to_sign = manifest()
         offered = accepted(signers=())
-        mine = signing.sign(KEYS["ana"].private, "ben", "sign", statement)
-        offered = offered._replace(signatures=(*offered.signatures, mine))
+        second_signature = signing.sign(
+            KEYS["ana"].private, "ben", "sign", to_sign
+        )
+        offered = offered._replace(
+            signatures=(*offered.signatures, second_signature)
+        )
         trusted = (TRUSTED[0], same)
         self.assertIn("a key of the proposer", reasons(offered, trusted))
 
     def test_signatures_cover_every_field(self):
         offered = accepted()
-        good = offered.manifest
-        part = good.parts[0]
+        valid = offered.manifest
+        part = valid.parts[0]
         for change in (
             {"version": 2, "parent": "0" * 64},
             {"description": "Other."},
-            {"parts": good.parts[1:]},
-            {"parts": (part._replace(digest="0" * 64), *good.parts[1:])},
+            {"parts": valid.parts[1:]},
+            {"parts": (part._replace(digest="0" * 64), *valid.parts[1:])},
             {"proposer": "cy"},
         ):
-            altered = offered._replace(manifest=good._replace(**change))
+            altered = offered._replace(manifest=valid._replace(**change))
             self.assertNotEqual("", reasons(altered), change)
 
     def test_a_signature_is_valid_for_one_role_only(self):
@@ -87,7 +91,7 @@
         moved = proposed._replace(role=signing.SIGN)
         signatures = (offered.signatures[0], moved)
         offered = offered._replace(signatures=signatures)
-        self.assertIn("does not fit the bundle", reasons(offered))
+        self.assertIn("does not match the bundle", reasons(offered))
 
     def test_malformed_signatures(self):
         offered = accepted()
@@ -95,22 +99,22 @@
             signature = offered.signatures[1]._replace(value=value)
             garbled = (offered.signatures[0], signature)
             found = reasons(offered._replace(signatures=garbled))
-            self.assertIn("does not fit the bundle", found)
+            self.assertIn("does not match the bundle", found)
 
     def test_wrong_deployment_version_order_and_size(self):
         self.assertIn(
             "not for 'other'", reasons(accepted(), deployment="other")
         )
-        good = manifest()
+        valid = manifest()
         for change, part in (
-            ({"version": 0}, "does not fit its parent"),
-            ({"parent": "0" * 64}, "does not fit its parent"),
-            ({"parts": good.parts[::-1]}, "not sorted"),
-            ({"parts": (good.parts[0],) * 2}, "not sorted"),
+            ({"version": 0}, "does not match its parent"),
+            ({"parent": "0" * 64}, "does not match its parent"),
+            ({"parts": valid.parts[::-1]}, "not sorted"),
+            ({"parts": (valid.parts[0],) * 2}, "not sorted"),
             ({"parts": (Part("a", "0" * 64, 1_000_001),)}, "1000001 bytes"),
             ({"parts": (Part("a", "0" * 64, -1),)}, "bytes"),
         ):
-            offered = accepted(good._replace(**change))
+            offered = accepted(valid._replace(**change))
             self.assertIn(part, reasons(offered), change)
 
     def test_unknown_keys_and_roles(self):
@@ -169,30 +173,30 @@
         self.assertEqual(len(data), part.size)
 
     def test_bytes_that_are_not_canonical_are_refused(self):
-        good = canonical.encode_manifest(manifest()).decode()
-        for bad in (
+        valid = canonical.encode_manifest(manifest()).decode()
+        for invalid in (
             "",
             "[]",
             "null",
-            good[:-1],
-            good + " ",
-            good.replace('"version":1', '"version":1.0'),
-            good.replace('"version":1', '"version":true'),
-            good.replace('"version":1', '"version":1,"x":2'),
-            good.replace('"version":1', '"version":1,"version":1'),
-            good.replace("First", "\\u0046irst"),
-            good.replace('"parent":"",', ""),
+            valid[:-1],
+            valid + " ",
+            valid.replace('"version":1', '"version":1.0'),
+            valid.replace('"version":1', '"version":true'),
+            valid.replace('"version":1', '"version":1,"x":2'),
+            valid.replace('"version":1', '"version":1,"version":1'),
+            valid.replace("First", "\\u0046irst"),
+            valid.replace('"parent":"",', ""),
             "[" * 100_000,
         ):
             self.assertRaises(
                 canonical.CanonicalError,
                 canonical.decode_manifest,
-                bad.encode(),
+                invalid.encode(),
             )
         self.assertRaises(
             canonical.CanonicalError,
             canonical.decode,
-            good.encode(),
+            valid.encode(),
             Manifest,
             10,
         )
--- a/banyantiller/tests/commands/test_cli.py
+++ b/banyantiller/tests/commands/test_cli.py
@@ -170,7 +170,7 @@
         result = self.run_cli("show", by="ana")
         self.assertEqual(3, result.status)
         self.assertIn("Daemons refuse what the object API", result.err)
-        self.assertIn("does not fit the bundle", result.err)
+        self.assertIn("does not match the bundle", result.err)
         self.assertEqual(2, len(self.do("status", by="ana")["doubts"]))
         proposed = self.do("propose", self.path("c.yaml"), by="ana")
         self.assertIn("Daemons refuse", proposed["doubts"][0])
--- a/banyantiller/tests/measuring/test_budget.py
+++ b/banyantiller/tests/measuring/test_budget.py
@@ -88,23 +88,23 @@
             prober.stop()
 
 
-def most_in_window(times: list[float], window_s: float) -> int:
+def max_in_window(times: list[float], window_s: float) -> int:
     """Returns the maximum number of probes in any half-open window."""
     ordered = sorted(times)
-    most = first = 0
+    maximum = first = 0
     for last, time in enumerate(ordered):
         while time - ordered[first] >= window_s - 1e-9:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        maximum = max(maximum, last - first + 1)
+    return maximum
 
 
 class BudgetTest(base.TestCase):
     def check_budget(self, fleet: Fleet) -> None:
         window_s = max(1.0, 1.0 / fleet.rate)
-        most = most_in_window(fleet.probes, window_s)
+        maximum = max_in_window(fleet.probes, window_s)
         limit = max(1, math.floor(fleet.rate))
-        self.assertTrue(most <= limit, f"{most} probes, {limit} allowed")
+        self.assertTrue(maximum <= limit, f"{maximum} probes, {limit} allowed")
 
     async def wait_for_uses(self, ledger: permits.Ledger) -> None:
         for _ in range(10_000):
@@ -113,7 +113,7 @@
             await asyncio.sleep(0.01)
         self.fail("No permit was taken.")
 
-    async def settle(self, fleet: Fleet, seconds: float) -> None:
+    async def finish_and_check(self, fleet: Fleet, seconds: float) -> None:
         await asyncio.sleep(seconds)
         fleet.stop()
         self.check_budget(fleet)
@@ -125,7 +125,7 @@
 
             async def scenario(rate: float, size: int) -> None:
                 fleet = Fleet(size, rate)
-                await self.settle(fleet, 300)
+                await self.finish_and_check(fleet, 300)
                 self.assertTrue(len(fleet.probes) > 300 * rate * 0.4)
                 spent = [p.ledger().spent_probes for p in fleet.probers]
                 least = 300 * rate * 0.4 / size / 6
@@ -139,7 +139,7 @@
             for _ in range(200):
                 await asyncio.sleep(1)
                 fleet.restart(0)
-            await self.settle(fleet, 0)
+            await self.finish_and_check(fleet, 0)
             self.assertTrue(len(fleet.probes) > 50)
 
         self.run_paused(scenario())
@@ -150,7 +150,7 @@
             for _ in range(200):
                 await asyncio.sleep(fleet.random.uniform(0, 2))
                 fleet.restart(fleet.random.randrange(14))
-            await self.settle(fleet, 0)
+            await self.finish_and_check(fleet, 0)
             self.assertTrue(len(fleet.probes) > 50)
 
         self.run_paused(scenario())
@@ -158,7 +158,7 @@
     def test_daemons_without_peer_links_share_the_budget(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(2, 1.0)
-            await self.settle(fleet, 200)
+            await self.finish_and_check(fleet, 200)
             spent = [p.ledger().spent_probes for p in fleet.probers]
             self.assertTrue(min(spent) > 20, spent)
 
@@ -179,7 +179,7 @@
             self.assertTrue(calls < 14 * 100, calls)
             for prober in fleet.probers:
                 prober.store.faults.down = False
-            await self.settle(fleet, 60)
+            await self.finish_and_check(fleet, 60)
             self.assertTrue(len(fleet.probes) > before)
 
         self.run_paused(scenario())
@@ -194,7 +194,7 @@
             prober.skew_s += 3600
             await asyncio.sleep(1)
             self.assertEqual(before, len(fleet.probes))
-            await self.settle(fleet, 30)
+            await self.finish_and_check(fleet, 30)
             self.assertTrue(len(fleet.probes) > before)
 
         self.run_paused(scenario())
@@ -212,7 +212,7 @@
     def test_calls_of_a_growing_fleet(self) -> None:
         async def scenario(size: int) -> float:
             fleet = Fleet(size, 2.0)
-            await self.settle(fleet, 80)
+            await self.finish_and_check(fleet, 80)
             return sum(prober.calls() for prober in fleet.probers) / 80
 
         for size in (4, 56):
@@ -259,7 +259,7 @@
                     prober.store.faults.slow_s = LATENCY_S
                     prober.store.serve_stale(False)
                 await asyncio.sleep(pause_s)
-            await self.settle(fleet, 20)
+            await self.finish_and_check(fleet, 20)
 
         self.run_paused(scenario())
 
--- a/banyantiller/tests/store/test_tls.py
+++ b/banyantiller/tests/store/test_tls.py
@@ -42,9 +42,9 @@
             tempfile.TemporaryDirectory() as one,
             tempfile.TemporaryDirectory() as two,
         ):
-            trusted = Authority(one).issue("server")
-            other = Authority(two).issue("server")
-            used = self.create_over(trusted, trusted.trust)
-            refused = self.create_over(trusted, other.trust)
+            files = Authority(one).issue("server")
+            other_files = Authority(two).issue("server")
+            used = self.create_over(files, files.trust)
+            refused = self.create_over(files, other_files.trust)
         self.assertIsInstance(used, interface.Found)
         self.assertIsInstance(refused, interface.Unavailable)
