--- a/banyantiller/bundle/options.py
+++ b/banyantiller/bundle/options.py
@@ -31,7 +31,7 @@
 
 
 class RequestRule(NamedTuple):
-    """Whether matching requests may be retried; the first match applies."""
+    """States whether matching requests may be retried; first match applies."""
 
     idempotent: Annotated[
         bool, Option("Whether a request may run more than once.")
--- a/banyantiller/bundle/writing.py
+++ b/banyantiller/bundle/writing.py
@@ -16,7 +16,7 @@
 
 
 def retry_pauses() -> Iterator[float]:
-    """Yields the pause in seconds after each attempt, `MOST_TRIES` times."""
+    """Yields the pause in seconds after each attempt, `MAX_ATTEMPTS` times."""
     pause = INITIAL_PAUSE_S
     for _ in range(MAX_ATTEMPTS):
         yield pause
@@ -78,7 +78,7 @@
         is_same: Returns whether an existing object has the same content.
 
     Returns:
-        The object; `Damaged` if another one has its name.
+        The object; `DamagedObject` if one with other content has its name.
     """
     attempts = FailedAttempts()
     for pause in retry_pauses():
--- a/banyantiller/platform/registrations.py
+++ b/banyantiller/platform/registrations.py
@@ -21,7 +21,7 @@
     # Concurrent requests; connections have a separate limit.
     maxConcurrency: int
     state: str
-    # Remaining time for which the server is slow; it accepts requests.
+    # Remaining warm-up time; the server is slow but accepts requests.
     warmupLeftS: float
     # Start as Unix time in milliseconds, not an age; servers of earlier
     # releases omit it.
--- a/banyantiller/tests/store/contract.py
+++ b/banyantiller/tests/store/contract.py
@@ -65,7 +65,7 @@
         self.assertEqual(interface.Conflict(), await store.update(old.item, {}))
 
     async def check_lists_by_label(self, store: interface.ObjectStore):
-        """Lists only objects with all the labels, sorted by name."""
+        """Lists objects with all the labels by name, over several pages."""
         for number in range(7):
             colour = "red" if number % 2 else "blue"
             labels = {"colour": colour, "size": str(number)}
