--- a/banyantiller/daemon/assembly.py
+++ b/banyantiller/daemon/assembly.py
@@ -22,8 +22,7 @@
 from banyantiller.measuring import budget as budgeting
 from banyantiller.membership import peers as peering
 from banyantiller.proxy import proxy as proxying
-from banyantiller.replica import spread as spreading
-from banyantiller.replica import state
+from banyantiller.replica import replicator, state
 from banyantiller.store import interface as store_interface
 from banyantiller.telemetry import admin, metrics, tallies
 from banyantiller.vmlist import interface as vm_interface
@@ -63,7 +62,7 @@
         self.peers = peering.Peers.from_settings(
             settings, self.kernel, wall, seed
         )
-        self.spread = spreading.BundleSpread.from_settings(
+        self.spread = replicator.BundleReplicator.from_settings(
             settings,
             self.store,
             self.peers,
@@ -96,7 +95,7 @@
         )
         self.admin = admin.Admin(self.readiness, self.state, self.instruments)
         self.admin_server = admin_server.AdminServer(
-            self.admin, self.proxy.endings.lift
+            self.admin, self.proxy.crash_tracker.lift
         )
 
     @classmethod
@@ -132,7 +131,9 @@
     async def _start(self) -> None:
         metrics.add_calls(self.instruments, self.counts)
         metrics.add_in_flight(self.instruments, self.proxy.own_load)
-        metrics.add_quarantine(self.instruments, self.proxy.endings.count)
+        metrics.add_quarantine(
+            self.instruments, self.proxy.crash_tracker.count_quarantined
+        )
         self.kernel.subscribe(events.CallFinished, self.counts.record)
         self.registry.connect(self.kernel)
         bundles.connect(self)
@@ -189,7 +190,7 @@
 
     def state(self) -> dict[str, object]:
         """Returns the daemon's state for the status page."""
-        held = self.spread.held
+        held = self.spread.in_force
         return {
             "deployment": self.settings.deployment,
             "daemon": self.settings.daemon,
@@ -201,7 +202,9 @@
             "draining": self.draining,
             "isolated": self.spread.isolated,
             "fenced": self.proxy.fenced,
-            "members": sorted(entry.daemon for entry in self.peers.alive()),
+            "members": sorted(
+                entry.daemon for entry in self.peers.alive_members()
+            ),
             "peer_traffic": vars(self.peers.traffic),
             "object_api_calls": dict(self.store.calls),
             "task_failures": dict(self.kernel.failures),
--- a/banyantiller/daemon/suspect_requests.py
+++ b/banyantiller/daemon/suspect_requests.py
@@ -9,7 +9,7 @@
 
 from banyantiller.kernel import events
 from banyantiller.membership import messages
-from banyantiller.quarantine import table
+from banyantiller.quarantine import crash_table
 
 if TYPE_CHECKING:
     from banyantiller.daemon import assembly
@@ -19,26 +19,26 @@
 
 def start(daemon: "assembly.Daemon") -> None:
     """Connects the data path's part with the other daemons."""
-    known = daemon.proxy.endings
+    known = daemon.proxy.crash_tracker
     peers = daemon.peers
 
     def on_news(event: events.RequestsSuspected) -> None:
         now = asyncio.get_running_loop().time()
-        told = known.watch.table.tell_of(event.fingerprints, now)
+        told = known.watch.table.export_records(event.fingerprints, now)
         peers.broadcast(_message(told))
 
     def on_told(sender: str, message: messages.SuspectRequests) -> None:
         told = _records(message)
-        if not known.learn(told):
+        if not known.receive_records(told):
             return
         now = asyncio.get_running_loop().time()
         names = [fields["fingerprint"] for fields in told]
-        passed_on = known.watch.table.tell_of(names, now)
-        peers.broadcast(_message(passed_on), but=sender)
+        passed_on = known.watch.table.export_records(names, now)
+        peers.broadcast(_message(passed_on), exclude=sender)
 
     def on_link(peer: str) -> None:
         now = asyncio.get_running_loop().time()
-        told = known.watch.table.tell(now)
+        told = known.watch.table.export_changes(now)
         if told:
             peers.send(peer, _message(told))
 
@@ -53,12 +53,12 @@
     daemon.kernel.start("quarantine", keep_house)
 
 
-def _message(told: list[table.RecordFields]) -> messages.SuspectRequests:
+def _message(told: list[crash_table.RecordFields]) -> messages.SuspectRequests:
     return messages.SuspectRequests(
         tuple(
             messages.SuspectRequest(
                 fields["fingerprint"],
-                tuple(messages.ServerEnd(**end) for end in fields["ends"]),
+                tuple(messages.ServerCrash(**end) for end in fields["ends"]),
                 fields["answered_age_ms"],
             )
             for fields in told
@@ -66,11 +66,15 @@
     )
 
 
-def _records(message: messages.SuspectRequests) -> list[table.RecordFields]:
+def _records(
+    message: messages.SuspectRequests,
+) -> list[crash_table.RecordFields]:
     return [
-        table.RecordFields(
+        crash_table.RecordFields(
             fingerprint=request.fingerprint,
-            ends=[table.EndFields(**end._asdict()) for end in request.ends],
+            ends=[
+                crash_table.CrashFields(**end._asdict()) for end in request.ends
+            ],
             answered_age_ms=request.answered_age_ms,
         )
         for request in message.requests
--- a/banyantiller/gateway/attempts.py
+++ b/banyantiller/gateway/attempts.py
@@ -13,7 +13,7 @@
     protocols,
 )
 from banyantiller.http import messages
-from banyantiller.quarantine import watch
+from banyantiller.quarantine import crash_tracker
 
 # Statuses with which a server tells of a fault of its own, and not of a time
 # that passed.
@@ -74,7 +74,9 @@
             self.gateway.prober.record_response_load(entry, outcome.headers)
             if outcome.status < 500:
                 fingerprint = self.call.request.fingerprint
-                self.gateway.crash_detector.watch.answered(fingerprint, now)
+                self.gateway.crash_detector.watch.record_response(
+                    fingerprint, now
+                )
                 took_s = now - self.started_at
                 self.gateway.durations.record_duration(
                     self.call.route.name, took_s
@@ -146,7 +148,7 @@
     def _note_no_answer(self, outcome: exchange.BrokenResponse | None) -> None:
         """Notes that the server gave no answer; None if it was given up."""
         request = self.call.request
-        one = watch.Broken(
+        one = crash_tracker.UnansweredRequest(
             request.fingerprint,
             request.request_id,
             self.sent_at,
--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -290,7 +290,7 @@
 
     def _quarantine_s(self) -> float | None:
         """Returns how long it is still refused, in seconds, or None."""
-        return self.gateway.crash_detector.watch.wait_s(
+        return self.gateway.crash_detector.watch.quarantine_left_s(
             self.request.fingerprint, self.loop.time()
         )
 
@@ -305,7 +305,7 @@
         if broken.kind is not ErrorKind.CONNECTION_LOST:
             return False
         lost = crash_detection.incarnation_id(attempt.entry.server)
-        found = self.gateway.crash_detector.watch.ended_under(
+        found = self.gateway.crash_detector.watch.count_crashes(
             self.request.fingerprint, lost
         )
         return found >= MAX_CRASHES_BEFORE_ATTEMPT
--- a/banyantiller/proxy/pool.py
+++ b/banyantiller/proxy/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one backend server."""
+"""Connections to a backend server."""
 
 import asyncio
 import collections
@@ -11,74 +11,75 @@
 
 from banyantiller.config.defaults import BackendSettings
 from banyantiller.errors import ErrorKind
-from banyantiller.proxy import backend, guard, watchdog
+from banyantiller.proxy import backend, guard, timers
 
 log = structlog.get_logger("banyantiller.proxy")
 
-# A connection that stayed silent for so long makes its idle kin suspect.
-SILENCE_SUSPECT_S = 0.25
+# A reused connection without a response for so long makes idle ones suspect.
+UNRESPONSIVE_S = 0.25
 
 
 class Address(NamedTuple):
-    """Where a backend server listens."""
+    """The address of a backend server."""
 
     host: str
     port: int
 
 
 class Borrower(Protocol):
-    """Who wants a connection.
+    """A user that needs a connection.
 
     Attributes:
-        proven: Whether only a new connection or one that answered a moment
-            ago will do.
-        wanted: False once the borrower has given up.
+        requires_proven: Whether only a new connection, or one that had a
+            response recently, is acceptable.
+        is_waiting: False once the borrower has given up.
     """
 
-    proven: bool
-    wanted: bool
+    requires_proven: bool
+    is_waiting: bool
 
     def connected(self, connection: backend.BackendConnection) -> None:
-        """Takes the connection."""
+        """Receives the connection."""
 
-    def connect_failed(self, kind: ErrorKind) -> None:
-        """No connection could be made."""
+    def connect_failed(self, error_kind: ErrorKind) -> None:
+        """Called when no connection could be established."""
 
 
-class Look:
-    """Borrows a new connection only to see whether a server takes it."""
+class ReachabilityCheck:
+    """Opens a new connection only to check that a server accepts it."""
 
-    proven = True
-    wanted = True
+    requires_proven = True
+    is_waiting = True
 
     def __init__(self, pool: "Pool") -> None:
         self.pool = pool
 
     def connected(self, connection: backend.BackendConnection) -> None:
-        """The server is there."""
-        self.pool.looking = False
-        self.pool.give_back(connection)
+        """Returns the connection, as the server is reachable."""
+        self.pool.checking_reachable = False
+        self.pool.release(connection)
 
-    def connect_failed(self, kind: ErrorKind) -> None:  # noqa: ARG002
-        """It can't be reached; a refusal is told by the pool."""
-        self.pool.looking = False
+    def connect_failed(self, error_kind: ErrorKind) -> None:  # noqa: ARG002
+        """Ends the check; the pool reports a refusal itself."""
+        self.pool.checking_reachable = False
 
 
-def _not_told() -> None:
+def _ignore_refusal() -> None:
     pass
 
 
 class Pool:
-    """Lends connections to one server and keeps idle ones.
+    """Lends connections to a server and keeps idle ones.
 
     Attributes:
-        limit: Most connections, idle and connecting ones included.
-        open: Connections that exist.
-        connecting: Connections being made.
-        idle: Idle connections, the one used last at the end.
-        waiting: Borrowers for which the limit leaves no connection.
-        closing: Whether the server left; connections are then not kept.
-        looking: Whether a look at the server is under way.
+        limit: Maximum number of connections, including idle and connecting.
+        open_connections: Established connections.
+        connect_tasks: Tasks that establish connections.
+        idle: Idle connections, most recently used last.
+        waiting_borrowers: Borrowers that wait because of the limit.
+        retired: Whether the server was removed, so that connections are not
+            kept.
+        checking_reachable: Whether a reachability check is running.
         on_refused: Called when the server's machine refuses a connection.
     """
 
@@ -94,35 +95,37 @@
         self.tls = tls
         self.limit = limit
         self.loop = asyncio.get_running_loop()
-        self.open: set[backend.BackendConnection] = set()
+        self.open_connections: set[backend.BackendConnection] = set()
         self.idle: list[backend.BackendConnection] = []
-        self.connecting: set[asyncio.Task[None]] = set()
-        self.waiting: collections.deque[Borrower] = collections.deque()
-        self.closing = False
-        self.looking = False
-        self.on_refused: Callable[[], None] = _not_told
-        self.watch = watchdog.Watchdog(self.loop, self._expire)
+        self.connect_tasks: set[asyncio.Task[None]] = set()
+        self.waiting_borrowers: collections.deque[Borrower] = (
+            collections.deque()
+        )
+        self.retired = False
+        self.checking_reachable = False
+        self.on_refused: Callable[[], None] = _ignore_refusal
+        self.timer = timers.LazyTimer(self.loop, self._close_expired)
 
     def acquire(self, borrower: Borrower) -> None:
-        """Lends a connection now or later, newest idle one first."""
-        connection = self._take_idle(borrower.proven)
+        """Lends a connection now or later, most recently used first."""
+        connection = self._take_idle(borrower.requires_proven)
         if connection is not None:
             borrower.connected(connection)
         elif self._has_room():
             self._connect(borrower)
         else:
-            self.waiting.append(borrower)
+            self.waiting_borrowers.append(borrower)
 
-    def look(self) -> None:
-        """Makes a new connection to see whether the server is there."""
-        if self.closing or self.looking or not self._has_room():
+    def check_reachable(self) -> None:
+        """Opens a new connection to check that the server is reachable."""
+        if self.retired or self.checking_reachable or not self._has_room():
             return
-        self.looking = True
-        self._connect(Look(self))
+        self.checking_reachable = True
+        self._connect(ReachabilityCheck(self))
 
-    def give_back(self, connection: backend.BackendConnection) -> None:
-        """Takes a connection that can be used again."""
-        if self.closing or len(self.open) > self.limit:
+    def release(self, connection: backend.BackendConnection) -> None:
+        """Lends a returned connection to a waiting borrower, or keeps it."""
+        if self.retired or len(self.open_connections) > self.limit:
             connection.abort()
             return
         borrower = self._next_waiting()
@@ -130,58 +133,61 @@
             borrower.connected(connection)
             return
         self.idle.append(connection)
-        if self.watch.due == watchdog.NEVER:
-            self.watch.set(self.loop.time() + self.settings.idle_timeout_s)
+        if self.timer.due == timers.NEVER:
+            self.timer.set_lazily(
+                self.loop.time() + self.settings.idle_timeout_s
+            )
 
-    def lost(self, connection: backend.BackendConnection) -> None:
-        """Forgets a closed connection and serves who waits for room."""
-        self.open.discard(connection)
+    def connection_closed(self, connection: backend.BackendConnection) -> None:
+        """Removes a closed connection and serves waiting borrowers."""
+        self.open_connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
         self._serve_waiting()
 
-    def suspect(self, since: float) -> None:
-        """Drops idle connections that did not answer later than `since`.
+    def close_stale_idle(self, since: float) -> None:
+        """Closes idle connections without a response later than `since`.
 
-        Called when a connection was found dead or silent: what lost track of
-        it may have lost track of its kin, while new connections work.
+        Called when a connection was found dead or unresponsive. Whatever lost
+        its state may have lost the state of other old connections too, while
+        new connections work.
         """
         for connection in list(self.idle):
-            if connection.last_answer <= since:
+            if connection.last_response_at <= since:
                 connection.abort()
 
     def set_limit(self, limit: int) -> None:
-        """Changes the limit; idle connections above it are closed."""
+        """Changes the limit; closes idle connections above it."""
         self.limit = limit
-        while self.idle and len(self.open) > limit:
+        while self.idle and len(self.open_connections) > limit:
             self.idle[0].abort()
         self._serve_waiting()
 
-    def turn_away(self) -> None:
-        """Sends borrowers elsewhere who still wait for a connection."""
+    def reject_waiting(self) -> None:
+        """Fails waiting borrowers, so that they are routed elsewhere."""
         while (borrower := self._next_waiting()) is not None:
             borrower.connect_failed(ErrorKind.NO_SERVER)
 
-    def leave(self) -> None:
-        """Closes idle connections; busy ones close after their answer."""
-        self.closing = True
-        self.watch.stop()
+    def retire(self) -> None:
+        """Closes idle connections; busy ones close after their response."""
+        self.retired = True
+        self.timer.stop()
         for connection in list(self.idle):
             connection.abort()
 
     def close(self) -> None:
-        """Closes everything at once."""
-        self.leave()
-        for task in self.connecting:
+        """Closes all connections at once."""
+        self.retire()
+        for task in self.connect_tasks:
             task.cancel()
-        for connection in list(self.open):
+        for connection in list(self.open_connections):
             connection.abort()
 
-    async def create(self) -> backend.BackendConnection:
-        """Opens one connection.
+    async def open_connection(self) -> backend.BackendConnection:
+        """Opens a connection.
 
         Raises:
-            OSError: No connection could be made.
+            OSError: The connection could not be established.
         """
         factory = functools.partial(
             backend.BackendConnection,
@@ -205,20 +211,26 @@
         )
         return connection
 
-    def _take_idle(self, proven: bool) -> backend.BackendConnection | None:
+    def _take_idle(
+        self, requires_proven: bool
+    ) -> backend.BackendConnection | None:
         now = self.loop.time()
-        age = self.settings.proven_s if proven else self.settings.idle_timeout_s
+        age = (
+            self.settings.proven_s
+            if requires_proven
+            else self.settings.idle_timeout_s
+        )
         while self.idle:
             connection = self.idle[-1]
-            if connection.last_answer + age < now:
+            if connection.last_response_at + age < now:
                 return None
             self.idle.pop()
-            if connection.usable():
+            if connection.is_usable():
                 return connection
         return None
 
     def _has_room(self) -> bool:
-        if len(self.open) + len(self.connecting) < self.limit:
+        if len(self.open_connections) + len(self.connect_tasks) < self.limit:
             return True
         if not self.idle:
             return False
@@ -226,70 +238,70 @@
         return True
 
     def _next_waiting(self) -> Borrower | None:
-        while self.waiting:
-            borrower = self.waiting.popleft()
-            if borrower.wanted:
+        while self.waiting_borrowers:
+            borrower = self.waiting_borrowers.popleft()
+            if borrower.is_waiting:
                 return borrower
         return None
 
     def _serve_waiting(self) -> None:
-        while self.waiting and (
-            len(self.open) + len(self.connecting) < self.limit
+        while self.waiting_borrowers and (
+            len(self.open_connections) + len(self.connect_tasks) < self.limit
         ):
             borrower = self._next_waiting()
             if borrower is not None:
                 self._connect(borrower)
 
     def _connect(self, borrower: Borrower) -> None:
-        task = self.loop.create_task(self._open(borrower))
-        self.connecting.add(task)
-        task.add_done_callback(self.connecting.discard)
+        task = self.loop.create_task(self._connect_borrower(borrower))
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
-    async def _open(self, borrower: Borrower) -> None:
-        kind = ErrorKind.CONNECT_FAILED
+    async def _connect_borrower(self, borrower: Borrower) -> None:
+        error_kind = ErrorKind.CONNECT_FAILED
         connection = None
         try:
             async with asyncio.timeout(self.settings.connect_timeout_s):
-                connection = await self.create()
+                connection = await self.open_connection()
         except TimeoutError:
-            kind = ErrorKind.CONNECT_TIMEOUT
+            error_kind = ErrorKind.CONNECT_TIMEOUT
         except ssl.SSLError:
-            kind = ErrorKind.TLS_FAILED
+            error_kind = ErrorKind.TLS_FAILED
         except ConnectionRefusedError:
             guard.run(self.on_refused)
         except OSError:
             pass
         except Exception:
-            log.exception("proxy: a connection could not be made.")
-            kind = ErrorKind.INTERNAL
-        self.connecting.discard(asyncio.current_task())
+            log.exception("proxy: unexpected error while connecting.")
+            error_kind = ErrorKind.INTERNAL
+        self.connect_tasks.discard(asyncio.current_task())
         if connection is None:
-            if borrower.wanted:
-                borrower.connect_failed(kind)
+            if borrower.is_waiting:
+                borrower.connect_failed(error_kind)
             self._serve_waiting()
             return
-        self._opened(borrower, connection)
+        self._on_connected(borrower, connection)
 
-    def _opened(
+    def _on_connected(
         self, borrower: Borrower, connection: backend.BackendConnection
     ) -> None:
-        if connection.gone:
-            if borrower.wanted:
+        if connection.closed:
+            if borrower.is_waiting:
                 borrower.connect_failed(ErrorKind.CONNECT_FAILED)
             return
-        self.open.add(connection)
-        if borrower.wanted:
+        self.open_connections.add(connection)
+        if borrower.is_waiting:
             borrower.connected(connection)
         else:
-            self.give_back(connection)
+            self.release(connection)
 
-    def _expire(self) -> None:
+    def _close_expired(self) -> None:
         now = self.loop.time()
-        longest = self.settings.idle_timeout_s
+        idle_timeout_s = self.settings.idle_timeout_s
         for connection in list(self.idle):
-            # The same sum as below, so that rounding makes no difference.
-            if connection.last_answer + longest <= now:
+            # Uses the sum of the timer below, to avoid a rounding difference.
+            if connection.last_response_at + idle_timeout_s <= now:
                 connection.abort()
         if self.idle:
-            oldest = min(item.last_answer for item in self.idle)
-            self.watch.set(oldest + longest)
+            oldest = min(item.last_response_at for item in self.idle)
+            self.timer.set_lazily(oldest + idle_timeout_s)
--- a/banyantiller/routing/shares.py
+++ b/banyantiller/routing/shares.py
@@ -1,18 +1,18 @@
-"""Traffic shares: which group of servers each call goes to."""
+"""Traffic shares: assigns each call to a group of servers."""
 
 from collections.abc import Iterable
 
 from banyantiller.bundle import options
 
 
-class GroupSharing:
+class GroupRoundRobin:
     """Smooth weighted round robin over groups.
 
-    Each group's count stays within one call of its share times the calls.
+    Each group's count stays within one call of its share of the calls.
 
     Attributes:
         weights: Weight of each group; they add up to 1.
-        credits: What each group is owed, in calls.
+        credits: Calls that each group is behind its share.
     """
 
     def __init__(self) -> None:
@@ -22,12 +22,12 @@
     def configure(
         self, shares: tuple[options.Share, ...], groups: Iterable[str]
     ) -> None:
-        """Takes new shares; groups without servers are left out."""
-        known = set(groups)
-        wanted = {s.group: s.percent for s in shares if s.group in known}
-        total = sum(wanted.values())
+        """Applies new shares; ignores groups without servers."""
+        present = set(groups)
+        percents = {s.group: s.percent for s in shares if s.group in present}
+        total = sum(percents.values())
         weights = (
-            {name: percent / total for name, percent in wanted.items()}
+            {name: percent / total for name, percent in percents.items()}
             if total > 0
             else {}
         )
@@ -36,7 +36,7 @@
             self.credits = dict.fromkeys(weights, 0.0)
 
     def next_group(self) -> str:
-        """Returns the group of the next call, or "" when all are alike."""
+        """Returns the group of the next call, or "" if there are no shares."""
         if not self.weights:
             return ""
         for name, weight in self.weights.items():
--- a/banyantiller/tests/leaving/test_daemon.py
+++ b/banyantiller/tests/leaving/test_daemon.py
@@ -1,4 +1,4 @@
-"""Whole daemons: what one learns of a leaving server reaches the others."""
+"""Tests that whole daemons publish leaving servers to one another."""
 
 import asyncio
 
@@ -11,22 +11,22 @@
 
 
 class Fleet(whole.Fleet):
-    """A fleet whose first server may say that it drains."""
+    """A fleet whose servers may report that they drain."""
 
     def __init__(self) -> None:
         super().__init__()
         self.draining = False
 
     async def answer(self, request: messages.Request) -> messages.Response:
-        """Answers with the load of a server."""
+        """Responds with the load of a server."""
         draining = int(self.draining)
-        told = (
+        report = (
             f"TEXT named_metrics.in_flight=1, named_metrics.draining={draining}"
         )
-        return messages.Response(200, ((METRICS, told),), b"done")
+        return messages.Response(200, ((METRICS, report),), b"done")
 
-    def out_of_use(self) -> list[int]:
-        """Returns how many servers get nothing new, by daemon."""
+    def leaving_counts(self) -> list[int]:
+        """Returns how many servers get no new requests, by daemon."""
         return [
             sum(len(d.leaving) for d in daemon.proxy.drivers.values())
             for daemon in self.daemons
@@ -34,7 +34,7 @@
 
 
 class LeavingDaemonTest(base.TestCase):
-    def test_drain_told_to_one_daemon_stops_all_and_return_reaches_all(
+    def test_drain_reported_to_one_daemon_and_return_reach_all(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -43,12 +43,12 @@
             fleet.draining = True
             await whole.send(8001, "GET", "/orders/1")
             await asyncio.sleep(STOP_WITHIN_S)
-            self.assertEqual([1, 1, 1], fleet.out_of_use())
+            self.assertEqual([1, 1, 1], fleet.leaving_counts())
             await asyncio.sleep(100)
-            self.assertEqual([1, 1, 1], fleet.out_of_use())
+            self.assertEqual([1, 1, 1], fleet.leaving_counts())
             fleet.draining = False
             await asyncio.sleep(100)
-            self.assertEqual([0, 0, 0], fleet.out_of_use())
+            self.assertEqual([0, 0, 0], fleet.leaving_counts())
             await fleet.stop()
 
         self.run_paused(scenario())
--- a/banyantiller/tests/leaving/test_fleet.py
+++ b/banyantiller/tests/leaving/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on the paused clock: all daemons stop in time, and come back."""
+"""A fleet on a simulated clock: all daemons stop in time, and resume."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Node:
-    """One daemon; keeps when it stopped and started to use the server."""
+    """One daemon; records when it stopped sending to the server."""
 
     def __init__(self, fleet: "Fleet", index: int) -> None:
         self.index = index
@@ -28,23 +28,25 @@
         self.part = task.LeavingServers.from_settings(
             fleet.vms[index],
             1.0,
-            task.Outlets(self.leave, self.back, self.tell),
+            task.Callbacks(
+                self.stop_sending, self.resume_sending, self.publish
+            ),
         )
         self.part.configure([SERVICE])
         self.tasks = [
             asyncio.create_task(self.part.run()),
-            asyncio.create_task(self.part.follow_vms()),
+            asyncio.create_task(self.part.poll_vm_list()),
         ]
 
-    def leave(self, service: str, server: str, reason: str) -> None:
+    def stop_sending(self, service: str, server: str, reason: str) -> None:
         self.stopped_at = asyncio.get_running_loop().time()
 
-    def back(self, service: str, server: str) -> None:
+    def resume_sending(self, service: str, server: str) -> None:
         self.stopped_at = None
 
-    def tell(self, message: Any) -> None:
-        for other in self.fleet.links[self.index]:
-            self.fleet.send(other, messages.encode(message))
+    def publish(self, message: Any) -> None:
+        for peer in self.fleet.links[self.index]:
+            self.fleet.send(peer, messages.encode(message))
 
     def stop(self) -> None:
         for running in self.tasks:
@@ -61,10 +63,10 @@
         self.vms = [memory.MemoryVmList((LIVE,), 1.0) for _ in range(SIZE)]
         self.links: list[set[int]] = [set() for _ in range(SIZE)]
         for index in range(SIZE):
-            others = [other for other in range(SIZE) if other != index]
-            for other in self.random.sample(others, LINKS // 2):
-                self.links[index].add(other)
-                self.links[other].add(index)
+            peers = [peer for peer in range(SIZE) if peer != index]
+            for peer in self.random.sample(peers, LINKS // 2):
+                self.links[index].add(peer)
+                self.links[peer].add(index)
         self.nodes = [Node(self, index) for index in range(SIZE)]
 
     def send(self, to: int, data: bytes) -> None:
@@ -76,7 +78,7 @@
         loop.call_later(delay_s, self.deliver, to, data)
 
     def deliver(self, to: int, data: bytes) -> None:
-        self.nodes[to].part.peer_told(messages.decode(data))
+        self.nodes[to].part.receive_message(messages.decode(data))
 
     def restart(self, index: int) -> None:
         self.nodes[index].stop()
@@ -87,10 +89,10 @@
             node.stop()
 
     def slowest_stop(self) -> float:
-        """Returns when the last daemon stopped; all must have."""
+        """Returns when the last daemon stopped sending; all must have."""
         return max(node.stopped_at for node in self.nodes)
 
-    def using(self) -> int:
+    def count_sending(self) -> int:
         return sum(node.stopped_at is None for node in self.nodes)
 
 
@@ -101,32 +103,32 @@
             for vms in fleet.vms:
                 vms.down = list_down
             await asyncio.sleep(10)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(STOP_WITHIN_S)
-            self.assertEqual(0, fleet.using())
+            self.assertEqual(0, fleet.count_sending())
             self.assertTrue(fleet.slowest_stop() <= 10 + STOP_WITHIN_S)
             await asyncio.sleep(150)
-            self.assertEqual(0, fleet.using())
+            self.assertEqual(0, fleet.count_sending())
             fleet.stop()
 
         for seed in range(10):
             for loss in (0.0, 0.3):
                 self.run_paused(scenario(seed, loss, list_down=seed % 2 == 0))
 
-    def test_return_reaches_all_and_a_stale_list_does_not_undo_it(
+    def test_return_reaches_all_and_stays_without_more_messages(
         self,
     ) -> None:
         async def scenario() -> None:
             fleet = Fleet(1)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(60)
             now = asyncio.get_running_loop().time()
-            fleet.nodes[3].part.open_told("registry", "s1", now)
+            fleet.nodes[3].part.record_not_draining("registry", "s1", now)
             await asyncio.sleep(2)
-            self.assertEqual(SIZE, fleet.using())
+            self.assertEqual(SIZE, fleet.count_sending())
             sent = fleet.sent
             await asyncio.sleep(600)
-            self.assertEqual(SIZE, fleet.using())
+            self.assertEqual(SIZE, fleet.count_sending())
             self.assertEqual(sent, fleet.sent)
             fleet.stop()
 
@@ -135,28 +137,28 @@
     def test_new_daemon_learns_from_a_reminder(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(2)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(100)
             fleet.restart(7)
             await asyncio.sleep(6)
-            self.assertEqual(0, fleet.using())
+            self.assertEqual(0, fleet.count_sending())
             fleet.stop()
 
         self.run_paused(scenario())
 
-    def test_word_of_a_dead_daemon_ends(self) -> None:
+    def test_notice_of_a_restarted_daemon_expires(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(3, loss=0.1)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(50)
             fleet.restart(0)
             await asyncio.sleep(60)
-            self.assertEqual(SIZE, fleet.using())
+            self.assertEqual(SIZE, fleet.count_sending())
             fleet.stop()
 
         self.run_paused(scenario())
 
-    def test_one_daemon_sees_the_vm_list_and_others_see_old_ones(self) -> None:
+    def test_vm_list_read_by_some_daemons_stops_all(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(4)
             for index in range(1, SIZE):
@@ -165,15 +167,15 @@
             for vms in fleet.vms[:7]:
                 vms.put(leaving)
             await asyncio.sleep(STOP_WITHIN_S)
-            self.assertEqual(0, fleet.using())
+            self.assertEqual(0, fleet.count_sending())
             fleet.stop()
 
         self.run_paused(scenario())
 
-    def test_messages_stay_few_while_a_server_leaves(self) -> None:
+    def test_number_of_messages_is_bounded_while_a_server_leaves(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(5)
-            fleet.nodes[0].part.drain_told("registry", "s1")
+            fleet.nodes[0].part.record_draining("registry", "s1")
             await asyncio.sleep(100)
             links = sum(len(linked) for linked in fleet.links)
             self.assertTrue(fleet.sent <= links * (4 + 100 / 5 + 1))
