--- a/banyantiller/bundle/reading.py
+++ b/banyantiller/bundle/reading.py
@@ -3,9 +3,14 @@
 from typing import Any, NamedTuple
 
 from banyantiller.bundle import canonical, plain
-from banyantiller.bundle.manifest import Accepted, Manifest, Part, Signature
+from banyantiller.bundle.manifest import (
+    AcceptedBundle,
+    Manifest,
+    Part,
+    Signature,
+)
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     HeadFound,
     NoHead,
     NotFound,
@@ -22,7 +27,7 @@
 PARTS = "bundleparts"
 PROPOSALS = "bundleproposals"
 
-SHORT_DIGEST = 32
+SHORT_DIGEST_CHARS = 32
 MAX_SIGNATURES = 16
 
 
@@ -36,18 +41,21 @@
     return decode_head(outcome.item)
 
 
-def decode_head(item: interface.StoredObject) -> HeadFound | Damaged:
-    """Decodes a head object, as a read or a watch delivered it."""
+def decode_head(item: interface.StoredObject) -> HeadFound | DamagedObject:
+    """Decodes a head object that a read or a watch returned."""
     try:
-        accepted = canonical.decode_accepted(_bytes(item, "accepted"))
+        accepted = canonical.decode_accepted(_field_bytes(item, "accepted"))
     except canonical.CanonicalError as error:
-        return Damaged(f"The accepted bundle is damaged: {error}.", item)
+        return DamagedObject(f"The accepted bundle is damaged: {error}.", item)
     digest = canonical.manifest_digest(accepted.manifest)
     return HeadFound(accepted, digest, item)
 
 
-def head_value(accepted: Accepted) -> dict[str, Any]:
-    """Builds the value of a head; all but "accepted" is for readers."""
+def head_value(accepted: AcceptedBundle) -> dict[str, Any]:
+    """Builds the value of a head; only "accepted" is decoded again.
+
+    The other fields are for people who inspect the object.
+    """
     return {
         "accepted": canonical.encode_accepted(accepted).decode(),
         "digest": canonical.manifest_digest(accepted.manifest),
@@ -55,15 +63,15 @@
     }
 
 
-class Base(NamedTuple):
-    """What a next bundle follows.
+class ProposalBase(NamedTuple):
+    """The state of the head that the next bundle is based on.
 
     Attributes:
         version: Version in force, 0 if there is none or it is unreadable.
-        digest: Digest that the next bundle names as its parent, or empty.
-        roller: Who rolled it, or empty.
-        parts: Its parts, which are stored already.
-        item: The head to replace, or None if there is none.
+        digest: Digest that the next bundle has as its parent, or empty.
+        roller: Operator that rolled the bundle in force, or empty.
+        parts: Parts of the bundle in force, which are already stored.
+        item: The head object to replace, or None if there is none.
     """
 
     version: int = 0
@@ -73,11 +81,13 @@
     item: interface.StoredObject | None = None
 
     @classmethod
-    def from_head(cls, head: HeadFound | NoHead | Damaged) -> "Base":
-        """Takes what a read of the head found.
+    def from_head(
+        cls, head: HeadFound | NoHead | DamagedObject
+    ) -> "ProposalBase":
+        """Builds the base from the outcome of reading the head.
 
-        A head that is damaged can be followed too, by the digest of what
-        it holds; otherwise nobody could replace it.
+        A damaged head is identified by the digest of its content, so that a
+        new bundle can replace it.
         """
         if isinstance(head, HeadFound):
             accepted = head.accepted
@@ -97,17 +107,17 @@
 
 
 async def read_part(store: interface.ObjectStore, part: Part) -> ReadPart:
-    """Reads a part and checks it against the manifest's reference."""
+    """Reads a part and checks it against its reference in the manifest."""
     outcome = await store.get(PARTS, part.digest)
     if isinstance(outcome, interface.Unavailable):
         return NotReached(outcome.reason)
     if isinstance(outcome, interface.Missing):
-        return NotFound(f"part {part.digest[:SHORT_DIGEST]}")
+        return NotFound(f"part {part.digest[:SHORT_DIGEST_CHARS]}")
     try:
-        data = _bytes(outcome.item, "data")
+        data = _field_bytes(outcome.item, "data")
         return PartFound(canonical.decode_part(data, part), data)
     except canonical.CanonicalError as error:
-        return Damaged(f"A part is damaged: {error}.")
+        return DamagedObject(f"A part is damaged: {error}.")
 
 
 def part_value(part: Part, data: bytes, stored_at: float) -> dict[str, Any]:
@@ -127,7 +137,7 @@
 
 def proposal_name(deployment: str, digest: str) -> str:
     """Returns the name of a proposal object."""
-    return f"{deployment}.{digest[:SHORT_DIGEST]}"
+    return f"{deployment}.{digest[:SHORT_DIGEST_CHARS]}"
 
 
 def proposal_value(
@@ -144,24 +154,24 @@
 async def read_proposal(
     store: interface.ObjectStore, deployment: str, digest: str
 ) -> ReadProposal:
-    """Reads a proposal by its digest, of which 32 digits suffice."""
+    """Reads a proposal by its digest, or by the first 32 digits of it."""
     outcome = await store.get(PROPOSALS, proposal_name(deployment, digest))
     if isinstance(outcome, interface.Unavailable):
         return NotReached(outcome.reason)
     if isinstance(outcome, interface.Missing):
-        return NotFound(f"proposal {digest[:SHORT_DIGEST]}")
+        return NotFound(f"proposal {digest[:SHORT_DIGEST_CHARS]}")
     found = decode_proposal(outcome.item)
     if isinstance(found, ProposalFound) and not found.digest.startswith(digest):
-        return Damaged("The proposal's manifest was altered.")
+        return DamagedObject("The proposal's manifest was altered.")
     return found
 
 
 def decode_proposal(
     item: interface.StoredObject,
-) -> ProposalFound | Damaged:
+) -> ProposalFound | DamagedObject:
     """Decodes a proposal object; its signatures are not verified here."""
     try:
-        manifest = canonical.decode_manifest(_bytes(item, "manifest"))
+        manifest = canonical.decode_manifest(_field_bytes(item, "manifest"))
         signatures = plain.from_plain(
             item.value.get("signatures"), tuple[Signature, ...], "signatures"
         )
@@ -169,12 +179,12 @@
             item.value.get("proposed_at"), float, "proposed_at"
         )
     except ValueError as error:
-        return Damaged(f"The proposal is damaged: {error}.")
+        return DamagedObject(f"The proposal is damaged: {error}.")
     digest = canonical.manifest_digest(manifest)
     return ProposalFound(manifest, digest, signatures, proposed_at, item)
 
 
-def _bytes(item: interface.StoredObject, field: str) -> bytes:
+def _field_bytes(item: interface.StoredObject, field: str) -> bytes:
     text = item.value.get(field)
     if not isinstance(text, str):
         raise canonical.CanonicalError(f"'{field}' is missing")
--- a/banyantiller/bundle/verification.py
+++ b/banyantiller/bundle/verification.py
@@ -1,34 +1,34 @@
 """Decides whether an accepted bundle may be put in force.
 
-A key's `not_after` limits what the key may bring into force, not how long
-it stays there: expiry is judged at the time of acceptance. Otherwise a
-daemon that restarts after the expiry would have no bundle at all. A key that
-was stolen is taken out of the trusted keys instead of left to expire.
+A key's `not_after` limits which bundles the key may bring into force, not how
+long they stay in force: expiry is checked at the time of acceptance. Otherwise
+a daemon that restarts after the expiry would have no bundle at all. A stolen
+key has to be removed from the trusted keys instead.
 """
 
 import datetime
 
 from banyantiller.bundle import canonical, signing
-from banyantiller.bundle.manifest import Accepted, Manifest, Signature
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Signature
 from banyantiller.config.defaults import TrustedKey
 
 SECONDS_PER_DAY = 86400.0
 
 
 def verify(
-    accepted: Accepted,
+    accepted: AcceptedBundle,
     trusted: tuple[TrustedKey, ...],
     deployment: str,
     wall_now: float,
 ) -> tuple[str, ...]:
-    """Lists the reasons for which an accepted bundle must be refused.
+    """Lists the reasons to reject an accepted bundle.
 
     Args:
-        accepted: The bundle as the object API or a peer gave it.
+        accepted: The bundle as received from the object API or a peer.
         trusted: Keys of operators.
         deployment: Fleet of this process.
-        wall_now: Wall-clock seconds; an acceptance later than this is taken
-            to have happened now.
+        wall_now: Wall-clock time in seconds; a later time of acceptance is
+            replaced by it.
 
     Returns:
         One sentence for each reason; empty if the bundle may be used.
@@ -41,7 +41,7 @@
 
 
 def check_manifest(manifest: Manifest, deployment: str) -> tuple[str, ...]:
-    """Lists what is wrong with a manifest itself."""
+    """Lists errors of a manifest itself."""
     reasons = []
     if manifest.deployment != deployment:
         reasons.append(
@@ -49,7 +49,7 @@
             f" not for '{deployment}'."
         )
     if manifest.version < 1 or (manifest.version == 1 and manifest.parent):
-        reasons.append("The bundle's version does not fit its parent.")
+        reasons.append("The bundle's version does not match its parent.")
     names = [part.service for part in manifest.parts]
     if names != sorted(set(names)):
         reasons.append("The bundle's parts are not sorted by service.")
@@ -70,29 +70,31 @@
     trusted: tuple[TrustedKey, ...],
     at: float,
 ) -> tuple[str, ...]:
-    """Lists why the signatures do not suffice.
+    """Lists why the signatures are not sufficient.
 
     One valid signature of the proposer and one of another operator with
-    another key suffice; further signatures are not judged.
+    another key are sufficient; any other signatures are ignored.
 
     Args:
-        manifest: What was signed.
+        manifest: The signed manifest.
         signatures: Signatures of any operators.
         trusted: Keys of operators.
-        at: Wall-clock seconds at which the keys have to be valid.
+        at: Wall-clock time in seconds at which the keys must be valid.
     """
-    proposing = check_proposer(manifest, signatures, trusted, at)
-    if proposing:
-        return proposing
+    proposer_reasons = check_proposer(manifest, signatures, trusted, at)
+    if proposer_reasons:
+        return proposer_reasons
     proposer_keys = [
         key.public_key for key in trusted if key.name == manifest.proposer
     ]
-    second = [item for item in signatures if item.role == signing.SIGN]
-    if not second:
+    second_signatures = [
+        item for item in signatures if item.role == signing.SIGN
+    ]
+    if not second_signatures:
         return ("The bundle is not signed by a second operator.",)
     reasons = []
-    for signature in second:
-        reason = signature_fault(
+    for signature in second_signatures:
+        reason = find_signature_error(
             manifest, signature, trusted, at, proposer_keys
         )
         if not reason:
@@ -107,64 +109,64 @@
     trusted: tuple[TrustedKey, ...],
     at: float,
 ) -> tuple[str, ...]:
-    """Lists why the proposer's signature does not suffice."""
+    """Lists why the proposer's signature is not sufficient."""
     reasons = []
     for signature in signatures:
         if signature.role != signing.PROPOSE:
             continue
         if signature.operator != manifest.proposer:
             continue
-        reason = signature_fault(manifest, signature, trusted, at)
+        reason = find_signature_error(manifest, signature, trusted, at)
         if not reason:
             return ()
         reasons.append(reason)
     return tuple(reasons) or ("The bundle is not signed by its proposer.",)
 
 
-def signature_fault(
+def find_signature_error(
     manifest: Manifest,
     signature: Signature,
     trusted: tuple[TrustedKey, ...],
     at: float,
     proposer_keys: list[str] | None = None,
 ) -> str:
-    """Returns what is wrong with one signature, or an empty text.
+    """Returns the error of one signature, or an empty text.
 
     Args:
-        manifest: What was signed.
+        manifest: The signed manifest.
         signature: The signature.
         trusted: Keys of operators.
-        at: Wall-clock seconds at which the key has to be valid.
-        proposer_keys: Public keys of the proposer, for a signature that has
-            to come from someone else.
+        at: Wall-clock time in seconds at which the key must be valid.
+        proposer_keys: Public keys of the proposer, with which a second
+            signature must not be made.
     """
     operator = signature.operator
     if signature.role == signing.SIGN and operator == manifest.proposer:
         return f"The proposer '{operator}' also signed the bundle."
-    named = [key for key in trusted if key.name == operator]
-    if not named:
+    operator_keys = [key for key in trusted if key.name == operator]
+    if not operator_keys:
         return f"No key of operator '{operator}' is trusted."
-    allowed = [key for key in named if signature.role in key.roles]
+    allowed = [key for key in operator_keys if signature.role in key.roles]
     if not allowed:
         return f"Operator '{operator}' may not {signature.role}."
-    fitting = [
+    matching = [
         key
         for key in allowed
         if signing.is_valid(key.public_key, signature, manifest)
     ]
-    if not fitting:
-        return f"The signature of '{operator}' does not fit the bundle."
-    if all(key.public_key in (proposer_keys or ()) for key in fitting):
+    if not matching:
+        return f"The signature of '{operator}' does not match the bundle."
+    if all(key.public_key in (proposer_keys or ()) for key in matching):
         return f"Operator '{operator}' signed with a key of the proposer."
-    if all(is_expired(key, at) for key in fitting):
+    if all(is_expired(key, at) for key in matching):
         return f"The key of operator '{operator}' has expired."
     return ""
 
 
 def is_expired(key: TrustedKey, at: float) -> bool:
-    """Tells whether a key's last day, in UTC, is over."""
+    """Returns whether the last valid day of a key, in UTC, is over."""
     if not key.not_after:
         return False
     last = datetime.datetime.fromisoformat(key.not_after)
-    ends = last.replace(tzinfo=datetime.UTC).timestamp() + SECONDS_PER_DAY
-    return at >= ends
+    expires_at = last.replace(tzinfo=datetime.UTC).timestamp() + SECONDS_PER_DAY
+    return at >= expires_at
--- a/banyantiller/config/scalars.py
+++ b/banyantiller/config/scalars.py
@@ -1,7 +1,7 @@
 """Reads single values from YAML nodes, more strictly than YAML does.
 
-A reader returns None for a node of another kind. So an unquoted `yes`, an
-octal number or a date is never taken for something that it is not.
+A reader returns None for a node of another type, so that an unquoted `yes`, an
+octal number or a date is never read as a value of another type.
 """
 
 import re
@@ -10,8 +10,8 @@
 
 import yaml
 
-MOST_DIGITS = 19
-LARGEST_NUMBER = 1e300
+MAX_DIGITS = 19
+MAX_NUMBER = 1e300
 
 TAG_PREFIX = "tag:yaml.org,2002:"
 INTEGER = re.compile(r"[-+]?(0|[1-9][0-9_]*)")
@@ -31,10 +31,10 @@
 
 
 def tag(node: yaml.Node) -> str:
-    """Returns the kind of a node, such as "str", "null" or "seq".
+    """Returns the type tag of a node, such as "str", "null" or "seq".
 
-    A file may put the tag of a scalar on a list or a mapping; the tag of the
-    node's form counts then.
+    A file may put the tag of a scalar on a list or a mapping; such a tag is
+    ignored.
     """
     if isinstance(node, yaml.SequenceNode):
         return "seq"
@@ -44,28 +44,28 @@
 
 
 def describe(node: yaml.Node) -> str:
-    """Names the kind of a node for a message."""
+    """Returns the type of a node in words, for a message."""
     return NODE_NAMES.get(tag(node), "a value of another type")
 
 
 def is_unquoted(node: yaml.Node) -> bool:
-    """Tells whether a node is a single value without quotes."""
+    """Returns whether a node is a single value without quotes."""
     return isinstance(node, yaml.ScalarNode) and not node.style
 
 
 def read_text(node: yaml.Node) -> str | None:
-    """Reads a text; a date counts as one, for options that hold a date."""
+    """Reads a text; accepts dates too, for options that are dates."""
     if tag(node) not in ("str", "timestamp"):
         return None
     return node.value if _is_encodable(node.value) else None
 
 
 def read_integer(node: yaml.Node) -> int | None:
-    """Reads a whole number in decimal digits."""
+    """Reads an integer in decimal digits."""
     if tag(node) != "int" or not INTEGER.fullmatch(node.value):
         return None
     digits = node.value.replace("_", "")
-    return int(digits) if len(digits) <= MOST_DIGITS else None
+    return int(digits) if len(digits) <= MAX_DIGITS else None
 
 
 def read_number(node: yaml.Node) -> float | None:
@@ -73,10 +73,10 @@
     if not is_unquoted(node) or not NUMBER.fullmatch(node.value):
         return None
     value = float(node.value)
-    return value if abs(value) < LARGEST_NUMBER else None
+    return value if abs(value) < MAX_NUMBER else None
 
 
-def read_truth(node: yaml.Node) -> bool | None:
+def read_boolean(node: yaml.Node) -> bool | None:
     """Reads true or false."""
     if tag(node) != "bool":
         return None
@@ -87,7 +87,7 @@
     str: read_text,
     int: read_integer,
     float: read_number,
-    bool: read_truth,
+    bool: read_boolean,
 }
 EXPECTED = {
     str: "text",
--- a/banyantiller/leaving/task.py
+++ b/banyantiller/leaving/task.py
@@ -129,7 +129,7 @@
                 actions = self.tracker.receive_return(key, age_s, now)
             self._apply(actions)
 
-    def receive_vm_list(self, listed: interface.VmsListed) -> None:
+    def receive_vm_list(self, listed: interface.VmListing) -> None:
         """Processes a VM list if it is newer than those read before."""
         before = self.vms.as_of
         changes = self.vms.observe(listed)
@@ -150,7 +150,7 @@
         """Reads the VM list periodically; a failed read changes nothing."""
         while self.vm_list is not None:
             listed = await self.vm_list.read()
-            if isinstance(listed, interface.VmsListed):
+            if isinstance(listed, interface.VmListing):
                 self.receive_vm_list(listed)
             await asyncio.sleep(self.period_s)
 
--- a/banyantiller/replica/state.py
+++ b/banyantiller/replica/state.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from banyantiller.bundle import canonical, verification
-from banyantiller.bundle.manifest import Accepted, Manifest, Part
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Part
 from banyantiller.bundle.options import Bundle, Service
 from banyantiller.config.defaults import TrustedKey
 
@@ -28,7 +28,7 @@
         digest: Hex SHA-256 of its manifest.
     """
 
-    accepted: Accepted
+    accepted: AcceptedBundle
     bundle: Bundle
     digest: str
 
@@ -71,7 +71,7 @@
 class Candidate(NamedTuple):
     """A verified bundle that is not in force yet."""
 
-    accepted: Accepted
+    accepted: AcceptedBundle
     digest: str
 
 
@@ -114,7 +114,7 @@
 
     def offer(
         self,
-        accepted: Accepted,
+        accepted: AcceptedBundle,
         wall_now: float,
         source: str = "",  # noqa: ARG002
     ) -> Verdict:
@@ -149,7 +149,7 @@
         self._use_cached_parts()
         return self._verdict_on_candidate(version)
 
-    def descends(self, accepted: Accepted) -> bool:
+    def descends(self, accepted: AcceptedBundle) -> bool:
         """Returns whether an accepted bundle may descend from that in force.
 
         Only the next version can name the bundle in force as its parent;
--- a/banyantiller/replica/store_reader.py
+++ b/banyantiller/replica/store_reader.py
@@ -43,7 +43,7 @@
             the reason if it did not.
     """
 
-    on_head: Callable[[outcomes.HeadFound | outcomes.Damaged, str], None]
+    on_head: Callable[[outcomes.HeadFound | outcomes.DamagedObject, str], None]
     on_part: Callable[[bytes], None]
     on_store_response: Callable[[bool, str], None]
 
--- a/banyantiller/store/memory.py
+++ b/banyantiller/store/memory.py
@@ -1,7 +1,7 @@
 """An object store in memory, for tests and for embedding.
 
-Several stores may share one `ObjectTable`, each with faults of its own, as
-daemons reach one object API over different networks.
+Several stores may share one `ObjectTable`. Each has its own faults, which
+models daemons that reach one object API over different networks.
 """
 
 import asyncio
@@ -18,19 +18,20 @@
 
 DEFAULT_TIMEOUT_S = 2.0
 DEFAULT_BOOKMARK_S = 3.0
-BOOKMARKS_PER_LIMIT = 3
+BOOKMARKS_PER_TIMEOUT = 3
 
 
 @dataclasses.dataclass
 class Faults:
-    """Switches that make a store fail.
+    """Faults to inject into a store.
 
     Attributes:
-        down: No call has an effect; open watches end.
-        slow_s: Time until a call takes effect, in seconds of the loop's
-            clock. A write that is slower than the store's timeout is answered
-            `Unknown` and takes effect afterwards.
-        lose_answers: The next writes whose answer is lost; they take effect.
+        down: Calls fail without effect; open watches end.
+        slow_s: Delay until a call takes effect, in seconds of the loop's
+            clock. A write slower than the store's timeout returns `Unknown`
+            and takes effect afterwards.
+        lose_answers: Number of next writes that take effect but whose
+            response is lost.
         silent_watches: Watches stay open and deliver nothing.
     """
 
@@ -45,11 +46,12 @@
 
     Attributes:
         table: The objects; may be shared.
-        faults: Switches of this store.
-        calls: Calls by verb; a waiting watch counts as one.
-        timeout_s: Longest wait for one call.
-        bookmark_s: A watch that is silent for longer ends.
-        stale_view: Objects that reads are answered from, or None.
+        faults: Faults of this store.
+        calls: Calls by verb; an open watch counts as one.
+        timeout_s: Timeout of one call.
+        bookmark_s: Timeout of a watch that delivers nothing.
+        stale_snapshot: Old objects that reads return, or None for current
+            ones.
     """
 
     def __init__(
@@ -64,17 +66,17 @@
         self.calls: collections.Counter[str] = collections.Counter()
         self.timeout_s = timeout_s
         self.bookmark_s = bookmark_s
-        self.stale_view: tables.View | None = None
+        self.stale_snapshot: tables.Snapshot | None = None
 
     def serve_stale(self, on: bool) -> None:
-        """Answers reads from the present state until switched off."""
-        self.stale_view = self.table.snapshot() if on else None
+        """Freezes the state that reads return, until switched off."""
+        self.stale_snapshot = self.table.snapshot() if on else None
 
     async def get(self, kind: str, name: str) -> interface.GetOutcome:
         """Reads one object."""
         self.calls["get"] += 1
         return await self._read(
-            lambda: self.table.get(kind, name, self.stale_view)
+            lambda: self.table.get(kind, name, self.stale_snapshot)
         )
 
     async def list(
@@ -83,7 +85,7 @@
         """Reads all objects of a kind that carry the given labels."""
         self.calls["list"] += 1
         return await self._read(
-            lambda: self.table.list(kind, labels, self.stale_view)
+            lambda: self.table.list(kind, labels, self.stale_snapshot)
         )
 
     async def create(
@@ -132,11 +134,11 @@
                 return
             if self.faults.silent_watches:
                 if loop.time() - last >= self.bookmark_s:
-                    yield interface.Unavailable("the watch is silent")
+                    yield interface.Unavailable("the watch delivered no event")
                     return
                 await self._pause()
                 continue
-            entries = self.table.since(kind, seen)
+            entries = self.table.writes_since(kind, seen)
             if entries is None:
                 yield interface.Gone()
                 return
@@ -150,10 +152,10 @@
                 await self._pause()
 
     async def close(self) -> None:
-        """Closes nothing; the table goes on."""
+        """Does nothing; the table may be shared."""
 
     async def _pause(self) -> None:
-        await self.table.wait(self.bookmark_s / BOOKMARKS_PER_LIMIT)
+        await self.table.wait(self.bookmark_s / BOOKMARKS_PER_TIMEOUT)
 
     async def _read(self, effect: Callable[[], T]) -> T | Any:
         return await self._answer(effect, interface.Unavailable)
@@ -164,13 +166,13 @@
             outcome, interface.Unavailable | interface.Unknown
         ):
             self.faults.lose_answers -= 1
-            return interface.Unknown("the answer was lost")
+            return interface.Unknown("the response was lost")
         return outcome
 
     async def _answer(
-        self, effect: Callable[[], T], late: Callable[[str], Any]
+        self, effect: Callable[[], T], timeout_outcome: Callable[[str], Any]
     ) -> T | Any:
-        """Applies a call after the set delay, even if nobody waits for it."""
+        """Applies a call after the injected delay, even after its timeout."""
         if self.faults.down:
             return interface.Unavailable("the object API is down")
         if not self.faults.slow_s:
@@ -178,14 +180,14 @@
             return effect()
         loop = asyncio.get_running_loop()
         done: asyncio.Future[T] = loop.create_future()
-        loop.call_later(self.faults.slow_s, _settle, done, effect)
+        loop.call_later(self.faults.slow_s, _complete, done, effect)
         await asyncio.wait([done], timeout=self.timeout_s)
         if done.done():
             return done.result()
-        return late(f"no answer within {self.timeout_s} s")
+        return timeout_outcome(f"no response within {self.timeout_s} s")
 
 
-def _settle(done: "asyncio.Future[T]", effect: Callable[[], T]) -> None:
+def _complete(done: "asyncio.Future[T]", effect: Callable[[], T]) -> None:
     outcome = effect()
     if not done.done():
         done.set_result(outcome)
--- a/banyantiller/tests/gateway/test_mirror.py
+++ b/banyantiller/tests/gateway/test_mirror.py
@@ -96,7 +96,7 @@
     def test_change_is_in_force_although_the_relay_lost_the_store(self):
         async def body(env, relay):
             await asyncio.sleep(5)
-            http_client = relay.adapter.store.user
+            http_client = relay.adapter.store.http_client
             http_client.port = 1
             for connection in http_client.idle:
                 connection.close()
--- a/banyantiller/tests/gateway/test_read_order.py
+++ b/banyantiller/tests/gateway/test_read_order.py
@@ -82,7 +82,7 @@
 
     def test_change_is_in_force_although_the_first_relay_lost_the_store(self):
         async def body(env, daemons):
-            http_client = daemons[0].adapter.store.user
+            http_client = daemons[0].adapter.store.http_client
             original = http_client.request
 
             async def delayed_request(*arguments):
--- a/banyantiller/tests/leaving/test_tracker.py
+++ b/banyantiller/tests/leaving/test_tracker.py
@@ -136,7 +136,7 @@
         self,
     ) -> None:
         self.tracker.record_draining(S1, 10.0)
-        for change in (vm_tracker.Change.GONE, vm_tracker.Change.BACK):
+        for change in (vm_tracker.Change.REMOVED, vm_tracker.Change.BACK):
             actions = self.tracker.receive_vm_changes(
                 [vm_change(change, "vm-s1")], 20.0
             )
@@ -155,7 +155,7 @@
         self.assertEqual({"s1"}, self.tracker.leaving_servers("registry"))
 
     def test_vm_that_leaves_before_the_bundle_names_it(self) -> None:
-        gone = vm_change(vm_tracker.Change.GONE, "vm-s3")
+        gone = vm_change(vm_tracker.Change.REMOVED, "vm-s3")
         self.tracker.receive_vm_changes([gone], 1.0)
         actions = self.tracker.configure([make_service(("s1", "s3"))], 2.0)
         self.assertEqual(
--- a/banyantiller/vmlist/http.py
+++ b/banyantiller/vmlist/http.py
@@ -1,7 +1,7 @@
 """Adapter of a VM list that is served as JSON over HTTP.
 
-`GET /vms` answers an object with `as_of`, in seconds of the platform's
-clock, and `vms`, a list of objects with the fields of `Vm`.
+`GET /vms` returns an object with `as_of`, in seconds of the platform's clock,
+and `vms`, a list of objects with the fields of `Vm`.
 """
 
 import ipaddress
@@ -18,7 +18,7 @@
 
 
 class VmEntry(msgspec.Struct):
-    """One VM as it travels."""
+    """One VM on the wire."""
 
     name: str
     address: str
@@ -28,7 +28,7 @@
 
 
 class VmDocument(msgspec.Struct):
-    """The answer."""
+    """The response body."""
 
     as_of: float
     vms: list[VmEntry]
@@ -38,26 +38,28 @@
     """A `VmList` over HTTP.
 
     Attributes:
-        timeout_s: Longest wait for the list.
+        timeout_s: Timeout of a read.
         calls: Number of reads.
     """
 
-    def __init__(self, user: client.HttpClient, timeout_s: float) -> None:
-        self.user = user
+    def __init__(
+        self, http_client: client.HttpClient, timeout_s: float
+    ) -> None:
+        self.http_client = http_client
         self.timeout_s = timeout_s
         self.calls = 0
 
     @classmethod
     def from_settings(cls, vm_list: defaults.VmListSettings) -> "HttpVmList":
-        """Builds the adapter; it connects with the first read."""
+        """Builds the adapter; it connects on the first read."""
         endpoint = vm_list.endpoint
-        user = client.HttpClient(endpoint.address, endpoint.port, LIMITS)
-        return cls(user, TIMEOUT_S)
+        http_client = client.HttpClient(endpoint.address, endpoint.port, LIMITS)
+        return cls(http_client, TIMEOUT_S)
 
-    async def read(self) -> interface.VmsListed | interface.VmListUnavailable:
-        """Reads the present list."""
+    async def read(self) -> interface.VmListing | interface.VmListUnavailable:
+        """Reads the current list."""
         self.calls += 1
-        outcome = await self.user.request("GET", TARGET, self.timeout_s)
+        outcome = await self.http_client.request("GET", TARGET, self.timeout_s)
         if not isinstance(outcome, outcomes.Answered):
             return interface.VmListUnavailable(outcome.reason)
         if outcome.response.status != 200:
@@ -71,15 +73,15 @@
 
     async def close(self) -> None:
         """Closes all connections."""
-        await self.user.close()
+        await self.http_client.close()
 
 
-def _decode(body: bytes) -> interface.VmsListed:
-    """Reads the answer.
+def _decode(body: bytes) -> interface.VmListing:
+    """Decodes the response body.
 
     Raises:
-        ValueError: It is not valid, or names a VM twice.
-        MsgspecError: It has another shape.
+        ValueError: An address is not valid, or a VM is listed twice.
+        MsgspecError: The body has another structure.
     """
     found = msgspec.json.decode(body, type=VmDocument)
     names = {entry.name for entry in found.vms}
@@ -93,4 +95,4 @@
         )
         for entry in found.vms
     )
-    return interface.VmsListed(vms, found.as_of)
+    return interface.VmListing(vms, found.as_of)
