--- a/banyantiller/kernel/core.py
+++ b/banyantiller/kernel/core.py
@@ -10,8 +10,8 @@
 
 log = structlog.get_logger("banyantiller.kernel")
 
-FIRST_RESTART_S = 0.1
-LONGEST_RESTART_S = 5.0
+INITIAL_RESTART_DELAY_S = 0.1
+MAX_RESTART_DELAY_S = 5.0
 
 TaskBody = Callable[[], Awaitable[None]]
 Handler = Callable[[Any], None]
@@ -66,7 +66,7 @@
         await asyncio.gather(*ending, return_exceptions=True)
 
     async def _supervise(self, name: str, body: TaskBody) -> None:
-        pause = FIRST_RESTART_S
+        pause = INITIAL_RESTART_DELAY_S
         while True:
             try:
                 await body()
@@ -75,4 +75,4 @@
                 self.failures[name] += 1
                 log.exception("kernel: a task failed.", task=name)
             await asyncio.sleep(pause * self.random.uniform(0.5, 1.0))
-            pause = min(pause * 2, LONGEST_RESTART_S)
+            pause = min(pause * 2, MAX_RESTART_DELAY_S)
--- a/banyantiller/tests/kernel/test_core.py
+++ b/banyantiller/tests/kernel/test_core.py
@@ -26,7 +26,7 @@
         self.assertEqual(3, len(starts))
         self.assertTrue(starts[2] - starts[1] > starts[1] - starts[0])
 
-    def test_stop_cancels_and_forgets_tasks(self) -> None:
+    def test_stop_cancels_and_removes_tasks(self) -> None:
         async def scenario() -> None:
             kernel = core.Kernel()
             kernel.start("sleeper", lambda: asyncio.sleep(1000))
@@ -36,7 +36,7 @@
 
         self.run_paused(scenario())
 
-    def test_a_name_is_used_by_one_task_at_a_time(self) -> None:
+    def test_running_tasks_have_unique_names(self) -> None:
         async def scenario() -> None:
             kernel = core.Kernel()
             kernel.start("reader", lambda: asyncio.sleep(1000))
@@ -48,7 +48,7 @@
 
         self.run_paused(scenario())
 
-    def test_restarts_do_not_become_ever_rarer(self) -> None:
+    def test_restart_delay_is_bounded(self) -> None:
         starts: list[float] = []
 
         async def body() -> None:
@@ -62,18 +62,18 @@
             await kernel.stop()
 
         self.run_paused(scenario())
-        pauses = [b - a for a, b in itertools.pairwise(starts)]
-        self.assertLessEqual(max(pauses), core.LONGEST_RESTART_S + 1e-6)
-        self.assertGreater(max(pauses), core.LONGEST_RESTART_S / 2)
+        delays = [b - a for a, b in itertools.pairwise(starts)]
+        self.assertLessEqual(max(delays), core.MAX_RESTART_DELAY_S + 1e-6)
+        self.assertGreater(max(delays), core.MAX_RESTART_DELAY_S / 2)
 
     def test_failing_handler_does_not_stop_the_others(self) -> None:
-        seen: list[events.DaemonDraining] = []
+        received: list[events.DaemonDraining] = []
         kernel = core.Kernel()
 
         def failing(event: events.DaemonDraining) -> None:
             raise ValueError("broken handler")
 
         kernel.subscribe(events.DaemonDraining, failing)
-        kernel.subscribe(events.DaemonDraining, seen.append)
+        kernel.subscribe(events.DaemonDraining, received.append)
         kernel.emit(events.DaemonDraining(1.0))
-        self.assertEqual([events.DaemonDraining(1.0)], seen)
+        self.assertEqual([events.DaemonDraining(1.0)], received)
