--- a/banyantiller/kernel/__init__.py
+++ b/banyantiller/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The kernel: supervised tasks and typed events."""
+"""The kernel: supervised tasks and delivery of typed events."""
--- a/banyantiller/kernel/events.py
+++ b/banyantiller/kernel/events.py
@@ -1,7 +1,7 @@
-"""Named events that the kernel delivers to parts and plug-ins.
+"""Events that the kernel delivers to components and plug-ins.
 
-Times are wall-clock seconds since the epoch unless a name ends in `_s`,
-which marks a duration in seconds.
+Times are wall-clock seconds since the epoch. Durations have names that end in
+`_s` and are in seconds.
 """
 
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class BundleInForce(NamedTuple):
-    """This daemon now applies a bundle.
+    """A bundle came into force at this daemon.
 
     Attributes:
         version: Version of the bundle.
         digest: Hex SHA-256 of its manifest.
-        accepted_at: When the object API accepted it.
-        at: When this daemon put it in force.
-        source: "watch", "read", "peer" or "settings".
+        accepted_at: Time at which the object API accepted it.
+        at: Time at which it came into force.
+        source: Where it came from: "watch", "read", "peer" or "settings".
     """
 
     version: int
@@ -28,13 +28,13 @@
 
 
 class BundleRefused(NamedTuple):
-    """An offered bundle was not taken.
+    """This daemon rejected an offered bundle.
 
     Attributes:
-        version: Version it claimed.
-        reason: One sentence.
+        version: Version that the bundle states.
+        reason: Why it was rejected, in one sentence.
         source: Where it came from.
-        at: When.
+        at: Time of the rejection.
     """
 
     version: int
@@ -44,26 +44,27 @@
 
 
 class CallFinished(NamedTuple):
-    """A call from a caller has ended.
+    """A call finished.
 
     Attributes:
-        request_id: Identifier passed on to the backend server.
+        request_id: Identifier forwarded to the backend server.
         service: Service name, empty if none matched.
-        idempotent: Whether the bundle states it may be repeated.
+        idempotent: Whether the bundle declares the request idempotent.
         key: Idempotency key, or empty.
-        server: Backend server that answered or, if none did, was sent the
-            request last; else empty.
+        server: Backend server that responded or, if none did, the last one to
+            which the request was sent; else empty.
         status: Status code sent to the caller, 0 if none was.
-        error: The failure, or None for a relayed answer.
-        attempts: Backend tries that wrote at least one byte.
-        cut: Whether a relayed answer ended before it was whole.
-        duration_s: From the first byte of the head to the last of the answer.
-        bundle: Version of the bundle that the call ran under.
-        shed: Of the attempts, those that the server refused as not run.
-        sent_after_s: From the first byte of the head to the start of the
-            try at `server`.
-        told: For a failure, what the caller was told of whether the request
-            was run.
+        error: The failure, or None for a relayed response.
+        attempts: Attempts that wrote at least one byte to a server.
+        cut: Whether a relayed response was truncated.
+        duration_s: Time from the first byte of the request's head to the last
+            byte of the response.
+        bundle: Version of the bundle under which the call ran.
+        shed: Number of attempts that the server rejected as not run.
+        sent_after_s: Time from the first byte of the request's head to the
+            start of the attempt at `server`.
+        told: For a failure, whether the request was run according to the
+            response to the caller.
     """
 
     request_id: str
@@ -83,11 +84,11 @@
 
 
 class ProbeCharged(NamedTuple):
-    """A probe was taken out of a service's measuring budget.
+    """A probe was charged to the probe budget of a service.
 
     Attributes:
         service: Service name.
-        at: When.
+        at: Time of the charge.
     """
 
     service: str
@@ -95,12 +96,12 @@
 
 
 class MemberChanged(NamedTuple):
-    """The view of one peer daemon changed.
+    """This daemon's view of a peer changed.
 
     Attributes:
         daemon: Name of the peer.
         state: "alive", "suspect", "leaving" or "dead".
-        incarnation: Start time of that daemon in milliseconds.
+        incarnation: Start time of the peer in milliseconds.
     """
 
     daemon: str
@@ -109,13 +110,13 @@
 
 
 class ServerLeaving(NamedTuple):
-    """A backend server must get no new requests.
+    """A backend server is leaving and must get no new requests.
 
     Attributes:
         service: Service name.
         server: Server name.
         reason: "drain_answer", "vm_list", "bundle" or "refused".
-        at: When it was learned.
+        at: Time at which this daemon learned it.
     """
 
     service: str
@@ -125,12 +126,12 @@
 
 
 class ServerReturned(NamedTuple):
-    """A backend server that was leaving gets requests again.
+    """A backend server is not leaving any more and may get new requests.
 
     Attributes:
         service: Service name.
         server: Server name.
-        at: When.
+        at: Time at which this daemon learned it.
     """
 
     service: str
@@ -142,8 +143,8 @@
     """The object API became reachable or unreachable.
 
     Attributes:
-        reachable: Whether calls are answered.
-        at: When it changed.
+        reachable: Whether the object API answers.
+        at: Time of the change.
     """
 
     reachable: bool
@@ -151,13 +152,13 @@
 
 
 class PromiseBroken(NamedTuple):
-    """A promise was seen to be broken.
+    """A breach of a promise was observed.
 
     Attributes:
         promise: Name of the promise, from `banyantiller.evidence.promises`.
-        request_id: The request concerned, or empty.
-        detail: One sentence.
-        at: When.
+        request_id: Identifier of the affected request, or empty.
+        detail: Description in one sentence.
+        at: Time of the observation.
     """
 
     promise: str
@@ -170,17 +171,17 @@
     """This daemon began its graceful shutdown.
 
     Attributes:
-        at: When.
+        at: Time at which it began.
     """
 
     at: float
 
 
 class RequestsSuspected(NamedTuple):
-    """This daemon saw something new of requests with which servers ended.
+    """This daemon updated its records of requests that may crash servers.
 
     Attributes:
-        fingerprints: The requests.
+        fingerprints: Fingerprints of the requests.
     """
 
     fingerprints: tuple[str, ...]
