--- a/banyantiller/daemon/assembly.py
+++ b/banyantiller/daemon/assembly.py
@@ -95,7 +95,7 @@
         )
         self.admin = admin.Admin(self.readiness, self.state, self.instruments)
         self.admin_server = admin_server.AdminServer(
-            self.admin, self.proxy.crash_tracker.lift
+            self.admin, self.proxy.crash_detector.lift
         )
 
     @classmethod
@@ -132,7 +132,7 @@
         metrics.add_calls(self.instruments, self.counts)
         metrics.add_in_flight(self.instruments, self.proxy.own_load)
         metrics.add_quarantine(
-            self.instruments, self.proxy.crash_tracker.count_quarantined
+            self.instruments, self.proxy.crash_detector.count_quarantined
         )
         self.kernel.subscribe(events.CallFinished, self.counts.record)
         self.registry.connect(self.kernel)
--- a/banyantiller/daemon/suspect_requests.py
+++ b/banyantiller/daemon/suspect_requests.py
@@ -19,7 +19,7 @@
 
 def start(daemon: "assembly.Daemon") -> None:
     """Connects the data path's part with the other daemons."""
-    known = daemon.proxy.crash_tracker
+    known = daemon.proxy.crash_detector
     peers = daemon.peers
 
     def on_news(event: events.RequestsSuspected) -> None:
--- a/banyantiller/proxy/call.py
+++ b/banyantiller/proxy/call.py
@@ -282,7 +282,7 @@
         if self.is_finished or not (self.awaits_body or self.claim is not None):
             return
         awaited_body, self.awaits_body = self.awaits_body, False
-        wait_s = self.proxy.crash_tracker.quarantine_left_s(self)
+        wait_s = self.proxy.crash_detector.quarantine_left_s(self)
         if wait_s is not None and not self.running_attempts:
             # Otherwise the request would crash a server at one daemon after
             # another.
--- a/banyantiller/proxy/crashes.py
+++ b/banyantiller/proxy/crashes.py
@@ -1,4 +1,4 @@
-"""Tracks requests that crash servers, to stop retrying them."""
+"""Detects requests that crash servers, to stop retrying them."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 CRASH_WINDOW_S = 2.0
 
 
-class CrashTracker:
+class CrashDetector:
     """Feeds the crash watch and logs its verdicts.
 
     Attributes:
@@ -59,8 +59,8 @@
         kernel: core.Kernel,
         wall: Callable[[], float],
         seed: int,
-    ) -> "CrashTracker":
-        """Creates the tracker of a daemon.
+    ) -> "CrashDetector":
+        """Creates the detector of a daemon.
 
         Args:
             settings: Settings of the daemon.
@@ -72,8 +72,8 @@
         return cls(settings.quarantine_s, kernel, wall, rng)
 
     @classmethod
-    def standalone(cls) -> "CrashTracker":
-        """Creates a tracker without peers, for a driver used alone."""
+    def standalone(cls) -> "CrashDetector":
+        """Creates a detector without peers, for a driver used alone."""
         period_s = Settings._field_defaults["quarantine_s"]
         return cls(period_s, None, time.time, random.Random(0))
 
--- a/banyantiller/proxy/driver.py
+++ b/banyantiller/proxy/driver.py
@@ -47,7 +47,7 @@
         pools: Pools by server name.
         leaving: Reasons by name of the servers that get no new requests.
         load_reader: Reads load reports from response headers.
-        crash_tracker: Tracks requests that crash servers.
+        crash_detector: Detects requests that crash servers.
     """
 
     def __init__(
@@ -60,11 +60,11 @@
         on_leaving: LeavingHook,
         on_returned: LeavingHook | None = None,
         load_reader: load.LoadReader = load.ORCA,
-        crash_tracker: crashes.CrashTracker | None = None,
+        detector: crashes.CrashDetector | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.service = service
-        self.crash_tracker = crash_tracker or crashes.CrashTracker.standalone()
+        self.crash_detector = detector or crashes.CrashDetector.standalone()
         self.charge = charge
         self.settings = settings
         self.tls = tls
@@ -168,7 +168,7 @@
             deadline=call.deadline,
             replayable=body_bytes <= call.body.limit
             and (call.body.complete or not call.head.chunked)
-            and not self.crash_tracker.is_suspect(call),
+            and not self.crash_detector.is_suspect(call),
         )
         self.perform(self.dispatcher.submit(request, self.loop.time()))
 
@@ -197,7 +197,7 @@
     def record_response(self, attempt: attempts.Attempt) -> None:
         """Records a complete response: the request did not crash the server."""
         if attempt.response.status_code < FIRST_SERVER_ERROR:
-            self.crash_tracker.record_response(attempt.call)
+            self.crash_detector.record_response(attempt.call)
 
     def record_loss(self, attempt: attempts.Attempt, by_server: bool) -> None:
         """Records that an attempt ended without a complete response.
@@ -210,14 +210,16 @@
         if attempt.server in self.leaving:
             return
         server = f"{self.service.name}/{attempt.server}"
-        self.crash_tracker.record_loss(server, attempt.call, attempt.started_at)
-        if by_server or self.crash_tracker.is_suspect(attempt.call):
+        self.crash_detector.record_loss(
+            server, attempt.call, attempt.started_at
+        )
+        if by_server or self.crash_detector.is_suspect(attempt.call):
             attempt.pool.check_reachable()
 
     def should_retry(self, attempt: attempts.Attempt) -> bool:
         """Returns whether a call may be retried at another server."""
         server = f"{self.service.name}/{attempt.server}"
-        return self.crash_tracker.should_retry(attempt.call, server)
+        return self.crash_detector.should_retry(attempt.call, server)
 
     def attempt_done(self, attempt: attempts.Attempt) -> None:
         """Handles the end of a relayed response."""
@@ -379,7 +381,7 @@
 
     def _on_refused(self, server: str) -> None:
         if server not in self.leaving:
-            self.crash_tracker.record_refusal(f"{self.service.name}/{server}")
+            self.crash_detector.record_refusal(f"{self.service.name}/{server}")
 
     def _connection_limit(self) -> int:
         return max(1, self.service.connections // self.alive)
--- a/banyantiller/proxy/proxy.py
+++ b/banyantiller/proxy/proxy.py
@@ -58,7 +58,7 @@
         is_outdated: Returns whether a newer bundle may have been accepted;
             called before the bundle in force leads to a final rejection.
         services: The services of the bundle in force.
-        crash_tracker: Tracks requests that crash servers.
+        crash_detector: Detects requests that crash servers.
         all_closed: Set once no caller's connection and no claim is left.
     """
 
@@ -89,7 +89,7 @@
         self.version = 0
         self.is_outdated: Callable[[], bool] = _never_outdated
         self.services = services.Services(self._new_driver, wall)
-        self.crash_tracker = crashes.CrashTracker.from_settings(
+        self.crash_detector = crashes.CrashDetector.from_settings(
             settings, kernel, wall, seed
         )
         self.callers: set[caller.CallerConnection] = set()
@@ -274,7 +274,7 @@
         failure = admission.admit(self, call)
         if failure is not None:
             call.refuse(failure)
-        elif call.claim is None and not self.crash_tracker.has_quarantined():
+        elif call.claim is None and not self.crash_detector.has_quarantined():
             call.driver.submit(call)
         else:
             # The body is part of a claim, and of the fingerprint that
@@ -367,7 +367,7 @@
             self._announce_leaving,
             self._announce_returned,
             self.load_reader,
-            self.crash_tracker,
+            self.crash_detector,
         )
 
     def _announce_leaving(self, service: str, server: str) -> None:
--- a/banyantiller/tests/daemon/test_servers_that_end.py
+++ b/banyantiller/tests/daemon/test_servers_that_end.py
@@ -212,9 +212,9 @@
             fleet.deadly = False
             await asyncio.sleep(DOWN_S)
             daemon = fleet.daemons[0]
-            (record,) = daemon.proxy.crash_tracker.watch.table.records
+            (record,) = daemon.proxy.crash_detector.watch.table.records
             target = f"/quarantine/lift?fingerprint={record}"
-            self.assertEqual(1, daemon.proxy.crash_tracker.count_quarantined())
+            self.assertEqual(1, daemon.proxy.crash_detector.count_quarantined())
             user = client.HttpClient("127.0.0.1", 8101)
             for status in (204, 404):
                 outcome = await user.request("POST", target, 5.0)
--- a/banyantiller/tests/proxy/test_crashes.py
+++ b/banyantiller/tests/proxy/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tests of the tracker of requests that crash servers."""
+"""Tests of the detector of requests that crash servers."""
 
 import random
 from types import SimpleNamespace
@@ -29,63 +29,63 @@
 
 
 class CrashesTest(base.TestCase):
-    def run_with_tracker(self, body):
+    def run_with_detector(self, body):
         async def run_body():
             wall = Clock()
             body(
-                crashes.CrashTracker(300.0, None, wall, random.Random(1)), wall
+                crashes.CrashDetector(300.0, None, wall, random.Random(1)), wall
             )
 
         self.run_paused(run_body())
 
-    def record_crash(self, tracker, server, request):
-        tracker.record_loss(server, request, 0.0)
-        tracker.record_refusal(server)
+    def record_crash(self, detector, server, request):
+        detector.record_loss(server, request, 0.0)
+        detector.record_refusal(server)
 
     def test_known_crash_of_the_same_server_counts_once(self):
-        def body(tracker, wall):
+        def body(detector, wall):
             request = call()
-            self.record_crash(tracker, "s/1", request)
+            self.record_crash(detector, "s/1", request)
             # A second connection to the crashed server broke as well.
-            self.assertTrue(tracker.should_retry(request, "s/1"))
-            self.assertFalse(tracker.should_retry(request, "s/2"))
+            self.assertTrue(detector.should_retry(request, "s/1"))
+            self.assertFalse(detector.should_retry(request, "s/2"))
 
-        self.run_with_tracker(body)
+        self.run_with_detector(body)
 
     def test_crashes_of_a_server_are_distinguished_by_window(self):
-        def body(tracker, wall):
+        def body(detector, wall):
             request = call()
             for _ in range(3):
-                self.record_crash(tracker, "s/1", request)
+                self.record_crash(detector, "s/1", request)
             self.assertEqual(
                 1,
                 len(
-                    tracker.watch.table.crashed_servers(
+                    detector.watch.table.crashed_servers(
                         request.fingerprint.hexdigest()
                     )
                 ),
             )
             wall.now += crashes.CRASH_WINDOW_S
-            self.record_crash(tracker, "s/1", request)
+            self.record_crash(detector, "s/1", request)
             self.assertEqual(
                 2,
                 len(
-                    tracker.watch.table.crashed_servers(
+                    detector.watch.table.crashed_servers(
                         request.fingerprint.hexdigest()
                     )
                 ),
             )
 
-        self.run_with_tracker(body)
+        self.run_with_detector(body)
 
     def test_incomplete_body_is_not_tracked(self):
-        def body(tracker, wall):
+        def body(detector, wall):
             request = call()
             request.head.content_length = 5
             request.body.complete = False
-            self.record_crash(tracker, "s/1", request)
-            self.assertFalse(tracker.is_suspect(request))
-            self.assertIsNone(tracker.quarantine_left_s(request))
-            self.assertTrue(tracker.should_retry(request, "s/2"))
+            self.record_crash(detector, "s/1", request)
+            self.assertFalse(detector.is_suspect(request))
+            self.assertIsNone(detector.quarantine_left_s(request))
+            self.assertTrue(detector.should_retry(request, "s/2"))
 
-        self.run_with_tracker(body)
+        self.run_with_detector(body)
