--- a/banyantiller/daemon/admin_server.py
+++ b/banyantiller/daemon/admin_server.py
@@ -7,7 +7,7 @@
 from banyantiller.telemetry import admin
 
 CLOSE_GRACE_S = 1.0
-LIFT = "/quarantine/lift"
+LIFT_PATH = "/quarantine/lift"
 
 
 class AdminServer:
@@ -38,7 +38,7 @@
         await self.server.close(CLOSE_GRACE_S)
 
     async def _handle(self, request: messages.Request) -> messages.Response:
-        if request.method == "POST" and request.path == LIFT:
+        if request.method == "POST" and request.path == LIFT_PATH:
             lifted = self.lift(request.query.get("fingerprint", ""))
             return messages.Response(204 if lifted else 404)
         page = self.admin.answer(request.method, request.target)
--- a/banyantiller/daemon/assembly.py
+++ b/banyantiller/daemon/assembly.py
@@ -58,18 +58,18 @@
         self.store: store_interface.ObjectStore = registry.get(
             "object_api", settings.object_api.adapter
         )(settings.object_api, settings.deployment)
-        self.vms = _vm_list(settings, registry)
+        self.vms = _create_vm_list(settings, registry)
         self.peers = peering.Peers.from_settings(
             settings, self.kernel, wall, seed
         )
-        self.spread = replicator.BundleReplicator.from_settings(
+        self.replicator = replicator.BundleReplicator.from_settings(
             settings,
             self.store,
             self.peers,
             self.kernel,
             wall,
             seed,
-            _replica(settings),
+            _create_replica(settings),
         )
         self.claims = arbiter.StoreClaims.from_settings(
             self.store, settings.deployment, settings.daemon, wall
@@ -80,7 +80,7 @@
         self.proxy = proxying.Proxy.from_settings(
             settings,
             self.kernel,
-            _routing(settings, registry),
+            _choose_routing(settings, registry),
             self.claims,
             self.budget.charger,
             wall,
@@ -139,7 +139,8 @@
         bundles.connect(self)
         endpoint = await self.admin_server.start(self.settings.admin)
         peer_endpoint = await self.peers.start()
-        self.kernel.start("spread", self.spread.run)
+        # The status page shows the names of tasks.
+        self.kernel.start("spread", self.replicator.run)
         self.kernel.start("claims", self.claims.run)
         self.kernel.start("measuring", self.budget.run)
         self.kernel.start("evidence", self.writer.run)
@@ -190,17 +191,17 @@
 
     def state(self) -> dict[str, object]:
         """Returns the daemon's state for the status page."""
-        held = self.spread.in_force
+        in_force = self.replicator.in_force
         return {
             "deployment": self.settings.deployment,
             "daemon": self.settings.daemon,
             "zone": self.settings.zone,
             "region": self.settings.region,
-            "bundle": held.accepted.manifest.version if held else 0,
-            "digest": held.digest if held else "",
+            "bundle": in_force.accepted.manifest.version if in_force else 0,
+            "digest": in_force.digest if in_force else "",
             "in_flight": self.proxy.in_flight,
             "draining": self.draining,
-            "isolated": self.spread.isolated,
+            "isolated": self.replicator.isolated,
             "fenced": self.proxy.fenced,
             "members": sorted(
                 entry.daemon for entry in self.peers.alive_members()
@@ -211,7 +212,7 @@
         }
 
 
-def _vm_list(
+def _create_vm_list(
     settings: defaults.Settings, registry: plugins.Registry
 ) -> vm_interface.VmList | None:
     if settings.vm_list is None:
@@ -220,7 +221,7 @@
     return factory(settings.vm_list)
 
 
-def _routing(
+def _choose_routing(
     settings: defaults.Settings, registry: plugins.Registry
 ) -> plugins.Factory:
     factory = registry.get("routing", settings.routing)
@@ -231,7 +232,7 @@
     return recording.record_to_files(factory, settings.trace_file)
 
 
-def _replica(settings: defaults.Settings) -> state.Replica | None:
+def _create_replica(settings: defaults.Settings) -> state.Replica | None:
     if not settings.trace_file:
         return None
     from banyantiller.replay import replica_recording
--- a/banyantiller/daemon/bundles.py
+++ b/banyantiller/daemon/bundles.py
@@ -15,25 +15,25 @@
 def connect(daemon: "assembly.Daemon") -> None:
     """Subscribes the data path to bundles, members and isolation."""
 
-    def on_bundle(held: replicator.InForceBundle) -> None:
-        manifest = held.accepted.manifest
+    def on_bundle(in_force: replicator.InForceBundle) -> None:
+        manifest = in_force.accepted.manifest
         # First, since the others must not follow a bundle that it refuses.
         daemon.proxy.apply(
-            held.bundle, manifest.version, held.accepted.accepted_at
+            in_force.bundle, manifest.version, in_force.accepted.accepted_at
         )
-        daemon.budget.configure(held.bundle.services)
-        daemon.recorder.configure(held.bundle.services)
+        daemon.budget.configure(in_force.bundle.services)
+        daemon.recorder.configure(in_force.bundle.services)
 
     def on_member(_: events.MemberChanged) -> None:
         daemon.proxy.set_alive_daemons(len(daemon.peers.alive_members()))
 
     def is_outdated() -> bool:
-        if daemon.spread.store_lost:
+        if daemon.replicator.store_lost:
             return True
-        return daemon.proxy.version < daemon.spread.newest_accepted
+        return daemon.proxy.version < daemon.replicator.newest_accepted
 
     daemon.proxy.is_outdated = is_outdated
-    daemon.spread.subscribe(on_bundle)
+    daemon.replicator.subscribe(on_bundle)
     daemon.kernel.subscribe(events.MemberChanged, on_member)
     daemon.kernel.start("isolation", lambda: _follow_isolation(daemon))
 
@@ -41,5 +41,5 @@
 async def _follow_isolation(daemon: "assembly.Daemon") -> None:
     while True:
         fence = daemon.settings.outage.when_isolated == "fence"
-        daemon.proxy.fenced = fence and daemon.spread.isolated
+        daemon.proxy.fenced = fence and daemon.replicator.isolated
         await asyncio.sleep(ISOLATION_PERIOD_S)
--- a/banyantiller/daemon/cut_calls.py
+++ b/banyantiller/daemon/cut_calls.py
@@ -9,7 +9,7 @@
     from banyantiller.daemon import assembly
 
 IN_FLIGHT = "The call was in flight at the drain limit of its daemon."
-NOT_WHOLE = "The answer had begun and was cut at the drain limit."
+TRUNCATED = "The answer had begun and was cut at the drain limit."
 
 
 def report(daemon: "assembly.Daemon") -> None:
@@ -22,15 +22,19 @@
     for connection in daemon.proxy.callers:
         call = connection.call
         request_id = "" if call is None else call.request_id.decode("latin-1")
-        is_unsent = connection.transport.get_write_buffer_size() > 0
+        has_unsent_bytes = connection.transport.get_write_buffer_size() > 0
         has_begun = call is not None and call.status != 0
-        if call is not None or is_unsent:
-            _emit(daemon, request_id, Promise.SHUTDOWN_CUTS_NOTHING, IN_FLIGHT)
-        if has_begun or is_unsent:
-            _emit(daemon, request_id, Promise.WHOLE_OWN_ANSWER, NOT_WHOLE)
+        if call is not None or has_unsent_bytes:
+            _emit_breach(
+                daemon, request_id, Promise.SHUTDOWN_CUTS_NOTHING, IN_FLIGHT
+            )
+        if has_begun or has_unsent_bytes:
+            _emit_breach(
+                daemon, request_id, Promise.WHOLE_OWN_ANSWER, TRUNCATED
+            )
 
 
-def _emit(
+def _emit_breach(
     daemon: "assembly.Daemon", request_id: str, promise: Promise, detail: str
 ) -> None:
     daemon.kernel.emit(
--- a/banyantiller/daemon/leaving_servers.py
+++ b/banyantiller/daemon/leaving_servers.py
@@ -1,4 +1,4 @@
-"""Connects the part that knows leaving servers with the daemon's others."""
+"""Connects the tracking of leaving servers with the rest of the daemon."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -22,13 +22,15 @@
 
 def start(daemon: "assembly.Daemon") -> None:
     """Follows servers that leave, and the VM list if the settings name one."""
-    part = _make(daemon)
-    _connect(daemon, part)
-    daemon.kernel.start("leaving servers", part.run)
+    leaving_servers = _create_leaving_servers(daemon)
+    _subscribe(daemon, leaving_servers)
+    daemon.kernel.start("leaving servers", leaving_servers.run)
     daemon.kernel.subscribe(events.ServerLeaving, _log_leaving)
     daemon.kernel.subscribe(events.ServerReturned, _log_returned)
     if daemon.vms is not None:
-        daemon.kernel.start("vm list", lambda: _follow(daemon, part))
+        daemon.kernel.start(
+            "vm list", lambda: _poll_vm_list(daemon, leaving_servers)
+        )
 
 
 def _log_leaving(event: events.ServerLeaving) -> None:
@@ -46,7 +48,9 @@
     )
 
 
-def _make(daemon: "assembly.Daemon") -> leaving.LeavingServers:
+def _create_leaving_servers(
+    daemon: "assembly.Daemon",
+) -> leaving.LeavingServers:
     def leave(service: str, server: str, reason: str) -> None:
         daemon.proxy.server_leaving(service, server, reason)
         if reason != Reason.DRAIN_ANSWER:
@@ -56,48 +60,57 @@
 
     vm_list = daemon.settings.vm_list
     period_s = vm_list.period_s if vm_list is not None else 0.0
-    outlets = leaving.Callbacks(
+    callbacks = leaving.Callbacks(
         leave, daemon.proxy.server_returned, daemon.peers.broadcast
     )
-    return leaving.LeavingServers.from_settings(daemon.vms, period_s, outlets)
+    return leaving.LeavingServers.from_settings(daemon.vms, period_s, callbacks)
 
 
-def _connect(daemon: "assembly.Daemon", part: leaving.LeavingServers) -> None:
-    """Passes bundles, words of servers and words of peers to the part."""
+def _subscribe(
+    daemon: "assembly.Daemon", leaving_servers: leaving.LeavingServers
+) -> None:
+    """Passes bundles, server events and peer messages to `leaving_servers`."""
 
     def on_leaving(event: events.ServerLeaving) -> None:
         if event.reason == Reason.DRAIN_ANSWER:
-            part.record_draining(event.service, event.server)
+            leaving_servers.record_draining(event.service, event.server)
 
     def on_returned(event: events.ServerReturned) -> None:
         now = asyncio.get_running_loop().time()
-        part.record_not_draining(event.service, event.server, now)
+        leaving_servers.record_not_draining(event.service, event.server, now)
 
-    daemon.spread.subscribe(lambda held: part.configure(held.bundle.services))
+    daemon.replicator.subscribe(
+        lambda in_force: leaving_servers.configure(in_force.bundle.services)
+    )
     daemon.kernel.subscribe(events.ServerLeaving, on_leaving)
     daemon.kernel.subscribe(events.ServerReturned, on_returned)
-    for kind in (messages.ServersLeaving, messages.ServersReturned):
-        daemon.peers.subscribe(kind, lambda _, told: part.receive_message(told))
+    for message_type in (messages.ServersLeaving, messages.ServersReturned):
+        daemon.peers.subscribe(
+            message_type,
+            lambda _, message: leaving_servers.receive_message(message),
+        )
 
 
-async def _follow(
-    daemon: "assembly.Daemon", part: leaving.LeavingServers
+async def _poll_vm_list(
+    daemon: "assembly.Daemon", leaving_servers: leaving.LeavingServers
 ) -> None:
     assert daemon.vms is not None
     assert daemon.settings.vm_list is not None
     while True:
-        listed = await daemon.vms.read()
-        if isinstance(listed, interface.VmsListed):
-            _hint_peers(daemon, listed)
-            part.receive_vm_list(listed)
+        vm_list = await daemon.vms.read()
+        if isinstance(vm_list, interface.VmsListed):
+            _hint_peers(daemon, vm_list)
+            leaving_servers.receive_vm_list(vm_list)
         await asyncio.sleep(daemon.settings.vm_list.period_s)
 
 
-def _hint_peers(daemon: "assembly.Daemon", listed: interface.VmsListed) -> None:
+def _hint_peers(
+    daemon: "assembly.Daemon", vm_list: interface.VmsListed
+) -> None:
     # All daemons of a fleet listen for peers on one port, each on its VM.
     port = daemon.settings.peers.listen.port
     daemon.peers.set_hints(
         defaults.Endpoint(vm.address, port)
-        for vm in listed.vms
+        for vm in vm_list.vms
         if vm.role == BALANCER
     )
--- a/banyantiller/daemon/lifecycle.py
+++ b/banyantiller/daemon/lifecycle.py
@@ -18,13 +18,13 @@
     Attributes:
         daemon: The daemon that is run.
         path: Path of its settings file, read again on SIGHUP.
-        ending: Set once the daemon was told to end.
+        stop_requested: Set once the daemon was told to end.
     """
 
     def __init__(self, daemon: assembly.Daemon, path: str) -> None:
         self.daemon = daemon
         self.path = path
-        self.ending = asyncio.Event()
+        self.stop_requested = asyncio.Event()
 
     async def run(self) -> int:
         """Runs the daemon until SIGTERM or SIGINT, then drains it.
@@ -33,18 +33,18 @@
             Number of calls that were cut because the drain limit passed.
         """
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.ending.set)
-        loop.add_signal_handler(signal.SIGINT, self.ending.set)
+        loop.add_signal_handler(signal.SIGTERM, self.stop_requested.set)
+        loop.add_signal_handler(signal.SIGINT, self.stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         await self.daemon.start()
-        await self.ending.wait()
+        await self.stop_requested.wait()
         return await self.daemon.stop()
 
     def reload(self) -> None:
         """Reads the settings file again; a bad file changes nothing."""
         try:
-            fresh = loading.load(self.path)
+            new_settings = loading.load(self.path)
         except exceptions.BanyantillerError as error:
             log.error("daemon: settings were not reloaded.", error=str(error))
             return
-        reload.apply(self.daemon, fresh)
+        reload.apply(self.daemon, new_settings)
--- a/banyantiller/daemon/reload.py
+++ b/banyantiller/daemon/reload.py
@@ -30,20 +30,20 @@
     )
 
 
-def apply(daemon: "assembly.Daemon", fresh: defaults.Settings) -> None:
+def apply(daemon: "assembly.Daemon", new_settings: defaults.Settings) -> None:
     """Takes over what may change and names what needs a new process.
 
     Args:
         daemon: The running daemon.
-        fresh: The settings file as it is now, already validated.
+        new_settings: The settings file as it is now, already validated.
     """
-    changed = changed_fields(daemon.settings, fresh)
+    changed = changed_fields(daemon.settings, new_settings)
     taken = [name for name in changed if name in RELOADABLE]
     refused = [name for name in changed if name not in RELOADABLE]
     daemon.settings = daemon.settings._replace(
-        **{name: getattr(fresh, name) for name in taken}
+        **{name: getattr(new_settings, name) for name in taken}
     )
-    daemon.spread.replica.trusted_keys = daemon.settings.trusted_keys
+    daemon.replicator.replica.trusted_keys = daemon.settings.trusted_keys
     logs.configure(
         daemon.settings.log,
         deployment=daemon.settings.deployment,
--- a/banyantiller/daemon/run.py
+++ b/banyantiller/daemon/run.py
@@ -15,7 +15,7 @@
 
 log = structlog.get_logger("banyantiller.daemon")
 
-EXIT_CUT = 1
+EXIT_CALLS_CUT = 1
 
 
 def run(argv: list[str]) -> int:
@@ -50,11 +50,11 @@
     logs.configure(
         settings.log, deployment=settings.deployment, daemon=settings.daemon
     )
-    for problem in warnings:
-        log.warning("daemon: check the settings.", problem=str(problem))
+    for warning in warnings:
+        log.warning("daemon: check the settings.", problem=str(warning))
     registry = plugins.Registry.from_entry_points()
     daemon = assembly.Daemon.from_settings(settings, registry, time.time)
     gc_tuning.tune()
-    cycle = lifecycle.Lifecycle(daemon, path)
-    cut = await cycle.run()
-    return EXIT_CUT if cut else 0
+    process_lifecycle = lifecycle.Lifecycle(daemon, path)
+    cut = await process_lifecycle.run()
+    return EXIT_CALLS_CUT if cut else 0
--- a/banyantiller/daemon/suspect_requests.py
+++ b/banyantiller/daemon/suspect_requests.py
@@ -1,7 +1,7 @@
-"""Tells the other daemons which requests end servers, and hears of them.
+"""Exchanges records of requests that may crash servers with the peers.
 
-What is new is told to all linked peers, which pass on what is new to them. A
-peer that was linked is told all: it may just have started.
+New records are sent to all linked peers, which forward those that are new to
+them. A newly linked peer receives all records, since it may have just started.
 """
 
 import asyncio
@@ -19,61 +19,66 @@
 
 def start(daemon: "assembly.Daemon") -> None:
     """Connects the data path's part with the other daemons."""
-    known = daemon.proxy.crash_detector
+    detector = daemon.proxy.crash_detector
     peers = daemon.peers
 
-    def on_news(event: events.RequestsSuspected) -> None:
+    def on_suspected(event: events.RequestsSuspected) -> None:
         now = asyncio.get_running_loop().time()
-        told = known.watch.table.export_records(event.fingerprints, now)
-        peers.broadcast(_message(told))
+        records = detector.watch.table.export_records(event.fingerprints, now)
+        peers.broadcast(_build_message(records))
 
-    def on_told(sender: str, message: messages.SuspectRequests) -> None:
-        told = _records(message)
-        if not known.receive_records(told):
+    def on_message(sender: str, message: messages.SuspectRequests) -> None:
+        records = _build_records(message)
+        if not detector.receive_records(records):
             return
         now = asyncio.get_running_loop().time()
-        names = [fields["fingerprint"] for fields in told]
-        passed_on = known.watch.table.export_records(names, now)
-        peers.broadcast(_message(passed_on), exclude=sender)
+        fingerprints = [fields["fingerprint"] for fields in records]
+        forwarded = detector.watch.table.export_records(fingerprints, now)
+        peers.broadcast(_build_message(forwarded), exclude=sender)
 
     def on_link(peer: str) -> None:
         now = asyncio.get_running_loop().time()
-        told = known.watch.table.export_changes(now)
-        if told:
-            peers.send(peer, _message(told))
+        records = detector.watch.table.export_changes(now)
+        if records:
+            peers.send(peer, _build_message(records))
 
-    async def keep_house() -> None:
+    async def expire_records() -> None:
         while True:
             await asyncio.sleep(EXPIRE_S)
-            known.expire()
+            detector.expire()
 
-    daemon.kernel.subscribe(events.RequestsSuspected, on_news)
-    peers.subscribe(messages.SuspectRequests, on_told)
+    daemon.kernel.subscribe(events.RequestsSuspected, on_suspected)
+    peers.subscribe(messages.SuspectRequests, on_message)
     peers.on_link.append(on_link)
-    daemon.kernel.start("quarantine", keep_house)
+    daemon.kernel.start("quarantine", expire_records)
 
 
-def _message(told: list[crash_table.RecordFields]) -> messages.SuspectRequests:
+def _build_message(
+    records: list[crash_table.RecordFields],
+) -> messages.SuspectRequests:
     return messages.SuspectRequests(
         tuple(
             messages.SuspectRequest(
                 fields["fingerprint"],
-                tuple(messages.ServerCrash(**end) for end in fields["ends"]),
+                tuple(
+                    messages.ServerCrash(**crash) for crash in fields["ends"]
+                ),
                 fields["answered_age_ms"],
             )
-            for fields in told
+            for fields in records
         )
     )
 
 
-def _records(
+def _build_records(
     message: messages.SuspectRequests,
 ) -> list[crash_table.RecordFields]:
     return [
         crash_table.RecordFields(
             fingerprint=request.fingerprint,
             ends=[
-                crash_table.CrashFields(**end._asdict()) for end in request.ends
+                crash_table.CrashFields(**crash._asdict())
+                for crash in request.ends
             ],
             answered_age_ms=request.answered_age_ms,
         )
--- a/banyantiller/tests/daemon/test_servers_that_end.py
+++ b/banyantiller/tests/daemon/test_crashing_servers.py
@@ -1,9 +1,9 @@
 """Tests of whole daemons whose servers end under a request.
 
-Callers saw their requests fail on servers that ended, over and over: one
-request ended each server that began to run it, and came again at any daemon.
+Callers saw their requests fail on servers that crashed, over and over: one
+request crashed each server that began to run it, and came again at any daemon.
 As in the gateway, what a request had done to servers was kept nowhere and told
-nobody: here 22 servers ended in 12 s, under a request that each daemon logged
+nobody: here 22 servers crashed in 12 s, under a request that each daemon logged
 as another one each time.
 """
 
@@ -31,17 +31,17 @@
         for port in PORTS
     )
 )
-DEADLY = "/orders/deadly"
-WORK_S = 0.05
-# A server that ended is back at its address after so long.
-DOWN_S = 3.0
+CRASHING = "/orders/crashing"
+CRASH_DELAY_S = 0.05
+# A server that crashed is back at its address after so long.
+RESTART_DELAY_S = 3.0
 DAEMONS = 4
-# It is known to all within this time of the third server that ended under it,
+# It is known to all within this time of the third server that crashed under it,
 # and reaches servers so often after that at most.
-KNOWN_WITHIN_S = 3.0
-MOST_LATER = 3
-EACH_S = 0.12
-PLAYED_S = 12.0
+PROPAGATION_S = 3.0
+MAX_LATER_ARRIVALS = 3
+SEND_INTERVAL_S = 0.12
+SEND_DURATION_S = 12.0
 
 
 class Fleet(whole.Fleet):
@@ -49,17 +49,17 @@
 
     Attributes:
         by_port: Servers that run, by port.
-        ends: Loop times at which servers ended.
+        crashes: Loop times at which servers crashed.
         arrivals: Loop times at which the request reached servers.
-        deadly: Whether the request ends servers.
+        crash_enabled: Whether the request crashes servers.
     """
 
     def __init__(self):
         super().__init__()
         self.by_port = {}
-        self.ends = []
+        self.crashes = []
         self.arrivals = []
-        self.deadly = True
+        self.crash_enabled = True
         self.tasks = set()
 
     async def start(self, count):
@@ -77,29 +77,29 @@
         """Starts a server."""
 
         async def answer(request):
-            if request.target.startswith(DEADLY) and self.deadly:
+            if request.target.startswith(CRASHING) and self.crash_enabled:
                 self.arrivals.append(asyncio.get_running_loop().time())
-                await asyncio.sleep(WORK_S)
-                self.begin(self.end_server(port))
+                await asyncio.sleep(CRASH_DELAY_S)
+                self.start_task(self.crash_server(port))
                 await asyncio.sleep(1000)
             return await self.answer(request)
 
         self.by_port[port] = server.HttpServer(answer)
         await self.by_port[port].start("127.0.0.1", port)
 
-    async def end_server(self, port):
+    async def crash_server(self, port):
         """Ends a server at once; another start takes its place."""
-        ended = self.by_port.pop(port, None)
-        if ended is None:
+        crashed = self.by_port.pop(port, None)
+        if crashed is None:
             return
-        self.ends.append(asyncio.get_running_loop().time())
-        await ended.close()
-        await asyncio.sleep(DOWN_S)
+        self.crashes.append(asyncio.get_running_loop().time())
+        await crashed.close()
+        await asyncio.sleep(RESTART_DELAY_S)
         await self.start_server(port)
 
-    def begin(self, work):
+    def start_task(self, coroutine):
         """Lets work go on by itself."""
-        task = asyncio.ensure_future(work)
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
@@ -111,8 +111,8 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for one in self.by_port.values():
-            await one.close()
+        for backend in self.by_port.values():
+            await backend.close()
 
     async def send(self, number, *arguments, headers=()):
         """Sends a request to a daemon; None if it gets no answer."""
@@ -127,23 +127,23 @@
             return outcome.response._replace(body=outcome.body)
         return messages.Response(0)
 
-    async def repeat(self, *arguments, for_s=PLAYED_S):
+    async def repeat(self, *arguments, for_s=SEND_DURATION_S):
         """Sends a request again and again, to one daemon after the other."""
         loop = asyncio.get_running_loop()
         until = loop.time() + for_s
         answers = []
         while loop.time() < until:
             number = len(answers) % len(self.daemons)
-            answers.append(self.begin(self.send(number, *arguments)))
-            await asyncio.sleep(EACH_S)
+            answers.append(self.start_task(self.send(number, *arguments)))
+            await asyncio.sleep(SEND_INTERVAL_S)
         return await asyncio.gather(*answers)
 
 
-class ServersThatEndTest(base.TestCase):
-    def play(self, body):
+class CrashingServersTest(base.TestCase):
+    def run_with_fleet(self, body):
         """Runs `body(fleet)` in a fleet of its own."""
 
-        async def whole_play():
+        async def run_body():
             fleet = Fleet()
             await fleet.start(DAEMONS)
             try:
@@ -151,66 +151,68 @@
             finally:
                 await fleet.stop()
 
-        self.run_paused(whole_play())
+        self.run_paused(run_body())
 
-    def check_later(self, fleet):
+    def check_later_arrivals(self, fleet):
         """Checks what reached servers once all daemons have to know."""
-        since = fleet.ends[2] + KNOWN_WITHIN_S
+        since = fleet.crashes[2] + PROPAGATION_S
         later = [at for at in fleet.arrivals if at >= since]
-        self.assertLessEqual(len(later), MOST_LATER)
+        self.assertLessEqual(len(later), MAX_LATER_ARRIVALS)
 
-    def test_a_request_reaches_servers_three_times_more_at_most(self):
+    def test_crashing_request_reaches_servers_at_most_three_times_more(self):
         async def body(fleet):
-            answers = await fleet.repeat("GET", DEADLY)
-            self.check_later(fleet)
+            answers = await fleet.repeat("GET", CRASHING)
+            self.check_later_arrivals(fleet)
             last = answers[-1]
             self.assertEqual(503, last.status)
             self.assertIn("quarantined", last.header("proxy-status"))
             self.assertNotEqual("", last.header("retry-after"))
-            proper = await fleet.send(0, "GET", "/orders/1")
-            self.assertEqual(200, proper.status)
+            response = await fleet.send(0, "GET", "/orders/1")
+            self.assertEqual(200, response.status)
 
-        self.play(body)
+        self.run_with_fleet(body)
 
-    def test_one_with_a_body_that_comes_in_pieces(self):
+    def test_crashing_request_with_a_body_in_several_reads(self):
         async def body(fleet):
-            await fleet.repeat("POST", DEADLY, b"deadly" * 5000)
-            self.check_later(fleet)
+            await fleet.repeat("POST", CRASHING, b"deadly" * 5000)
+            self.check_later_arrivals(fleet)
             other = await fleet.send(0, "POST", "/orders/1", b"deadly" * 5000)
             self.assertEqual(200, other.status)
 
-        self.play(body)
+        self.run_with_fleet(body)
 
-    def test_a_keyed_one(self):
+    def test_crashing_request_with_idempotency_keys(self):
         """Each comes under a key of its own, and none is granted for good."""
 
         async def body(fleet):
             for number in range(40):
                 key = (("idempotency-key", f'"k{number}"'),)
                 daemon = number % DAEMONS
-                fleet.begin(fleet.send(daemon, "POST", DEADLY, headers=key))
-                await asyncio.sleep(EACH_S)
-            await asyncio.sleep(KNOWN_WITHIN_S)
-            self.check_later(fleet)
+                fleet.start_task(
+                    fleet.send(daemon, "POST", CRASHING, headers=key)
+                )
+                await asyncio.sleep(SEND_INTERVAL_S)
+            await asyncio.sleep(PROPAGATION_S)
+            self.check_later_arrivals(fleet)
 
-        self.play(body)
+        self.run_with_fleet(body)
 
-    def test_a_daemon_that_starts_later_knows(self):
+    def test_daemon_that_starts_later_learns_the_quarantine(self):
         async def body(fleet):
-            await fleet.repeat("GET", DEADLY, for_s=4.0)
+            await fleet.repeat("GET", CRASHING, for_s=4.0)
             await fleet.add(whole.settings(DAEMONS + 1))
             await asyncio.sleep(whole.SETTLED_S)
-            ended = len(fleet.ends)
-            await fleet.send(DAEMONS, "GET", DEADLY)
-            self.assertEqual(ended, len(fleet.ends))
+            crashed = len(fleet.crashes)
+            await fleet.send(DAEMONS, "GET", CRASHING)
+            self.assertEqual(crashed, len(fleet.crashes))
 
-        self.play(body)
+        self.run_with_fleet(body)
 
-    def test_a_quarantine_can_be_lifted(self):
+    def test_quarantine_can_be_lifted(self):
         async def body(fleet):
-            await fleet.repeat("GET", DEADLY, for_s=3.0)
-            fleet.deadly = False
-            await asyncio.sleep(DOWN_S)
+            await fleet.repeat("GET", CRASHING, for_s=3.0)
+            fleet.crash_enabled = False
+            await asyncio.sleep(RESTART_DELAY_S)
             daemon = fleet.daemons[0]
             (record,) = daemon.proxy.crash_detector.watch.table.records
             target = f"/quarantine/lift?fingerprint={record}"
@@ -220,47 +222,49 @@
                 outcome = await user.request("POST", target, 5.0)
                 self.assertEqual(status, outcome.response.status)
             await user.close()
-            await asyncio.sleep(KNOWN_WITHIN_S)
+            await asyncio.sleep(PROPAGATION_S)
             for number in range(DAEMONS):
-                answer = await fleet.send(number, "GET", DEADLY)
+                answer = await fleet.send(number, "GET", CRASHING)
                 self.assertEqual(200, answer.status)
 
-        self.play(body)
+        self.run_with_fleet(body)
 
-    def test_a_popular_one_when_most_servers_end_at_once(self):
+    def test_frequent_request_during_simultaneous_crashes(self):
         """It merely ran there, and is answered elsewhere."""
 
         async def body(fleet):
-            fleet.deadly = False
-            popular = fleet.begin(fleet.repeat("GET", "/orders/popular"))
+            fleet.crash_enabled = False
+            popular = fleet.start_task(fleet.repeat("GET", "/orders/popular"))
             for _ in range(3):
                 await asyncio.sleep(3.5)
                 for port in list(fleet.by_port)[1:]:
-                    fleet.begin(fleet.end_server(port))
+                    fleet.start_task(fleet.crash_server(port))
             answers = await popular
-            kinds = {answer.header("proxy-status") for answer in answers}
-            self.assertFalse(any("quarantined" in kind for kind in kinds))
+            statuses = {answer.header("proxy-status") for answer in answers}
+            self.assertFalse(
+                any("quarantined" in status for status in statuses)
+            )
 
-        self.play(body)
+        self.run_with_fleet(body)
 
-    def test_one_that_was_there_goes_on_past_a_server_that_is_down(self):
+    def test_request_is_retried_past_a_server_that_is_down(self):
         """Not a byte was sent to that one, so it counts for nothing."""
 
         async def body(fleet):
-            fleet.deadly = False
+            fleet.crash_enabled = False
             # Second tries have to be earned.
             for number in range(400):
                 await fleet.send(number % DAEMONS, "GET", "/orders/0")
             fleet.service_s = 0.2
             sent = [
-                fleet.begin(fleet.send(n % DAEMONS, "GET", f"/orders/{n}"))
+                fleet.start_task(fleet.send(n % DAEMONS, "GET", f"/orders/{n}"))
                 for n in range(8)
             ]
             await asyncio.sleep(0.1)
             # Two go down; what ran there meets the other on its way.
             for port in list(fleet.by_port)[:2]:
-                fleet.begin(fleet.end_server(port))
+                fleet.start_task(fleet.crash_server(port))
             answers = await asyncio.gather(*sent)
             self.assertEqual({200}, {answer.status for answer in answers})
 
-        self.play(body)
+        self.run_with_fleet(body)
--- a/banyantiller/tests/daemon/test_cut_calls.py
+++ b/banyantiller/tests/daemon/test_cut_calls.py
@@ -12,11 +12,11 @@
 GET = b"GET / HTTP/1.1\r\nHost: x\r\nX-Request-Id: r1\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
 CUT = Promise.SHUTDOWN_CUTS_NOTHING
-PART = Promise.WHOLE_OWN_ANSWER
+TRUNCATED = Promise.WHOLE_OWN_ANSWER
 
 
 class CutCallsTest(base.TestCase):
-    def reported(self, answer: bytes) -> list[tuple[str, str]]:
+    def report_breaches(self, answer: bytes) -> list[tuple[str, str]]:
         """Returns the breaches while an answer is due to a silent caller."""
 
         async def script(connection: fakes.FakeConnection) -> None:
@@ -26,11 +26,13 @@
 
         async def body() -> list[tuple[str, str]]:
             bench = await fakes.Bench.start(script)
-            told: list[tuple[str, str]] = []
+            breaches: list[tuple[str, str]] = []
             kernel = bench.proxy.kernel
             kernel.subscribe(
                 events.PromiseBroken,
-                lambda event: told.append((event.promise, event.request_id)),
+                lambda event: breaches.append(
+                    (event.promise, event.request_id)
+                ),
             )
             caller = await bench.connect()
             caller.writer.transport.pause_reading()
@@ -42,21 +44,21 @@
                 )
             )
             await bench.proxy.close()
-            return told
+            return breaches
 
         return self.run_paused(body())
 
     def test_call_without_an_answer(self) -> None:
-        self.assertEqual([(CUT, "r1")], self.reported(b""))
+        self.assertEqual([(CUT, "r1")], self.report_breaches(b""))
 
     def test_answer_that_had_begun(self) -> None:
-        told = self.reported(HEAD % 2 + b"o")
-        self.assertEqual([(CUT, "r1"), (PART, "r1")], told)
+        breaches = self.report_breaches(HEAD % 2 + b"o")
+        self.assertEqual([(CUT, "r1"), (TRUNCATED, "r1")], breaches)
 
     def test_whole_answer_that_the_caller_has_not_taken(self) -> None:
         size = 96 * 1024
-        told = self.reported(HEAD % size + bytes(size))
-        self.assertEqual([(CUT, ""), (PART, "")], told)
+        breaches = self.report_breaches(HEAD % size + bytes(size))
+        self.assertEqual([(CUT, ""), (TRUNCATED, "")], breaches)
 
     def test_idle_connection(self) -> None:
-        self.assertEqual([], self.reported(HEAD % 2 + b"ok"))
+        self.assertEqual([], self.report_breaches(HEAD % 2 + b"ok"))
--- a/banyantiller/tests/daemon/test_held.py
+++ b/banyantiller/tests/daemon/test_evidence.py
@@ -12,7 +12,7 @@
 from banyantiller.tests.daemon import test_whole_path as whole_path
 
 
-async def judged(fleet: whole_path.Fleet) -> dict[Promise, Verdict]:
+async def judge(fleet: whole_path.Fleet) -> dict[Promise, Verdict]:
     """Judges the whole life of the daemons, after their end."""
     now = whole_path.WALL + asyncio.get_running_loop().time()
     store = memory.MemoryStore(fleet.table)
@@ -20,15 +20,15 @@
         store, samples.DEPLOYMENT, round(now * 1000)
     )
     period = judging.Period(settled.first_ms, settled.until_ms)
-    question = assessment.Question(
+    query = assessment.Question(
         samples.DEPLOYMENT, period, 3_600_000_000, 500, settled.known_ms
     )
-    found = await assessment.assess(store, question)
-    return {item.promise: item.verdict for item in found.judgements}
+    result = await assessment.assess(store, query)
+    return {item.promise: item.verdict for item in result.judgements}
 
 
-class HeldTest(base.TestCase):
-    def test_sound_life_of_two_daemons(self) -> None:
+class EvidenceTest(base.TestCase):
+    def test_promises_hold_for_two_daemons(self) -> None:
         async def scenario() -> None:
             fleet = whole_path.Fleet()
             await fleet.start(2)
@@ -39,13 +39,13 @@
             await whole_path.send(8002, "POST", "/orders", b"x", "k")
             await asyncio.sleep(65)
             self.assertEqual([0, 0], await fleet.stop())
-            for promise, verdict in (await judged(fleet)).items():
+            for promise, verdict in (await judge(fleet)).items():
                 self.assertIsInstance(verdict, Held, (promise, verdict))
                 self.assertEqual(8, verdict.calls)
 
         self.run_paused(scenario())
 
-    def test_call_that_a_drain_did_not_wait_for(self) -> None:
+    def test_call_in_flight_at_the_drain_limit(self) -> None:
         async def scenario() -> None:
             fleet = whole_path.Fleet()
             await fleet.start(1)
@@ -56,13 +56,13 @@
                 b"X-Request-Id: slow-one\r\n\r\n"
             )
             daemon = fleet.daemons[0]
-            impatient = defaults.DrainSettings(grace_s=0.0, limit_s=2.0)
-            daemon.settings = daemon.settings._replace(drain=impatient)
+            short_drain = defaults.DrainSettings(grace_s=0.0, limit_s=2.0)
+            daemon.settings = daemon.settings._replace(drain=short_drain)
             await asyncio.sleep(0.1)
             self.assertEqual([1], await fleet.stop())
             self.assertEqual(b"", await reader.read())
             writer.close()
-            verdict = (await judged(fleet))[Promise.SHUTDOWN_CUTS_NOTHING]
+            verdict = (await judge(fleet))[Promise.SHUTDOWN_CUTS_NOTHING]
             self.assertIsInstance(verdict, Broken)
             self.assertEqual("slow-one", verdict.named[0].request_id)
 
--- a/banyantiller/tests/daemon/test_keys_over_bundles.py
+++ b/banyantiller/tests/daemon/test_keys_over_bundles.py
@@ -18,7 +18,9 @@
 
 
 class KeysOverBundlesTest(base.TestCase):
-    def test_key_repeated_after_its_path_went_to_another_service(self) -> None:
+    def test_key_is_repeated_after_its_path_moved_to_another_service(
+        self,
+    ) -> None:
         """Version 2 gives the path of deposits a service of its own.
 
         A caller repeats a deposit with the same key, method, path and body
@@ -44,7 +46,7 @@
 
         self.run_paused(scenario())
 
-    def test_key_sent_to_daemons_of_two_bundles_at_once(self) -> None:
+    def test_key_is_sent_to_daemons_with_different_bundles(self) -> None:
         """The second daemon runs version 2 while the first is still on 1."""
 
         async def scenario() -> None:
--- a/banyantiller/tests/daemon/test_outdated_bundle.py
+++ b/banyantiller/tests/daemon/test_outdated_bundle.py
@@ -20,7 +20,7 @@
 KEY_REQUIRED = samples.BUNDLE.replace(
     "    path: /orders\n", "    path: /orders\n    key_required: true\n"
 )
-SOON_S = 3.0
+PROPAGATION_S = 3.0
 
 
 async def roll(fleet: whole.Fleet, text: str) -> None:
@@ -29,7 +29,9 @@
     await samples.roll(store, await samples.prepare(store, text))
 
 
-async def start_behind(fleet: whole.Fleet, *texts: str) -> Callable[[], None]:
+async def start_with_outdated_bundle(
+    fleet: whole.Fleet, *texts: str
+) -> Callable[[], None]:
     """Starts two daemons; the second only hears of the last bundle's number.
 
     Its object API is down, and the first does not get to send it the bundle.
@@ -45,16 +47,16 @@
     handlers = fleet.daemons[0].peers.message_handlers
     send_bundle = handlers.pop(messages.BundleRequest)
     await roll(fleet, texts[-1])
-    await asyncio.sleep(SOON_S)
+    await asyncio.sleep(PROPAGATION_S)
 
-    def let_send() -> None:
+    def deliver_bundle() -> None:
         handlers[messages.BundleRequest] = send_bundle
 
-    return let_send
+    return deliver_bundle
 
 
-class KnownNewerBundleTest(base.TestCase):
-    def test_route_of_a_newer_bundle_is_not_told_as_unknown(self) -> None:
+class NewerBundleTest(base.TestCase):
+    def test_route_of_a_newer_bundle_is_retryable(self) -> None:
         """A peer's heartbeat names version 2, which has not arrived yet.
 
         `/maps` exists in version 2 only. The daemon knows that version 1 is
@@ -65,7 +67,9 @@
 
         async def scenario() -> None:
             fleet = whole.Fleet()
-            let_send = await start_behind(fleet, samples.BUNDLE + MAPS)
+            deliver_bundle = await start_with_outdated_bundle(
+                fleet, samples.BUNDLE + MAPS
+            )
             self.assertEqual(1, fleet.daemons[1].proxy.version)
             refused = await whole.send(8002, "GET", "/maps/1")
             self.assertEqual(503, refused.status, refused)
@@ -73,8 +77,8 @@
             self.assertTrue(refused.header("retry-after"))
             served = await whole.send(8002, "GET", "/orders/1")
             self.assertEqual(200, served.status, served)
-            let_send()
-            await asyncio.sleep(SOON_S)
+            deliver_bundle()
+            await asyncio.sleep(PROPAGATION_S)
             self.assertEqual(2, fleet.daemons[1].proxy.version)
             served = await whole.send(8002, "GET", "/maps/1")
             self.assertEqual(200, served.status, served)
@@ -84,7 +88,7 @@
 
         self.run_paused(scenario())
 
-    def test_key_that_a_newer_bundle_may_not_ask_for(self) -> None:
+    def test_missing_key_that_a_newer_bundle_may_not_require(self) -> None:
         """Version 2 asks for a key on each deposit, version 3 no more.
 
         The daemon knows that version 3 is accepted but has not got it. It
@@ -94,14 +98,16 @@
 
         async def scenario() -> None:
             fleet = whole.Fleet()
-            let_send = await start_behind(fleet, KEY_REQUIRED, samples.BUNDLE)
+            deliver_bundle = await start_with_outdated_bundle(
+                fleet, KEY_REQUIRED, samples.BUNDLE
+            )
             self.assertEqual(2, fleet.daemons[1].proxy.version)
             refused = await whole.send(8002, "POST", "/orders", b"deposit")
             self.assertEqual(503, refused.status, refused)
             self.assertEqual("no", refused.header("request-ran"))
             self.assertEqual(0, fleet.runs.count("deposit"))
-            let_send()
-            await asyncio.sleep(SOON_S)
+            deliver_bundle()
+            await asyncio.sleep(PROPAGATION_S)
             served = await whole.send(8002, "POST", "/orders", b"deposit")
             self.assertEqual(200, served.status, served)
             await fleet.stop()
@@ -109,8 +115,8 @@
         self.run_paused(scenario())
 
 
-class LostStoreTest(base.TestCase):
-    def test_daemons_cut_off_from_the_store_together(self) -> None:
+class StoreOutageTest(base.TestCase):
+    def test_all_daemons_lose_the_object_api(self) -> None:
         """Two daemons hear each other but not the object API, for 30 s.
 
         Version 2 with `/maps` is accepted meanwhile. Neither daemon can have
@@ -148,7 +154,7 @@
 
         self.run_paused(scenario())
 
-    def test_isolated_daemon_that_goes_on_serving(self) -> None:
+    def test_isolated_daemon_that_keeps_serving(self) -> None:
         """A daemon alone tells `"isolated": true` on its status page.
 
         Told to go on, it serves what it knows. That a route does not exist
@@ -162,7 +168,7 @@
             fleet.stores[0].faults.down = True
             await roll(fleet, samples.BUNDLE + MAPS)
             await asyncio.sleep(30.0)
-            self.assertTrue(fleet.daemons[0].spread.isolated)
+            self.assertTrue(fleet.daemons[0].replicator.isolated)
             refused = await whole.send(8001, "GET", "/maps/1")
             self.assertEqual(503, refused.status, refused)
             served = await whole.send(8001, "GET", "/orders/1")
@@ -171,7 +177,7 @@
 
         self.run_paused(scenario())
 
-    def test_daemon_that_starts_beside_a_peer_that_is_behind(self) -> None:
+    def test_daemon_that_starts_with_an_outdated_peer(self) -> None:
         """A daemon starts while the object API does not answer.
 
         It takes version 1 from the only peer, which is cut off from the
--- a/banyantiller/tests/daemon/test_peer_hints.py
+++ b/banyantiller/tests/daemon/test_peer_hints.py
@@ -10,7 +10,7 @@
 
 
 class PeerHintsTest(TestCase):
-    def test_other_balancers_are_hinted_and_servers_are_not(self):
+    def test_hints_are_the_other_balancers(self):
         async def run():
             node = support.node(support.settings(0))
             daemon = types.SimpleNamespace(
--- a/banyantiller/tests/daemon/test_reload.py
+++ b/banyantiller/tests/daemon/test_reload.py
@@ -15,7 +15,7 @@
         super().setUp()
         self.addCleanup(structlog.reset_defaults)
 
-    def test_running_call_goes_on_and_keys_are_taken(self) -> None:
+    def test_running_call_continues_and_keys_are_applied(self) -> None:
         async def scenario() -> None:
             fleet = whole.Fleet()
             await fleet.start(1)
@@ -29,7 +29,7 @@
                 daemon,
                 daemon.settings._replace(trusted_keys=fewer, drain=drain),
             )
-            self.assertEqual(fewer, daemon.spread.replica.trusted_keys)
+            self.assertEqual(fewer, daemon.replicator.replica.trusted_keys)
             self.assertEqual(0.0, daemon.settings.drain.grace_s)
             self.assertEqual(200, (await call).status)
             await fleet.stop()
@@ -41,10 +41,10 @@
             fleet = whole.Fleet()
             await fleet.start(1)
             daemon = fleet.daemons[0]
-            fresh = daemon.settings._replace(
+            new_settings = daemon.settings._replace(
                 admin=defaults.Endpoint("127.0.0.1", 9999)
             )
-            reload.apply(daemon, fresh)
+            reload.apply(daemon, new_settings)
             self.assertEqual(8101, daemon.settings.admin.port)
             await fleet.stop()
 
--- a/banyantiller/tests/daemon/test_whole_path.py
+++ b/banyantiller/tests/daemon/test_whole_path.py
@@ -120,7 +120,7 @@
 
 
 class WholePathTest(base.TestCase):
-    def test_call_that_cannot_be_answered_in_time_is_refused_at_once(
+    def test_call_that_cannot_meet_its_deadline_is_rejected_at_once(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -134,16 +134,16 @@
             ]
             await asyncio.sleep(0.1)
             loop = asyncio.get_running_loop()
-            asked_at = loop.time()
-            hurried = (("x-request-deadline-ms", "500"),)
-            answer = await send(8001, "GET", "/orders/3", headers=hurried)
+            sent_at = loop.time()
+            deadline = (("x-request-deadline-ms", "500"),)
+            answer = await send(8001, "GET", "/orders/3", headers=deadline)
             self.assertEqual(503, answer.status)
             self.assertIn("deadline_unreachable", answer.header("proxy-status"))
             self.assertEqual("no", answer.header("request-ran"))
             self.assertNotEqual("", answer.header("retry-after"))
-            self.assertTrue(loop.time() - asked_at < 0.1)
-            for ended in await asyncio.gather(*busy):
-                self.assertEqual(200, ended.status)
+            self.assertTrue(loop.time() - sent_at < 0.1)
+            for response in await asyncio.gather(*busy):
+                self.assertEqual(200, response.status)
             await fleet.stop()
 
         self.run_paused(scenario())
@@ -164,7 +164,7 @@
 
         self.run_paused(scenario())
 
-    def test_stop_ends_calls_in_flight_and_refuses_none_meanwhile(
+    def test_stop_finishes_calls_in_flight_and_accepts_new_ones(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -173,13 +173,13 @@
             fleet.service_s = 3.0
             call = asyncio.create_task(send(8001, "GET", "/orders/1"))
             await asyncio.sleep(0.5)
-            ending = asyncio.create_task(fleet.daemons[0].stop())
+            stopping = asyncio.create_task(fleet.daemons[0].stop())
             await asyncio.sleep(0.5)
             text = fleet.daemons[0].instruments.exposition().decode()
             self.assertRegex(text, 'in_flight{server="desk-.",.*} 1.0')
             late = asyncio.create_task(send(8001, "GET", "/orders/2"))
             self.assertFalse(fleet.daemons[0].readiness().ready)
-            self.assertEqual(0, await ending)
+            self.assertEqual(0, await stopping)
             self.assertEqual(200, (await call).status)
             answer = await late
             self.assertEqual(200, answer.status, answer)
@@ -204,7 +204,7 @@
 
         self.run_paused(scenario())
 
-    def test_isolated_daemon_fences_itself_if_told_so(self) -> None:
+    def test_isolated_daemon_fences_itself_if_configured(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             await fleet.start(0)
@@ -225,22 +225,22 @@
 
         self.run_paused(scenario())
 
-    def test_bundle_that_the_data_path_refuses_is_not_said_to_be_in_force(
+    def test_bundle_that_the_data_path_rejects_is_not_reported_in_force(
         self,
     ) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             await fleet.start(0)
-            told: list[events.BundleInForce] = []
+            received: list[events.BundleInForce] = []
             daemon = await fleet.add(settings(1))
-            daemon.kernel.subscribe(events.BundleInForce, told.append)
+            daemon.kernel.subscribe(events.BundleInForce, received.append)
 
             def fail(*_: Any) -> None:
                 raise ValueError("a fault of the data path")
 
             daemon.proxy.apply = fail
             await asyncio.sleep(SETTLED_S)
-            self.assertEqual([], told)
+            self.assertEqual([], received)
             listed = await fleet.stores[0].list("daemonstatuses")
             self.assertEqual([], [item.value for item in listed.items])
             await fleet.stop()
@@ -281,7 +281,7 @@
 
         self.run_paused(scenario())
 
-    def test_probes_go_on_under_the_bundle_that_stays_in_force(self) -> None:
+    def test_probes_continue_under_the_bundle_that_stays_in_force(self) -> None:
         """Version 2 drops a service, and the data path can't take it.
 
         The service is served on under version 1, so its servers are probed
@@ -302,7 +302,7 @@
             text = samples.BUNDLE.partition("  - name: archive")[0]
             await samples.roll(store, await samples.prepare(store, text))
             await asyncio.sleep(SETTLED_S)
-            self.assertEqual(2, daemon.spread.in_force.version)
+            self.assertEqual(2, daemon.replicator.in_force.version)
             answer = await send(8001, "GET", "/archive/1")
             self.assertEqual(200, answer.status, answer)
             self.assertIn("archive", daemon.budget.ledgers)
--- a/banyantiller/tests/proxy/test_error_kinds.py
+++ b/banyantiller/tests/proxy/test_error_kinds.py
@@ -172,7 +172,7 @@
     K.INTERNAL,
 }
 # In test_tls, test_at_most_once, daemon/test_whole_path and
-# daemon/test_servers_that_end.
+# daemon/test_crashing_servers.
 TESTED_ELSEWHERE = {
     K.QUARANTINED,
     K.TLS_FAILED,
--- a/banyantiller/tests/replay/test_daemon_recording.py
+++ b/banyantiller/tests/replay/test_daemon_recording.py
@@ -34,7 +34,7 @@
         for driver in daemon.proxy.drivers.values():
             driver.dispatcher.recording.close()
         await fleet.stop()
-        daemon.spread.replica.recording.close()
+        daemon.replicator.replica.recording.close()
 
     def test_replay_decides_as_the_daemon(self):
         folder = tempfile.TemporaryDirectory()
--- a/banyantiller/tests/replay/test_replica_recording.py
+++ b/banyantiller/tests/replay/test_replica_recording.py
@@ -46,7 +46,7 @@
         for driver in daemon.proxy.drivers.values():
             driver.dispatcher.recording.close()
         await daemon.stop()
-        daemon.spread.replica.recording.close()
+        daemon.replicator.replica.recording.close()
 
     async def roll(self, fleet, version):
         text = samples.BUNDLE.replace("/archive", f"/archive-{version}")
