--- a/banyantiller/daemon/__init__.py
+++ b/banyantiller/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: assembly of the parts and its life cycle."""
+"""The daemon: construction from its components, and its life cycle."""
--- a/banyantiller/daemon/admin_server.py
+++ b/banyantiller/daemon/admin_server.py
@@ -14,8 +14,9 @@
     """The admin listener of a daemon.
 
     Attributes:
-        admin: Makes the pages.
-        lift: Lifts the quarantine of a request; False if there is none.
+        admin: Renders the pages.
+        lift: Lifts the quarantine of the request with a fingerprint; returns
+            False if there is none.
         server: The listening server.
     """
 
@@ -25,16 +26,16 @@
         self.server = server.HttpServer(self._handle)
 
     async def start(self, endpoint: defaults.Endpoint) -> defaults.Endpoint:
-        """Listens and returns where.
+        """Listens and returns the bound endpoint.
 
         Raises:
-            OSError: The address can't be used.
+            OSError: The address cannot be used.
         """
         bound = await self.server.start(endpoint.address, endpoint.port)
         return defaults.Endpoint(bound.address, bound.port)
 
     async def close(self) -> None:
-        """Stops listening and ends requests in flight."""
+        """Stops listening; requests in flight get `CLOSE_GRACE_S` to finish."""
         await self.server.close(CLOSE_GRACE_S)
 
     async def _handle(self, request: messages.Request) -> messages.Response:
--- a/banyantiller/daemon/assembly.py
+++ b/banyantiller/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a daemon out of its parts and connects them."""
+"""Creates the components of a daemon and connects them."""
 
 import asyncio
 import random
@@ -33,12 +33,13 @@
 
 
 class Daemon:
-    """The parts of one daemon.
+    """The components of one daemon.
 
     Attributes:
         settings: Settings in force.
         kernel: Runs the tasks and delivers events.
-        draining: Whether the graceful end has begun.
+        draining: Whether the graceful shutdown has begun.
+        wall: Returns wall-clock seconds.
     """
 
     def __init__(
@@ -105,27 +106,27 @@
         registry: plugins.Registry,
         wall: Callable[[], float],
     ) -> "Daemon":
-        """Builds a daemon that is seeded by the system's random source.
+        """Creates a daemon that is seeded by the system's random source.
 
         Args:
             settings: Validated settings.
-            registry: Plug-ins to take adapters and the routing from.
+            registry: Plug-ins that provide the adapters and the routing.
             wall: Returns wall-clock seconds.
         """
         seed = random.SystemRandom().getrandbits(SEED_BITS)
         return cls(settings, registry, wall, seed)
 
     async def start(self) -> None:
-        """Connects the parts and starts listeners and tasks.
+        """Connects the components and starts listeners and tasks.
 
         Raises:
-            ConfigError: An address can't be used.
+            ConfigError: An address cannot be used.
         """
         try:
             await self._start()
         except OSError as error:
             raise exceptions.ConfigError(
-                f"An address can't be listened on: {error}."
+                f"Cannot listen on an address: {error}."
             ) from error
 
     async def _start(self) -> None:
@@ -155,7 +156,7 @@
         )
 
     async def stop(self) -> int:
-        """Ends gracefully: drains calls, writes evidence, leaves the peers.
+        """Drains calls, writes the last evidence and leaves the peers.
 
         Returns:
             Number of calls that were cut at the drain limit.
@@ -168,7 +169,7 @@
         cut_calls.report(self)
         self.peers.leave()
         await self.kernel.stop()
-        # Closing settles the claims of calls that are cut by it.
+        # Closing the proxy cuts calls and settles their claims.
         await self.proxy.close()
         await self.claims.drain()
         await self.writer.finish()
@@ -180,7 +181,7 @@
         return cut
 
     def readiness(self) -> admin.Readiness:
-        """Tells whether callers should be sent here."""
+        """Returns whether callers should be sent to this daemon."""
         if self.draining:
             return admin.Readiness(False, "the daemon is draining")
         if self.proxy.version == 0:
--- a/banyantiller/daemon/bundles.py
+++ b/banyantiller/daemon/bundles.py
@@ -1,4 +1,4 @@
-"""Passes the bundle in force, membership and isolation on to the parts."""
+"""Updates components when bundle, membership or isolation change."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -17,7 +17,8 @@
 
     def on_bundle(in_force: replicator.InForceBundle) -> None:
         manifest = in_force.accepted.manifest
-        # First, since the others must not follow a bundle that it refuses.
+        # The data path comes first: if it rejects the bundle, the other
+        # components must not apply it either.
         daemon.proxy.apply(
             in_force.bundle, manifest.version, in_force.accepted.accepted_at
         )
--- a/banyantiller/daemon/cut_calls.py
+++ b/banyantiller/daemon/cut_calls.py
@@ -1,4 +1,4 @@
-"""Tells the evidence which calls a drain did not wait for."""
+"""Records the calls that are cut at the drain limit as breaches."""
 
 from typing import TYPE_CHECKING
 
@@ -13,11 +13,11 @@
 
 
 def report(daemon: "assembly.Daemon") -> None:
-    """Emits the breaches of each call in flight at the drain limit.
+    """Emits breaches for each call in flight at the drain limit.
 
-    An answer that a slow caller has not taken yet counts as well. It has to
-    be called before the last summary is written; the connections are closed
-    only afterwards.
+    A response that a slow caller has not read completely counts as well. This
+    must run before the last summary of the evidence is written; the connections
+    are closed only afterwards.
     """
     for connection in daemon.proxy.callers:
         call = connection.call
--- a/banyantiller/daemon/leaving_servers.py
+++ b/banyantiller/daemon/leaving_servers.py
@@ -21,7 +21,7 @@
 
 
 def start(daemon: "assembly.Daemon") -> None:
-    """Follows servers that leave, and the VM list if the settings name one."""
+    """Starts tracking leaving servers, and polling of a configured VM list."""
     leaving_servers = _create_leaving_servers(daemon)
     _subscribe(daemon, leaving_servers)
     daemon.kernel.start("leaving servers", leaving_servers.run)
@@ -107,7 +107,8 @@
 def _hint_peers(
     daemon: "assembly.Daemon", vm_list: interface.VmsListed
 ) -> None:
-    # All daemons of a fleet listen for peers on one port, each on its VM.
+    # All daemons of a fleet listen for peers on the same port, each on its
+    # own VM.
     port = daemon.settings.peers.listen.port
     daemon.peers.set_hints(
         defaults.Endpoint(vm.address, port)
--- a/banyantiller/daemon/lifecycle.py
+++ b/banyantiller/daemon/lifecycle.py
@@ -1,4 +1,4 @@
-"""Start, reload and graceful end of a daemon."""
+"""Start, reload and graceful shutdown of a daemon."""
 
 import asyncio
 import signal
@@ -13,12 +13,12 @@
 
 
 class Lifecycle:
-    """Turns signals into the steps of a daemon's life.
+    """Handles the signals that reload and stop a daemon.
 
     Attributes:
-        daemon: The daemon that is run.
+        daemon: The daemon.
         path: Path of its settings file, read again on SIGHUP.
-        stop_requested: Set once the daemon was told to end.
+        stop_requested: Set on SIGTERM or SIGINT.
     """
 
     def __init__(self, daemon: assembly.Daemon, path: str) -> None:
@@ -30,7 +30,7 @@
         """Runs the daemon until SIGTERM or SIGINT, then drains it.
 
         Returns:
-            Number of calls that were cut because the drain limit passed.
+            Number of calls that were cut at the drain limit.
         """
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop_requested.set)
@@ -41,7 +41,7 @@
         return await self.daemon.stop()
 
     def reload(self) -> None:
-        """Reads the settings file again; a bad file changes nothing."""
+        """Reloads the settings file; an invalid file changes nothing."""
         try:
             new_settings = loading.load(self.path)
         except exceptions.BanyantillerError as error:
--- a/banyantiller/daemon/reload.py
+++ b/banyantiller/daemon/reload.py
@@ -1,7 +1,7 @@
-"""What a running daemon takes over from a changed settings file.
+"""Applies a changed settings file to a running daemon.
 
-Addresses, names and the object API need a new process. Everything that is
-taken over concerns later calls only, so no running call is touched.
+A change of addresses, names or the object API needs a restart. The reloadable
+settings affect later calls only, so running calls are not disturbed.
 """
 
 from typing import TYPE_CHECKING
@@ -31,17 +31,17 @@
 
 
 def apply(daemon: "assembly.Daemon", new_settings: defaults.Settings) -> None:
-    """Takes over what may change and names what needs a new process.
+    """Applies reloadable changes and logs those that need a restart.
 
     Args:
         daemon: The running daemon.
-        new_settings: The settings file as it is now, already validated.
+        new_settings: Validated settings of the changed file.
     """
     changed = changed_fields(daemon.settings, new_settings)
-    taken = [name for name in changed if name in RELOADABLE]
-    refused = [name for name in changed if name not in RELOADABLE]
+    applied = [name for name in changed if name in RELOADABLE]
+    not_applied = [name for name in changed if name not in RELOADABLE]
     daemon.settings = daemon.settings._replace(
-        **{name: getattr(new_settings, name) for name in taken}
+        **{name: getattr(new_settings, name) for name in applied}
     )
     daemon.replicator.replica.trusted_keys = daemon.settings.trusted_keys
     logs.configure(
@@ -49,6 +49,6 @@
         deployment=daemon.settings.deployment,
         daemon=daemon.settings.daemon,
     )
-    log.info("daemon: settings reloaded.", taken=taken)
-    if refused:
-        log.warning("daemon: some settings need a restart.", fields=refused)
+    log.info("daemon: settings reloaded.", taken=applied)
+    if not_applied:
+        log.warning("daemon: some settings need a restart.", fields=not_applied)
--- a/banyantiller/daemon/run.py
+++ b/banyantiller/daemon/run.py
@@ -1,4 +1,4 @@
-"""Command line of the daemon: one settings file, then run until told to end."""
+"""Command line of the daemon, which takes the path of a settings file."""
 
 import argparse
 import asyncio
@@ -22,11 +22,11 @@
     """Runs a daemon until SIGTERM or SIGINT.
 
     Args:
-        argv: Arguments after the program's name.
+        argv: Command-line arguments without the program name.
 
     Returns:
-        0 after a graceful end, 1 when calls were cut at the drain limit, or
-        the exit code of the error that kept the daemon from starting.
+        0 after a graceful shutdown, 1 if calls were cut at the drain limit, or
+        the exit code of the error that prevented the start.
     """
     options = _parser().parse_args(argv)
     try:
--- a/banyantiller/daemon/suspect_requests.py
+++ b/banyantiller/daemon/suspect_requests.py
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from banyantiller.daemon import assembly
 
-EXPIRE_S = 1.0
+EXPIRY_PERIOD_S = 1.0
 
 
 def start(daemon: "assembly.Daemon") -> None:
-    """Connects the data path's part with the other daemons."""
+    """Connects the crash detector of the data path with the peers."""
     detector = daemon.proxy.crash_detector
     peers = daemon.peers
 
@@ -44,7 +44,7 @@
 
     async def expire_records() -> None:
         while True:
-            await asyncio.sleep(EXPIRE_S)
+            await asyncio.sleep(EXPIRY_PERIOD_S)
             detector.expire()
 
     daemon.kernel.subscribe(events.RequestsSuspected, on_suspected)
--- a/banyantiller/tests/daemon/test_crashing_servers.py
+++ b/banyantiller/tests/daemon/test_crashing_servers.py
@@ -1,10 +1,9 @@
-"""Tests of whole daemons whose servers end under a request.
+"""Tests of daemons whose servers crash while they run a request.
 
-Callers saw their requests fail on servers that crashed, over and over: one
-request crashed each server that began to run it, and came again at any daemon.
-As in the gateway, what a request had done to servers was kept nowhere and told
-nobody: here 22 servers crashed in 12 s, under a request that each daemon logged
-as another one each time.
+One request crashes each server that begins to run it and is repeated at any
+daemon, so that other callers' requests on these servers fail too. Unless
+daemons record the crashes and report them to their peers, each daemon treats
+every repetition as a new request: 22 servers crashed in 12 s.
 """
 
 import asyncio
@@ -33,11 +32,11 @@
 )
 CRASHING = "/orders/crashing"
 CRASH_DELAY_S = 0.05
-# A server that crashed is back at its address after so long.
+# A crashed server restarts at its address after this time.
 RESTART_DELAY_S = 3.0
 DAEMONS = 4
-# It is known to all within this time of the third server that crashed under it,
-# and reaches servers so often after that at most.
+# All daemons quarantine the request within this time of the third crash; later
+# it reaches servers at most MAX_LATER_ARRIVALS times.
 PROPAGATION_S = 3.0
 MAX_LATER_ARRIVALS = 3
 SEND_INTERVAL_S = 0.12
@@ -45,12 +44,12 @@
 
 
 class Fleet(whole.Fleet):
-    """Daemons, and servers that a request ends.
+    """Daemons, and servers that a request crashes.
 
     Attributes:
-        by_port: Servers that run, by port.
+        by_port: Running servers by port.
         crashes: Loop times at which servers crashed.
-        arrivals: Loop times at which the request reached servers.
+        arrivals: Loop times at which the crashing request reached servers.
         crash_enabled: Whether the request crashes servers.
     """
 
@@ -74,7 +73,7 @@
         await asyncio.sleep(whole.SETTLED_S)
 
     async def start_server(self, port):
-        """Starts a server."""
+        """Starts a server that the crashing request can crash."""
 
         async def answer(request):
             if request.target.startswith(CRASHING) and self.crash_enabled:
@@ -88,7 +87,7 @@
         await self.by_port[port].start("127.0.0.1", port)
 
     async def crash_server(self, port):
-        """Ends a server at once; another start takes its place."""
+        """Stops a server at once and restarts it after a delay."""
         crashed = self.by_port.pop(port, None)
         if crashed is None:
             return
@@ -98,7 +97,7 @@
         await self.start_server(port)
 
     def start_task(self, coroutine):
-        """Lets work go on by itself."""
+        """Runs a coroutine in the background until the fleet stops."""
         task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -115,7 +114,7 @@
             await backend.close()
 
     async def send(self, number, *arguments, headers=()):
-        """Sends a request to a daemon; None if it gets no answer."""
+        """Sends a request to a daemon; the status is 0 without a response."""
         user = client.HttpClient("127.0.0.1", 8001 + number)
         try:
             method, target, *rest = arguments
@@ -128,7 +127,7 @@
         return messages.Response(0)
 
     async def repeat(self, *arguments, for_s=SEND_DURATION_S):
-        """Sends a request again and again, to one daemon after the other."""
+        """Sends a request repeatedly, to the daemons in turn."""
         loop = asyncio.get_running_loop()
         until = loop.time() + for_s
         answers = []
@@ -141,7 +140,7 @@
 
 class CrashingServersTest(base.TestCase):
     def run_with_fleet(self, body):
-        """Runs `body(fleet)` in a fleet of its own."""
+        """Runs `body(fleet)` with a new fleet."""
 
         async def run_body():
             fleet = Fleet()
@@ -154,7 +153,7 @@
         self.run_paused(run_body())
 
     def check_later_arrivals(self, fleet):
-        """Checks what reached servers once all daemons have to know."""
+        """Checks arrivals at servers after all daemons must have learned."""
         since = fleet.crashes[2] + PROPAGATION_S
         later = [at for at in fleet.arrivals if at >= since]
         self.assertLessEqual(len(later), MAX_LATER_ARRIVALS)
@@ -182,7 +181,7 @@
         self.run_with_fleet(body)
 
     def test_crashing_request_with_idempotency_keys(self):
-        """Each comes under a key of its own, and none is granted for good."""
+        """Each request has a different key, and no claim is permanent."""
 
         async def body(fleet):
             for number in range(40):
@@ -230,7 +229,7 @@
         self.run_with_fleet(body)
 
     def test_frequent_request_during_simultaneous_crashes(self):
-        """It merely ran there, and is answered elsewhere."""
+        """The request ran on the crashed servers by chance only."""
 
         async def body(fleet):
             fleet.crash_enabled = False
@@ -248,11 +247,11 @@
         self.run_with_fleet(body)
 
     def test_request_is_retried_past_a_server_that_is_down(self):
-        """Not a byte was sent to that one, so it counts for nothing."""
+        """No byte was sent to that server, so it does not count as a crash."""
 
         async def body(fleet):
             fleet.crash_enabled = False
-            # Second tries have to be earned.
+            # Completed calls fill the retry budget.
             for number in range(400):
                 await fleet.send(number % DAEMONS, "GET", "/orders/0")
             fleet.service_s = 0.2
@@ -261,7 +260,7 @@
                 for n in range(8)
             ]
             await asyncio.sleep(0.1)
-            # Two go down; what ran there meets the other on its way.
+            # Two servers crash; a request from one may be retried at the other.
             for port in list(fleet.by_port)[:2]:
                 fleet.start_task(fleet.crash_server(port))
             answers = await asyncio.gather(*sent)
--- a/banyantiller/tests/daemon/test_cut_calls.py
+++ b/banyantiller/tests/daemon/test_cut_calls.py
@@ -1,4 +1,4 @@
-"""Tests of what a drain that reaches its limit tells the evidence."""
+"""Tests of the breaches recorded when a drain reaches its limit."""
 
 import asyncio
 import types
@@ -17,7 +17,7 @@
 
 class CutCallsTest(base.TestCase):
     def report_breaches(self, answer: bytes) -> list[tuple[str, str]]:
-        """Returns the breaches while an answer is due to a silent caller."""
+        """Returns the breaches reported for a caller that does not read."""
 
         async def script(connection: fakes.FakeConnection) -> None:
             await connection.head()
@@ -48,14 +48,14 @@
 
         return self.run_paused(body())
 
-    def test_call_without_an_answer(self) -> None:
+    def test_call_without_a_response(self) -> None:
         self.assertEqual([(CUT, "r1")], self.report_breaches(b""))
 
-    def test_answer_that_had_begun(self) -> None:
+    def test_response_that_had_begun(self) -> None:
         breaches = self.report_breaches(HEAD % 2 + b"o")
         self.assertEqual([(CUT, "r1"), (TRUNCATED, "r1")], breaches)
 
-    def test_whole_answer_that_the_caller_has_not_taken(self) -> None:
+    def test_complete_response_that_the_caller_has_not_read(self) -> None:
         size = 96 * 1024
         breaches = self.report_breaches(HEAD % size + bytes(size))
         self.assertEqual([(CUT, ""), (TRUNCATED, "")], breaches)
--- a/banyantiller/tests/daemon/test_evidence.py
+++ b/banyantiller/tests/daemon/test_evidence.py
@@ -1,4 +1,4 @@
-"""Tests of what whole daemons write as evidence, as `held` judges it."""
+"""Tests of evidence written by daemons, as the `held` command judges it."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 async def judge(fleet: whole_path.Fleet) -> dict[Promise, Verdict]:
-    """Judges the whole life of the daemons, after their end."""
+    """Judges the whole run of the daemons after they have stopped."""
     now = whole_path.WALL + asyncio.get_running_loop().time()
     store = memory.MemoryStore(fleet.table)
     settled = await assessment.settled(
--- a/banyantiller/tests/daemon/test_keys_over_bundles.py
+++ b/banyantiller/tests/daemon/test_keys_over_bundles.py
@@ -1,4 +1,4 @@
-"""Tests of idempotency keys that are repeated under another bundle."""
+"""Tests of idempotency keys that are repeated under a different bundle."""
 
 import asyncio
 
@@ -21,12 +21,12 @@
     def test_key_is_repeated_after_its_path_moved_to_another_service(
         self,
     ) -> None:
-        """Version 2 gives the path of deposits a service of its own.
+        """Version 2 moves the path of deposits to a separate service.
 
         A caller repeats a deposit with the same key, method, path and body
-        under version 2. While keys were claimed by service name, the claim
-        of the new service knew nothing of the first run: both sendings were
-        answered 200, and the deposit ran twice.
+        under version 2. If keys were claimed by service name, the new service
+        would not find the claim of the first run: both requests would get 200,
+        and the deposit would run twice.
         """
 
         async def scenario() -> None:
@@ -47,7 +47,7 @@
         self.run_paused(scenario())
 
     def test_key_is_sent_to_daemons_with_different_bundles(self) -> None:
-        """The second daemon runs version 2 while the first is still on 1."""
+        """The second daemon applies version 2 while the first has version 1."""
 
         async def scenario() -> None:
             fleet = whole.Fleet()
--- a/banyantiller/tests/daemon/test_outdated_bundle.py
+++ b/banyantiller/tests/daemon/test_outdated_bundle.py
@@ -1,4 +1,4 @@
-"""Tests of refusals while a daemon knows that its bundle may be outdated."""
+"""Tests of rejections by a daemon whose bundle may be outdated."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 async def roll(fleet: whole.Fleet, text: str) -> None:
-    """Proposes, signs and rolls a bundle with the operators' own store."""
+    """Proposes, signs and rolls a bundle through a store without faults."""
     store = memory.MemoryStore(fleet.table)
     await samples.roll(store, await samples.prepare(store, text))
 
@@ -32,12 +32,13 @@
 async def start_with_outdated_bundle(
     fleet: whole.Fleet, *texts: str
 ) -> Callable[[], None]:
-    """Starts two daemons; the second only hears of the last bundle's number.
+    """Starts two daemons; the second learns only the last bundle's version.
 
-    Its object API is down, and the first does not get to send it the bundle.
+    Its object API is down, and the first daemon does not answer its requests
+    for the bundle.
 
     Returns:
-        A function after which the first daemon sends it.
+        A function that lets the first daemon send the bundle.
     """
     await fleet.start(2)
     for text in texts[:-1]:
@@ -60,9 +61,9 @@
         """A peer's heartbeat names version 2, which has not arrived yet.
 
         `/maps` exists in version 2 only. The daemon knows that version 1 is
-        outdated, so it can't tell that a route does not exist. It said
-        `404 unknown_service` with `"retry": false`, and the caller gave up
-        on a route that the daemon served once the bundle had arrived.
+        outdated, so it cannot know that a route does not exist. With
+        `404 unknown_service` and `"retry": false` the caller would give up on
+        a route that the daemon serves once the bundle has arrived.
         """
 
         async def scenario() -> None:
@@ -89,11 +90,11 @@
         self.run_paused(scenario())
 
     def test_missing_key_that_a_newer_bundle_may_not_require(self) -> None:
-        """Version 2 asks for a key on each deposit, version 3 no more.
+        """Version 2 requires a key for each deposit, version 3 does not.
 
-        The daemon knows that version 3 is accepted but has not got it. It
-        said `400 key_missing` with `"retry": false` for a request that is
-        valid under the accepted bundle.
+        The daemon knows that version 3 is accepted but has not received it. It
+        must not answer `400 key_missing` with `"retry": false` to a request
+        that is valid under the accepted bundle.
         """
 
         async def scenario() -> None:
@@ -117,12 +118,12 @@
 
 class StoreOutageTest(base.TestCase):
     def test_all_daemons_lose_the_object_api(self) -> None:
-        """Two daemons hear each other but not the object API, for 30 s.
+        """Two daemons reach each other but not the object API for 30 s.
 
         Version 2 with `/maps` is accepted meanwhile. Neither daemon can have
-        heard of it, and both know that nobody told them for longer than
-        `isolated_after_s`. Both said `404 unknown_service` with
-        `"retry": false`; a caller that comes back may reach a daemon that
+        learned of it, and both know that they had no update for longer than
+        `isolated_after_s`. They must not answer `404 unknown_service` with
+        `"retry": false`, since a caller that retries may reach a daemon that
         has the bundle.
         """
 
@@ -155,11 +156,11 @@
         self.run_paused(scenario())
 
     def test_isolated_daemon_that_keeps_serving(self) -> None:
-        """A daemon alone tells `"isolated": true` on its status page.
+        """A daemon without peers shows `"isolated": true` on its status page.
 
-        Told to go on, it serves what it knows. That a route does not exist
-        is nothing that it knows: it said `404 unknown_service` with
-        `"retry": false`.
+        Configured to keep serving, it serves the routes of its bundle. It
+        cannot know that other routes do not exist, so it must not answer
+        `404 unknown_service` with `"retry": false`.
         """
 
         async def scenario() -> None:
@@ -180,10 +181,11 @@
     def test_daemon_that_starts_with_an_outdated_peer(self) -> None:
         """A daemon starts while the object API does not answer.
 
-        It takes version 1 from the only peer, which is cut off from the
-        object API too; version 2 with `/maps` is accepted. The new daemon
-        never had an answer that says which version is accepted, and yet said
-        `404 unknown_service` with `"retry": false` 5 s after its start.
+        It receives version 1 from the only peer, which cannot reach the object
+        API either; version 2 with `/maps` is accepted. The new daemon never
+        learned which version is accepted, so it must not answer
+        `404 unknown_service` with `"retry": false`, not even 5 s after its
+        start.
         """
 
         async def scenario() -> None:
--- a/banyantiller/tests/daemon/test_peer_hints.py
+++ b/banyantiller/tests/daemon/test_peer_hints.py
@@ -1,4 +1,4 @@
-"""Tests that the VM list leads daemons to each other."""
+"""Tests of peer discovery through the VM list."""
 
 import types
 
--- a/banyantiller/tests/daemon/test_reload.py
+++ b/banyantiller/tests/daemon/test_reload.py
@@ -1,4 +1,4 @@
-"""Tests of what a running daemon takes from a changed settings file."""
+"""Tests of the reload of a changed settings file."""
 
 import asyncio
 
--- a/banyantiller/tests/daemon/test_whole_path.py
+++ b/banyantiller/tests/daemon/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Tests of whole daemons over in-memory sockets and one object table."""
+"""End-to-end tests of daemons over in-memory sockets and an object table."""
 
 import asyncio
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def settings(number: int, **changes: Any) -> defaults.Settings:
-    """Returns settings of the daemon with a number."""
+    """Returns the settings of the daemon with this number."""
     local = "127.0.0.1"
     made = defaults.Settings(
         deployment=samples.DEPLOYMENT,
@@ -70,7 +70,7 @@
     async def add(
         self, chosen: defaults.Settings, faults: memory.Faults | None = None
     ) -> assembly.Daemon:
-        """Starts one daemon; its store has the given faults from the start."""
+        """Starts one daemon whose store has the given faults from the start."""
         registry = plugins.Registry()
         store = memory.MemoryStore(self.table, faults)
         registry.add("object_api", "kubernetes", lambda *_: store)
@@ -86,13 +86,13 @@
         return daemon
 
     async def answer(self, request: messages.Request) -> messages.Response:
-        """Answers as a backend server; counts runs by body."""
+        """Responds as a backend server and records the body of each run."""
         self.runs.append(request.body.decode())
         await asyncio.sleep(self.service_s)
         return messages.Response(200, (), b"done " + request.body)
 
     async def stop(self) -> list[int]:
-        """Stops all daemons and servers; returns calls cut by each."""
+        """Stops all daemons and servers; returns the calls cut by each."""
         cut = [await daemon.stop() for daemon in self.daemons]
         for backend in self.servers:
             await backend.close()
@@ -107,7 +107,7 @@
     key: str = "",
     headers: messages.Headers = (),
 ) -> messages.Response:
-    """Sends one request on a connection of its own."""
+    """Sends one request on a separate connection."""
     if key:
         headers = (*headers, ("idempotency-key", key))
     http = client.HttpClient("127.0.0.1", port)
@@ -248,11 +248,11 @@
         self.run_paused(scenario())
 
     def test_daemon_whose_data_path_has_no_bundle_is_not_ready(self) -> None:
-        """The replica holds version 1; the data path could not take it.
+        """The replica holds version 1, but the data path rejected it.
 
-        Every call gets 503 with `no_bundle`, yet `/readyz` said
-        `Readiness(ready=True)`, so the platform's balancer went on sending
-        callers here for as long as the process ran.
+        Every call gets 503 with `no_bundle`. If `/readyz` reported the daemon
+        as ready, the platform's balancer would send callers to it for as long
+        as the process runs.
         """
 
         async def scenario() -> None:
@@ -282,11 +282,11 @@
         self.run_paused(scenario())
 
     def test_probes_continue_under_the_bundle_that_stays_in_force(self) -> None:
-        """Version 2 drops a service, and the data path can't take it.
+        """Version 2 removes a service, but the data path rejects it.
 
-        The service is served on under version 1, so its servers are probed
-        on. The budget had forgotten it: `ledgers` held `desk` only, and no
-        probe of an ejected server of `archive` was allowed any more.
+        The service is still served under version 1, so its servers are still
+        probed. If the budget applied version 2, `ledgers` would contain `desk`
+        only, and no probe of an ejected server of `archive` would be allowed.
         """
 
         async def scenario() -> None:
