--- a/banyantiller/telemetry/events.py
+++ b/banyantiller/telemetry/events.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-class Declared(NamedTuple):
+class EventDeclaration(NamedTuple):
     """How an event is logged.
 
     Attributes:
@@ -24,7 +24,7 @@
 
 
 # Filled by `event` as modules that declare events are imported.
-DECLARED: dict[type, Declared] = {}
+DECLARATIONS: dict[type, EventDeclaration] = {}
 
 
 def event(text: str, level: str = "info") -> Callable[[type[T]], type[T]]:
@@ -33,57 +33,57 @@
     Raises:
         ValueError: Another event has this text.
     """
-    if any(known.text == text for known in DECLARED.values()):
+    if any(known.text == text for known in DECLARATIONS.values()):
         raise ValueError(f"There is an event '{text}' already")
 
-    def declare(kind: type[T]) -> type[T]:
-        DECLARED[kind] = Declared(text, level)
-        return kind
+    def declare(event_type: type[T]) -> type[T]:
+        DECLARATIONS[event_type] = EventDeclaration(text, level)
+        return event_type
 
     return declare
 
 
-def emit(log: Any, occurred: Any, **more: Any) -> None:
+def emit(log: Any, occurrence: Any, **logger_arguments: Any) -> None:
     """Writes the line of an event.
 
     Args:
         log: A `structlog` logger.
-        occurred: The event, of a declared type.
-        **more: What the logger takes besides, such as `exc_info`.
+        occurrence: The event, of a declared type.
+        **logger_arguments: What the logger takes besides, such as `exc_info`.
     """
-    text, level = DECLARED[type(occurred)]
-    getattr(log, level)(text, **occurred._asdict(), **more)
+    text, level = DECLARATIONS[type(occurrence)]
+    getattr(log, level)(text, **occurrence._asdict(), **logger_arguments)
 
 
-def text_of(kind: type) -> str:
+def text_of(event_type: type) -> str:
     """Returns the text that lines of an event have."""
-    return DECLARED[kind].text
+    return DECLARATIONS[event_type].text
 
 
 def render(title: str, text: str, modules: tuple[str, ...]) -> str:
     """Renders the events of modules in Markdown, in declared order."""
     lines = [f"# {title}", "", text.rstrip(), ""]
-    for kind, declared in DECLARED.items():
-        if kind.__module__ in modules:
-            lines += _section(kind, declared)
+    for event_type, declared in DECLARATIONS.items():
+        if event_type.__module__ in modules:
+            lines += _section(event_type, declared)
     return "\n".join(lines).rstrip() + "\n"
 
 
-def _section(kind: type, declared: Declared) -> Iterator[str]:
+def _section(event_type: type, declared: EventDeclaration) -> Iterator[str]:
     yield f"## {declared.text}"
     yield ""
-    meaning = " ".join((kind.__doc__ or "").split())
-    yield f"{meaning} Level: {declared.level}."
+    description = " ".join((event_type.__doc__ or "").split())
+    yield f"{description} Level: {declared.level}."
     yield ""
-    hints = typing.get_type_hints(kind, include_extras=True)
+    hints = typing.get_type_hints(event_type, include_extras=True)
     if not hints:
         return
     yield "| field | type | meaning |"
     yield "|---|---|---|"
     for name, hint in hints.items():
-        inner, *notes = typing.get_args(hint)
-        shown = getattr(inner, "__name__", str(inner))
-        if typing.get_args(inner):
-            shown = str(inner).replace("|", "or")
-        yield f"| `{name}` | {shown} | {notes[0]} |"
+        value_type, *meanings = typing.get_args(hint)
+        type_name = getattr(value_type, "__name__", str(value_type))
+        if typing.get_args(value_type):
+            type_name = str(value_type).replace("|", "or")
+        yield f"| `{name}` | {type_name} | {meanings[0]} |"
     yield ""
--- a/banyantiller/telemetry/metrics.py
+++ b/banyantiller/telemetry/metrics.py
@@ -140,12 +140,12 @@
 
 def readings(tally: Tally, labels: tuple[str, ...]) -> list[Reading]:
     """Returns a reading for each key, which holds a value for each label."""
-    found = []
+    result = []
     for key, count in tally.items():
         values = key if isinstance(key, tuple) else (key,)
-        named = zip(labels, map(str, values), strict=True)
-        found.append(Reading(count, dict(named)))
-    return found
+        label_values = zip(labels, map(str, values), strict=True)
+        result.append(Reading(count, dict(label_values)))
+    return result
 
 
 def _quantiles(counts: tallies.CallTallies) -> list[Reading]:
--- a/banyantiller/telemetry/sink.py
+++ b/banyantiller/telemetry/sink.py
@@ -3,7 +3,7 @@
 import os
 
 # Lines that wait for a full output; a pipe holds 64 KB besides.
-MOST_WAITING_BYTES = 65536
+MAX_BUFFERED_BYTES = 65536
 
 
 class Sink:
@@ -13,25 +13,25 @@
     that it takes is preceded by one that tells how many were lost.
 
     Attributes:
-        number: File descriptor of the output.
-        waiting: Rest of lines that were written in part.
+        descriptor: File descriptor of the output.
+        buffered: Rest of lines that were written in part.
         dropped: Lines lost since the output last took one.
         lost: Lines lost in all.
     """
 
-    def __init__(self, number: int) -> None:
-        self.number = number
-        self.waiting = b""
+    def __init__(self, descriptor: int) -> None:
+        self.descriptor = descriptor
+        self.buffered = b""
         self.dropped = 0
         self.lost = 0
-        if not os.isatty(number):
-            os.set_blocking(number, False)
+        if not os.isatty(descriptor):
+            os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
         """Writes a line; returns its length in characters."""
         line = text.encode("utf-8", "backslashreplace")
-        if self._send(b"") and len(self.waiting) <= MOST_WAITING_BYTES:
-            self._send(self._notice() + line)
+        if self._try_write(b"") and len(self.buffered) <= MAX_BUFFERED_BYTES:
+            self._try_write(self._loss_notice() + line)
         else:
             self.dropped += 1
             self.lost += 1
@@ -39,10 +39,10 @@
 
     def flush(self) -> None:
         """Tries once more to write what waits."""
-        if self.waiting:
-            self._send(b"")
+        if self.buffered:
+            self._try_write(b"")
 
-    def _notice(self) -> bytes:
+    def _loss_notice(self) -> bytes:
         if not self.dropped:
             return b""
         count = self.dropped
@@ -51,15 +51,15 @@
             b'{"event": "telemetry: lines were lost.", "lines": %d}\n' % count
         )
 
-    def _send(self, data: bytes) -> bool:
+    def _try_write(self, data: bytes) -> bool:
         """Writes what waits and then data; False if the output is stuck."""
-        data = self.waiting + data
-        self.waiting = b""
+        data = self.buffered + data
+        self.buffered = b""
         while data:
             try:
-                written = os.write(self.number, data)
+                written = os.write(self.descriptor, data)
             except BlockingIOError:
-                self.waiting = data
+                self.buffered = data
                 return False
             except OSError:
                 # Nobody reads any more, and nothing can be said of it.
--- a/banyantiller/telemetry/tallies.py
+++ b/banyantiller/telemetry/tallies.py
@@ -11,9 +11,9 @@
 
 from banyantiller.kernel import events
 
-LEAST_US = 1
-MOST_US = 600_000_000
-DIGITS = 2
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 2
 
 
 class CallTallies:
@@ -46,13 +46,15 @@
             self.errors[service, event.error.value] += 1
         if event.cut:
             self.cut[service] += 1
-        self._latency(service).record_value(
-            max(LEAST_US, int(event.duration_s * 1e6))
+        self._latency_histogram(service).record_value(
+            max(MIN_LATENCY_US, int(event.duration_s * 1e6))
         )
 
-    def _latency(self, service: str) -> histogram.HdrHistogram:
-        found = self.latency_us.get(service)
-        if found is None:
-            found = histogram.HdrHistogram(LEAST_US, MOST_US, DIGITS)
-            self.latency_us[service] = found
-        return found
+    def _latency_histogram(self, service: str) -> histogram.HdrHistogram:
+        service_histogram = self.latency_us.get(service)
+        if service_histogram is None:
+            service_histogram = histogram.HdrHistogram(
+                MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+            )
+            self.latency_us[service] = service_histogram
+        return service_histogram
--- a/banyantiller/tests/gateway/test_events.py
+++ b/banyantiller/tests/gateway/test_events.py
@@ -17,7 +17,7 @@
 
 DECLARED = {
     kind: declared
-    for kind, declared in log_events.DECLARED.items()
+    for kind, declared in log_events.DECLARATIONS.items()
     if kind.__module__ in (events.__name__, call_events.__name__)
 }
 SCENARIOS = []
--- a/banyantiller/tests/telemetry/test_metrics.py
+++ b/banyantiller/tests/telemetry/test_metrics.py
@@ -14,7 +14,7 @@
 from banyantiller.tests.evidence import samples
 
 
-def finished(**changes: Any) -> events.CallFinished:
+def finished_call(**changes: Any) -> events.CallFinished:
     return samples.call(**{"service": "orders", "duration_s": 0.002, **changes})
 
 
@@ -24,10 +24,10 @@
         instruments = metrics.Metrics()
         self.addCleanup(instruments.close)
         metrics.add_calls(instruments, counts)
-        counts.record(finished())
-        full = ErrorKind.QUEUE_FULL
-        counts.record(finished(status=503, error=full, attempts=0))
-        counts.record(finished(service="stock", attempts=2, cut=True))
+        counts.record(finished_call())
+        queue_full = ErrorKind.QUEUE_FULL
+        counts.record(finished_call(status=503, error=queue_full, attempts=0))
+        counts.record(finished_call(service="stock", attempts=2, cut=True))
         lines = instruments.exposition().decode().splitlines()
         expected = (
             'banyantiller_calls_total{service="orders",status="200"} 1.0',
@@ -57,7 +57,7 @@
             lambda: self.state, lambda: {"bundle": 4}, instruments
         )
 
-    def test_health_and_readiness_are_apart(self) -> None:
+    def test_health_is_independent_of_readiness(self) -> None:
         self.assertEqual(200, self.admin.answer("GET", "/healthz").status)
         page = self.admin.answer("GET", "/readyz")
         self.assertEqual(503, page.status)
@@ -65,14 +65,14 @@
         self.state = admin.Readiness(True)
         self.assertEqual(200, self.admin.answer("GET", "/readyz").status)
 
-    def test_status_is_json_and_unknown_paths_name_the_known(self) -> None:
+    def test_status_is_json_and_unknown_paths_list_the_known_ones(self) -> None:
         page = self.admin.answer("GET", "/status?verbose")
         self.assertEqual({"bundle": 4}, json.loads(page.body))
         page = self.admin.answer("GET", "/other")
         self.assertEqual(404, page.status)
         self.assertIn(b"/metrics", page.body)
 
-    def test_only_reading_methods_are_answered(self) -> None:
+    def test_methods_other_than_get_and_head_are_rejected(self) -> None:
         self.assertEqual(405, self.admin.answer("POST", "/status").status)
 
 
