--- a/banyantiller/telemetry/admin.py
+++ b/banyantiller/telemetry/admin.py
@@ -1,4 +1,4 @@
-"""Answers of the admin listener: health, readiness, metrics and status."""
+"""Pages of the admin listener: health, readiness, metrics and status."""
 
 import json
 from collections.abc import Callable
@@ -14,8 +14,8 @@
     """Whether callers should be sent to this daemon.
 
     Attributes:
-        ready: Whether they should.
-        reason: Why not, or empty.
+        ready: Whether the daemon is ready for callers.
+        reason: Why it is not ready, or empty.
     """
 
     ready: bool
@@ -23,12 +23,12 @@
 
 
 class Page(NamedTuple):
-    """One answer of the admin listener.
+    """One response of the admin listener.
 
     Attributes:
         status: HTTP status code.
         content_type: Media type of the body.
-        body: The body.
+        body: Content of the page.
     """
 
     status: int
@@ -37,11 +37,12 @@
 
 
 class Admin:
-    """Answers requests of the admin listener.
+    """Renders the pages of the admin listener.
 
     Attributes:
-        readiness: Tells whether the daemon is ready.
+        readiness: Returns whether the daemon is ready.
         status: Returns the daemon's state as JSON-compatible values.
+        instruments: Provides the text of the metrics page.
     """
 
     def __init__(
--- a/banyantiller/telemetry/events.py
+++ b/banyantiller/telemetry/events.py
@@ -1,7 +1,8 @@
-"""Events of the log, each declared once as a type with its text and fields.
+"""Log events, each declared once as a type with its text and fields.
 
-A field is annotated with its meaning. The line of an event has its text under
-`event` and its fields beside it; the reference page is made from the types.
+Each field is annotated with its meaning. A log line has the text of its event
+under `event`, next to the fields. The reference page is rendered from the
+types.
 """
 
 import typing
@@ -12,29 +13,29 @@
 
 
 class EventDeclaration(NamedTuple):
-    """How an event is logged.
+    """Text and level of a log event.
 
     Attributes:
-        text: Its sentence, which begins with the prefix of its part.
-        level: Name of the level of its lines.
+        text: Sentence that begins with the prefix of the component.
+        level: Name of the log level.
     """
 
     text: str
     level: str
 
 
-# Filled by `event` as modules that declare events are imported.
+# Filled by `event` when modules that declare events are imported.
 DECLARATIONS: dict[type, EventDeclaration] = {}
 
 
 def event(text: str, level: str = "info") -> Callable[[type[T]], type[T]]:
-    """Declares a `NamedTuple` as an event of the log.
+    """Returns a class decorator that declares a `NamedTuple` as a log event.
 
     Raises:
         ValueError: Another event has this text.
     """
     if any(known.text == text for known in DECLARATIONS.values()):
-        raise ValueError(f"There is an event '{text}' already")
+        raise ValueError(f"Log event '{text}' is already declared")
 
     def declare(event_type: type[T]) -> type[T]:
         DECLARATIONS[event_type] = EventDeclaration(text, level)
@@ -44,24 +45,24 @@
 
 
 def emit(log: Any, occurrence: Any, **logger_arguments: Any) -> None:
-    """Writes the line of an event.
+    """Writes the log line of an event.
 
     Args:
         log: A `structlog` logger.
         occurrence: The event, of a declared type.
-        **logger_arguments: What the logger takes besides, such as `exc_info`.
+        **logger_arguments: Further logger arguments, such as `exc_info`.
     """
     text, level = DECLARATIONS[type(occurrence)]
     getattr(log, level)(text, **occurrence._asdict(), **logger_arguments)
 
 
 def text_of(event_type: type) -> str:
-    """Returns the text that lines of an event have."""
+    """Returns the text of the log lines of an event type."""
     return DECLARATIONS[event_type].text
 
 
 def render(title: str, text: str, modules: tuple[str, ...]) -> str:
-    """Renders the events of modules in Markdown, in declared order."""
+    """Renders the events of modules in Markdown, in order of declaration."""
     lines = [f"# {title}", "", text.rstrip(), ""]
     for event_type, declared in DECLARATIONS.items():
         if event_type.__module__ in modules:
--- a/banyantiller/telemetry/logs.py
+++ b/banyantiller/telemetry/logs.py
@@ -22,8 +22,8 @@
     """Sets up `structlog` for the whole process.
 
     Args:
-        settings: Level and form of a line.
-        stream: Where lines go; standard error by default.
+        settings: Level and format of the lines.
+        stream: Output stream; standard error by default.
         **bound: Fields added to each line, such as the daemon's name.
     """
     out = stream or sys.stderr
--- a/banyantiller/telemetry/metrics.py
+++ b/banyantiller/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry metrics, read from the parts when they are asked for."""
+"""OpenTelemetry metrics, whose values are read when they are requested."""
 
 import collections
 import functools
@@ -20,8 +20,8 @@
     """One value of an instrument.
 
     Attributes:
-        value: The number.
-        labels: Labels of the value.
+        value: Value at the time of reading.
+        labels: Label values by label name.
     """
 
     value: float
@@ -33,7 +33,7 @@
 
 
 class Metrics:
-    """The instruments of one daemon and their text exposition."""
+    """The instruments of one daemon and their text exposition format."""
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
@@ -46,33 +46,33 @@
         self.meter = self.provider.get_meter("banyantiller")
 
     def counter(self, name: str, unit: str, doc: str, read: Reader) -> None:
-        """Adds a counter whose values `read` returns."""
+        """Adds a counter that gets its values from `read`."""
         self.meter.create_observable_counter(
             name, callbacks=[_callback(read)], unit=unit, description=doc
         )
 
     def gauge(self, name: str, unit: str, doc: str, read: Reader) -> None:
-        """Adds a gauge whose values `read` returns."""
+        """Adds a gauge that gets its values from `read`."""
         self.meter.create_observable_gauge(
             name, callbacks=[_callback(read)], unit=unit, description=doc
         )
 
     def exposition(self) -> bytes:
-        """Returns all values as text, one a line."""
+        """Returns all values in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
     def close(self) -> None:
-        """Ends the provider."""
+        """Shuts the meter provider down."""
         self.provider.shutdown()
 
 
 def add_in_flight(
     metrics: Metrics, read: Callable[[], dict[str, dict[str, float]]]
 ) -> None:
-    """Adds the calls in flight by service and server.
+    """Adds the gauge of calls in flight by service and server.
 
     Args:
-        metrics: Where the instrument is added.
+        metrics: Metrics to which the gauge is added.
         read: Returns calls in flight by service and server.
     """
     metrics.gauge(
@@ -88,7 +88,7 @@
 
 
 def add_quarantine(metrics: Metrics, count: Callable[[], int]) -> None:
-    """Adds how many requests are refused since servers ended under them."""
+    """Adds the gauge of requests in quarantine because they crash servers."""
     metrics.gauge(
         "banyantiller_quarantined_requests",
         "",
@@ -98,7 +98,7 @@
 
 
 def add_calls(metrics: Metrics, counts: tallies.CallTallies) -> None:
-    """Adds the instruments of the data path."""
+    """Adds the counters and latency quantiles of calls."""
 
     def add(name: str, doc: str, tally: Tally, *labels: str) -> None:
         read = functools.partial(readings, tally, labels)
@@ -139,7 +139,12 @@
 
 
 def readings(tally: Tally, labels: tuple[str, ...]) -> list[Reading]:
-    """Returns a reading for each key, which holds a value for each label."""
+    """Returns a reading for each key of a tally.
+
+    Args:
+        tally: Counts by label value, or by tuple of label values.
+        labels: Label names in the order of the values.
+    """
     result = []
     for key, count in tally.items():
         values = key if isinstance(key, tuple) else (key,)
--- a/banyantiller/telemetry/sink.py
+++ b/banyantiller/telemetry/sink.py
@@ -1,22 +1,22 @@
-"""Where log lines go: an output that may be stuck, and must not stop us."""
+"""Output of log lines that never blocks the process when a pipe is full."""
 
 import os
 
-# Lines that wait for a full output; a pipe holds 64 KB besides.
+# Lines buffered while the output is blocked; a pipe buffers another 64 KB.
 MAX_BUFFERED_BYTES = 65536
 
 
 class Sink:
-    """Writes whole lines without ever waiting.
+    """Writes whole lines without blocking.
 
-    A line that the output does not take is dropped and counted; the next line
-    that it takes is preceded by one that tells how many were lost.
+    A line is dropped and counted while the output is blocked. The next line
+    written is preceded by a notice with the number of dropped lines.
 
     Attributes:
         descriptor: File descriptor of the output.
         buffered: Rest of lines that were written in part.
-        dropped: Lines lost since the output last took one.
-        lost: Lines lost in all.
+        dropped: Lines dropped since the last notice.
+        lost: Lines lost in total.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -28,7 +28,7 @@
             os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Writes a line; returns its length in characters."""
+        """Writes or drops a line; returns its length in characters."""
         line = text.encode("utf-8", "backslashreplace")
         if self._try_write(b"") and len(self.buffered) <= MAX_BUFFERED_BYTES:
             self._try_write(self._loss_notice() + line)
@@ -38,7 +38,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Tries once more to write what waits."""
+        """Retries writing the buffered bytes, without blocking."""
         if self.buffered:
             self._try_write(b"")
 
@@ -52,7 +52,11 @@
         )
 
     def _try_write(self, data: bytes) -> bool:
-        """Writes what waits and then data; False if the output is stuck."""
+        """Writes the buffered bytes and `data`.
+
+        Returns:
+            False if the output is blocked and the rest is buffered.
+        """
         data = self.buffered + data
         self.buffered = b""
         while data:
@@ -62,7 +66,7 @@
                 self.buffered = data
                 return False
             except OSError:
-                # Nobody reads any more, and nothing can be said of it.
+                # The output has no reader, so the loss cannot be logged.
                 self.lost += 1
                 return True
             data = data[written:]
--- a/banyantiller/telemetry/tallies.py
+++ b/banyantiller/telemetry/tallies.py
@@ -1,8 +1,8 @@
-"""Plain counters of calls, filled on the hot path and read by metrics.
+"""Counters of calls that are updated on the hot path and read by metrics.
 
-Recording through the metrics library costs about 28 microseconds a call
-for one counter and one histogram; a dictionary and an HDR histogram cost
-about 3. The library reads these tallies when metrics are asked for.
+Recording one counter and one histogram through the metrics library takes
+about 28 microseconds per call; a dictionary and an HDR histogram take about
+3. The library reads these tallies when metrics are requested.
 """
 
 import collections
@@ -22,10 +22,10 @@
     Attributes:
         calls: Calls by service and status code.
         errors: Failed calls by service and error kind.
-        cut: Relayed answers that ended early, by service.
-        attempts: Backend tries by service.
-        latency_us: Time from head to end of answer, by service, in
-            microseconds.
+        cut: Truncated responses by service.
+        attempts: Attempts at backend servers by service.
+        latency_us: Time from the head of the request to the end of the
+            response, by service, in microseconds.
     """
 
     def __init__(self) -> None:
--- a/banyantiller/tests/telemetry/test_sink.py
+++ b/banyantiller/tests/telemetry/test_sink.py
@@ -1,4 +1,4 @@
-"""Tests of log output that may be stuck."""
+"""Tests of log output that may be blocked."""
 
 import os
 
