--- a/banyantiller/gateway/pool.py
+++ b/banyantiller/gateway/pool.py
@@ -135,7 +135,7 @@
         if self.closed:
             self.discard(link)
             return
-        link.connection.rest()
+        link.connection.watch_idle()
         self.busy -= 1
         link.reused = True
         link.expires = self.loop.time() + link.idle_s
--- a/banyantiller/http/client.py
+++ b/banyantiller/http/client.py
@@ -87,9 +87,11 @@
                 return await self._exchange(request, exchange, fresh)
         except TimeoutError:
             self._drop_idle()
-            return exchange.failed(f"no whole answer within {timeout_s:g} s")
+            return exchange.failure_outcome(
+                f"no whole answer within {timeout_s:g} s"
+            )
         except IO_ERRORS as error:
-            return exchange.failed(str(error) or type(error).__name__)
+            return exchange.failure_outcome(str(error) or type(error).__name__)
         except connection.BodyTooLargeError as error:
             return outcomes.Lost(str(error), exchange.reused, too_large=True)
         finally:
@@ -123,9 +125,9 @@
                 response = await exchange.link.read_head()
             return Stream(response, exchange.release())
         except TimeoutError:
-            return exchange.failed(f"no answer within {timeout_s:g} s")
+            return exchange.failure_outcome(f"no answer within {timeout_s:g} s")
         except IO_ERRORS as error:
-            return exchange.failed(str(error) or type(error).__name__)
+            return exchange.failure_outcome(str(error) or type(error).__name__)
         finally:
             exchange.drop()
 
@@ -156,7 +158,7 @@
             self.server_name,
         )
         if self.limits.silence_s:
-            link.end_when_silent(self.limits.silence_s)
+            link.abort_when_unresponsive(self.limits.silence_s)
         return link
 
     async def _take_idle(self) -> connection.ClientConnection | None:
@@ -168,7 +170,7 @@
         oldest = asyncio.get_running_loop().time() - self.limits.proven_s
         while self.idle:
             link = self.idle.pop()
-            if (link.proven_at or 0.0) >= oldest and await link.resume():
+            if (link.last_response_at or 0.0) >= oldest and await link.resume():
                 return link
             link.close()
         return None
@@ -185,10 +187,12 @@
         body: bytes,
     ) -> messages.Request:
         host = f"[{self.address}]" if ":" in self.address else self.address
-        own = [("host", f"{host}:{self.port}")]
+        default_headers = [("host", f"{host}:{self.port}")]
         if body or method in ("POST", "PUT", "PATCH"):
-            own.append(("content-length", str(len(body))))
-        return messages.Request(method, target, (*own, *headers), body)
+            default_headers.append(("content-length", str(len(body))))
+        return messages.Request(
+            method, target, (*default_headers, *headers), body
+        )
 
 
 @dataclasses.dataclass(slots=True)
@@ -205,7 +209,7 @@
     sent: bool = False
     reused: bool = False
 
-    def failed(self, reason: str) -> outcomes.NotSent | outcomes.Lost:
+    def failure_outcome(self, reason: str) -> outcomes.NotSent | outcomes.Lost:
         """Returns the outcome of a failure at this point."""
         if self.sent:
             return outcomes.Lost(reason, self.reused)
--- a/banyantiller/http/connection.py
+++ b/banyantiller/http/connection.py
@@ -24,9 +24,9 @@
     """A connection that carries one exchange at a time.
 
     Attributes:
-        proven_at: Loop time of the end of the last whole answer, or None.
-        unasked: Waits, between exchanges, for bytes that nobody asked for.
-        stray: Whether an answer to another request was read.
+        last_response_at: Loop time of the end of the last response, or None.
+        idle_read: Waits, between exchanges, for bytes that nobody asked for.
+        has_unmatched_response: Whether an answer to another request was read.
     """
 
     def __init__(
@@ -41,9 +41,9 @@
         self.codec = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=head_bytes
         )
-        self.stray = False
-        self.proven_at: float | None = None
-        self.unasked: asyncio.Task[bytes] | None = None
+        self.has_unmatched_response = False
+        self.last_response_at: float | None = None
+        self.idle_read: asyncio.Task[bytes] | None = None
 
     @classmethod
     async def open(
@@ -65,7 +65,7 @@
         )
         return cls(reader, writer, head_bytes)
 
-    def end_when_silent(self, silence_s: int) -> None:
+    def abort_when_unresponsive(self, silence_s: int) -> None:
         """Has the system end the connection when the other side is gone.
 
         Args:
@@ -87,13 +87,13 @@
 
         Bytes that came without a request would be taken for its answer.
         """
-        if self.unasked is None or self.unasked.done():
+        if self.idle_read is None or self.idle_read.done():
             return False
-        self.unasked.cancel()
-        await asyncio.wait([self.unasked])
-        silent = self.unasked.cancelled()
-        self.unasked = None
-        return silent and not self.writer.is_closing()
+        self.idle_read.cancel()
+        await asyncio.wait([self.idle_read])
+        is_unused = self.idle_read.cancelled()
+        self.idle_read = None
+        return is_unused and not self.writer.is_closing()
 
     async def send(self, request: messages.Request) -> None:
         """Writes a whole request and waits until most of it is sent.
@@ -117,16 +117,16 @@
         Raises:
             ConnectionLostError: The other side has closed the connection.
         """
-        rest, ended = self.codec.trailing_data
-        if ended and not rest:
+        trailing_data, closed = self.codec.trailing_data
+        if closed and not trailing_data:
             raise ConnectionLostError("the connection was closed")
         self.codec = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=self.head_bytes
         )
         self._encode(request)
-        self.stray = True
-        if rest:
-            self.codec.receive_data(rest)
+        self.has_unmatched_response = True
+        if trailing_data:
+            self.codec.receive_data(trailing_data)
 
     async def read_head(self) -> messages.Response:
         """Reads the head of the final answer.
@@ -154,19 +154,19 @@
             if isinstance(event, h11.Data) and event.data:
                 return bytes(event.data)
 
-    async def read_body(self, most: int) -> bytes:
+    async def read_body(self, max_bytes: int) -> bytes:
         """Reads the rest of the answer's body.
 
         Raises:
             ConnectionLostError: The connection closed or sent no HTTP.
-            BodyTooLargeError: The body is longer than `most` bytes.
+            BodyTooLargeError: The body is longer than `max_bytes` bytes.
         """
         parts = []
         size = 0
         while chunk := await self.read_chunk():
             size += len(chunk)
-            if size > most:
-                raise BodyTooLargeError(f"a body is over {most} bytes")
+            if size > max_bytes:
+                raise BodyTooLargeError(f"a body is over {max_bytes} bytes")
             parts.append(chunk)
         return b"".join(parts)
 
@@ -174,16 +174,16 @@
         """Ends an exchange and rests; False if there can be no other."""
         if not self.ready_again():
             return False
-        self.rest()
+        self.watch_idle()
         return True
 
-    def rest(self) -> None:
+    def watch_idle(self) -> None:
         """Waits for bytes that nobody asked for; `resume` ends it."""
-        self.unasked = asyncio.ensure_future(self.reader.read(1))
+        self.idle_read = asyncio.ensure_future(self.reader.read(1))
 
     def ready_again(self) -> bool:
         """Ends an exchange; False if there can be no other."""
-        if self.stray or self.codec.trailing_data[0]:
+        if self.has_unmatched_response or self.codec.trailing_data[0]:
             return False
         if self.writer.transport.get_write_buffer_size():
             # The answer came before the request was read.
@@ -192,13 +192,13 @@
             self.codec.start_next_cycle()
         except h11.LocalProtocolError:
             return False
-        self.proven_at = asyncio.get_running_loop().time()
+        self.last_response_at = asyncio.get_running_loop().time()
         return True
 
     def close(self) -> None:
         """Closes at once."""
-        if self.unasked is not None:
-            self.unasked.cancel()
+        if self.idle_read is not None:
+            self.idle_read.cancel()
         self.writer.transport.abort()
 
     def _encode(self, request: messages.Request) -> list[bytes]:
--- a/banyantiller/http/server_connection.py
+++ b/banyantiller/http/server_connection.py
@@ -43,7 +43,7 @@
     """Serves one connection until either side closes it.
 
     Attributes:
-        early: Bytes that arrived while a request was being answered.
+        received_early: Bytes that arrived while a request was being answered.
         stopping: Whether the connection ends after its next answer.
         idle: Task that waits for the first byte of a request, or None.
     """
@@ -62,7 +62,7 @@
         self.codec = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.head_bytes
         )
-        self.early = b""
+        self.received_early = b""
         self.stopping = False
         self.idle: asyncio.Task[h11.Event | None] | None = None
 
@@ -115,15 +115,15 @@
 
     async def _wait_for_byte(self) -> bool:
         """Waits for the start of a request; False when there is none."""
-        if self.early or self.codec.trailing_data[0]:
+        if self.received_early or self.codec.trailing_data[0]:
             return True
         self.idle = asyncio.ensure_future(self.reader.read(messages.READ_BYTES))
         try:
             await asyncio.wait([self.idle], timeout=self.limits.idle_s)
             if not self.idle.done() or self.idle.cancelled():
                 return False
-            self.early = self.idle.result()
-            return bool(self.early)
+            self.received_early = self.idle.result()
+            return bool(self.received_early)
         finally:
             self.idle.cancel()
             self.idle = None
@@ -132,8 +132,10 @@
         parts = []
         size = 0
         if self.codec.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self.writer.write(self.codec.send(go_on))
+            continue_response = h11.InformationalResponse(
+                status_code=100, headers=[]
+            )
+            self.writer.write(self.codec.send(continue_response))
         while isinstance(event := await self._next_event(), h11.Data):
             size += len(event.data)
             if size > self.limits.body_bytes:
@@ -155,8 +157,10 @@
                     event, h11.ConnectionClosed
                 )
                 return None if closed else event
-            data = self.early or await self.reader.read(messages.READ_BYTES)
-            self.early = b""
+            data = self.received_early or await self.reader.read(
+                messages.READ_BYTES
+            )
+            self.received_early = b""
             self.codec.receive_data(data)
 
     async def _answer(self, request: messages.Request) -> bool:
@@ -181,7 +185,7 @@
             data = await self.reader.read(messages.READ_BYTES)
         except OSError:
             return False
-        self.early += data
+        self.received_early += data
         return bool(data)
 
     async def _respond(self, request: messages.Request) -> bool:
--- a/banyantiller/tests/http/test_exchange.py
+++ b/banyantiller/tests/http/test_exchange.py
@@ -17,19 +17,21 @@
         async def body():
             listener = server.HttpServer(handler, limits)
             bound = await listener.start(ADDRESS, 0)
-            user = client.HttpClient(ADDRESS, bound.port, limits)
+            http_client = client.HttpClient(ADDRESS, bound.port, limits)
             try:
-                return await use(user, listener)
+                return await use(http_client, listener)
             finally:
-                await user.close()
+                await http_client.close()
                 await listener.close()
 
         return self.run_paused(body())
 
     def test_echo_over_one_connection(self):
-        async def use(user, listener):
-            first = await user.request("POST", "/a?b=1", 1, body=b"x" * 900)
-            second = await user.request("GET", "/", 1)
+        async def use(http_client, listener):
+            first = await http_client.request(
+                "POST", "/a?b=1", 1, body=b"x" * 900
+            )
+            second = await http_client.request("GET", "/", 1)
             return first, second, len(listener.connections)
 
         first, second, open_links = self.exchange(echo, use)
@@ -38,26 +40,26 @@
         self.assertEqual(1, open_links)
 
     def test_old_idle_connection_is_not_reused(self):
-        async def use(user, listener):
-            await user.request("GET", "/", 1)
-            link = user.idle[0]
+        async def use(http_client, listener):
+            await http_client.request("GET", "/", 1)
+            link = http_client.idle[0]
             await asyncio.sleep(2)
-            await user.request("GET", "/", 1)
-            return link, user.idle[0]
+            await http_client.request("GET", "/", 1)
+            return link, http_client.idle[0]
 
         self.assertIsNot(*self.exchange(echo, use))
 
-    def test_unasked_bytes_are_no_answer(self):
-        async def use(user, listener):
-            await user.request("GET", "/", 1)
+    def test_unsolicited_bytes_are_not_taken_as_a_response(self):
+        async def use(http_client, listener):
+            await http_client.request("GET", "/", 1)
             (link,) = listener.connections
             link.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
             await asyncio.sleep(0.1)
-            return await user.request("GET", "/mine", 1)
+            return await http_client.request("GET", "/mine", 1)
 
         self.assertEqual(b"GET /mine ", self.exchange(echo, use).body)
 
-    def test_second_answer_in_one_read_is_no_answer(self):
+    def test_second_response_in_one_read_is_discarded(self):
         async def twice(reader, writer):
             while await reader.read(65536):
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\na")
@@ -66,25 +68,25 @@
         async def body():
             listener = await asyncio.start_server(twice, ADDRESS, 0)
             port = listener.sockets[0].getsockname()[1]
-            user = client.HttpClient(ADDRESS, port)
-            found = [await user.request("GET", "/", 1) for _ in range(2)]
-            await user.close()
+            http_client = client.HttpClient(ADDRESS, port)
+            found = [await http_client.request("GET", "/", 1) for _ in range(2)]
+            await http_client.close()
             listener.close()
             return [answer.body for answer in found]
 
         self.assertEqual([b"a", b"a"], self.run_paused(body()))
 
-    def test_no_answer_in_time_ends_idle_connections(self):
+    def test_timeout_closes_idle_connections(self):
         async def handler(request):
             await asyncio.sleep(float(request.target[1:]))
             return messages.Response(200)
 
-        async def use(user, listener):
-            both = [user.request("GET", "/0.1", 1) for _ in range(2)]
+        async def use(http_client, listener):
+            both = [http_client.request("GET", "/0.1", 1) for _ in range(2)]
             await asyncio.gather(*both)
-            idle = len(user.idle)
-            await user.request("GET", "/9", 0.5)
-            return idle, len(user.idle)
+            idle = len(http_client.idle)
+            await http_client.request("GET", "/9", 0.5)
+            return idle, len(http_client.idle)
 
         self.assertEqual((2, 0), self.exchange(handler, use))
 
@@ -93,8 +95,10 @@
             await asyncio.sleep(1)
             return messages.Response(200, (), request.target.encode())
 
-        async def use(user, listener):
-            reader, writer = await asyncio.open_connection(ADDRESS, user.port)
+        async def use(http_client, listener):
+            reader, writer = await asyncio.open_connection(
+                ADDRESS, http_client.port
+            )
             for first in ("ab", "c", "d"):
                 for name in first:
                     head = f"GET /{name} HTTP/1.1\r\nhost: x\r\n\r\n"
@@ -108,9 +112,11 @@
         names = [line[:2] for line in answer.split(b"\r\n\r\n")[1:]]
         self.assertEqual([b"/a", b"/b", b"/c", b"/d"], names)
 
-    def test_body_is_asked_for_when_the_caller_waits(self):
-        async def use(user, listener):
-            reader, writer = await asyncio.open_connection(ADDRESS, user.port)
+    def test_expect_100_continue_is_answered(self):
+        async def use(http_client, listener):
+            reader, writer = await asyncio.open_connection(
+                ADDRESS, http_client.port
+            )
             writer.write(
                 b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n"
                 b"expect: 100-continue\r\n\r\n"
@@ -124,9 +130,9 @@
         self.assertIn(b" 100 ", self.exchange(echo, use))
 
     def test_connections_over_the_limit_are_closed(self):
-        async def use(user, listener):
-            first = await user.request("GET", "/", 1)
-            second = await user.request("GET", "/", 1, fresh=True)
+        async def use(http_client, listener):
+            first = await http_client.request("GET", "/", 1)
+            second = await http_client.request("GET", "/", 1, fresh=True)
             return type(first), type(second)
 
         limits = LIMITS._replace(connections=1)
@@ -135,12 +141,12 @@
 
     def test_refused_connection_is_not_sent(self):
         async def body():
-            user = client.HttpClient(ADDRESS, 1)
-            return await user.request("POST", "/", 1, body=b"x")
+            http_client = client.HttpClient(ADDRESS, 1)
+            return await http_client.request("POST", "/", 1, body=b"x")
 
         self.assertIsInstance(self.run_paused(body()), outcomes.NotSent)
 
-    def test_no_answer_in_time_is_lost(self):
+    def test_timeout_after_sending_is_lost(self):
         cancelled = []
 
         async def never(request):
@@ -150,15 +156,15 @@
                 cancelled.append(request.target)
                 raise
 
-        async def use(user, listener):
-            outcome = await user.request("POST", "/", 1)
+        async def use(http_client, listener):
+            outcome = await http_client.request("POST", "/", 1)
             await asyncio.sleep(0.1)
             return outcome
 
         self.assertIsInstance(self.exchange(never, use), outcomes.Lost)
         self.assertEqual(["/"], cancelled)
 
-    def test_cut_or_wrong_answers_are_lost(self):
+    def test_truncated_or_invalid_responses_are_lost(self):
         raws = (
             b"",
             b"HTTP/1.1 200 OK\r\nconte",
@@ -169,8 +175,10 @@
             b"HTTP/1.1 200 OK\r\na: " + b"x" * 70000,
         )
 
-        async def use(user, listener):
-            return [await user.request("GET", f"/{n}", 1) for n in range(7)]
+        async def use(http_client, listener):
+            return [
+                await http_client.request("GET", f"/{n}", 1) for n in range(7)
+            ]
 
         async def cut(request):
             raise connections.CutError(raws[int(request.target[1:])])
@@ -179,12 +187,12 @@
             self.assertIsInstance(outcome, outcomes.Lost)
             self.assertEqual(number == 5, outcome.too_large)
 
-    def test_streamed_answer_is_read_bit_by_bit(self):
+    def test_streamed_response_is_read_in_chunks(self):
         async def count(request):
             return messages.Response(200, (), ticks())
 
-        async def use(user, listener):
-            stream = await user.stream("GET", "/", 1)
+        async def use(http_client, listener):
+            stream = await http_client.stream("GET", "/", 1)
             parts = []
             while part := await stream.read():
                 parts.append((part, round(asyncio.get_running_loop().time())))
@@ -194,8 +202,8 @@
         expected = [(b"0", 0), (b"1", 1), (b"2", 2)]
         self.assertEqual(expected, self.exchange(count, use))
 
-    def test_bad_requests_get_one_answer(self):
-        async def use(user, listener):
+    def test_invalid_requests_get_an_error_response(self):
+        async def use(http_client, listener):
             answers = []
             for sent in (
                 b"nonsense\r\n\r\n",
@@ -205,16 +213,18 @@
                 b"GET / HTTP/1.1\r\nho",
                 b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 5\r\n\r\nx",
             ):
-                answers.append(await raw_exchange(user.port, sent))
+                answers.append(await raw_exchange(http_client.port, sent))
             return answers
 
         answers = self.exchange(echo, use)
         codes = [int(answer.split(b" ")[1]) for answer in answers]
         self.assertEqual([400, 431, 413, 408, 408], codes)
 
-    def test_refused_caller_may_finish_what_it_sends(self):
-        async def use(user, listener):
-            reader, writer = await asyncio.open_connection(ADDRESS, user.port)
+    def test_rejected_caller_may_finish_sending_its_body(self):
+        async def use(http_client, listener):
+            reader, writer = await asyncio.open_connection(
+                ADDRESS, http_client.port
+            )
             head = b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 9000\r\n\r\n"
             writer.write(head + b"x" * 2000)
             answer = await reader.read()
@@ -227,31 +237,31 @@
 
         self.assertIn(b" 413 ", self.exchange(echo, use))
 
-    def test_failing_handler_is_a_500_and_the_connection_goes_on(self):
+    def test_failing_handler_gives_500_and_keeps_the_connection(self):
         async def fail(request):
             raise ValueError("broken")
 
-        async def use(user, listener):
-            await user.request("GET", "/", 1)
-            return await user.request("GET", "/", 1)
+        async def use(http_client, listener):
+            await http_client.request("GET", "/", 1)
+            return await http_client.request("GET", "/", 1)
 
         self.assertEqual(500, self.exchange(fail, use).response.status)
 
-    def test_close_lets_requests_in_flight_end(self):
+    def test_close_waits_for_requests_in_flight(self):
         async def slow(request):
             await asyncio.sleep(3)
             return messages.Response(200, body=b"done")
 
-        async def use(user, listener):
-            idle = await asyncio.open_connection(ADDRESS, user.port)
-            running = asyncio.ensure_future(user.request("GET", "/", 9))
+        async def use(http_client, listener):
+            idle = await asyncio.open_connection(ADDRESS, http_client.port)
+            running = asyncio.ensure_future(http_client.request("GET", "/", 9))
             await asyncio.sleep(1)
             closing = asyncio.ensure_future(listener.close(grace_s=9))
             await asyncio.sleep(0.1)
             self.assertEqual(b"", await idle[0].read())
             await closing
             self.assertEqual(3, round(asyncio.get_running_loop().time()))
-            return await running, await user.request("GET", "/", 1)
+            return await running, await http_client.request("GET", "/", 1)
 
         done, refused = self.exchange(slow, use)
         self.assertEqual(b"done", done.body)
@@ -259,17 +269,19 @@
         self.assertIsInstance(refused, outcomes.NotSent)
 
     def test_draining_server_answers_and_closes(self):
-        async def use(user, listener):
-            await user.request("GET", "/", 1)
+        async def use(http_client, listener):
+            await http_client.request("GET", "/", 1)
             listener.drain()
-            answers = [await user.request("GET", "/", 1) for _ in range(2)]
+            answers = [
+                await http_client.request("GET", "/", 1) for _ in range(2)
+            ]
             return [a.response.header("connection") for a in answers]
 
         self.assertEqual(["close", "close"], self.exchange(echo, use))
 
-    def test_full_pool_is_not_sent(self):
-        async def use(user, listener):
-            calls = [user.request("GET", "/", 1) for _ in range(3)]
+    def test_request_without_a_free_connection_is_not_sent(self):
+        async def use(http_client, listener):
+            calls = [http_client.request("GET", "/", 1) for _ in range(3)]
             return await asyncio.gather(*calls)
 
         async def slow(request):
