--- a/banyantiller/http/client.py
+++ b/banyantiller/http/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for one endpoint, with a pool of connections."""
+"""An HTTP client for one endpoint, with a connection pool."""
 
 import asyncio
 import dataclasses
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stream:
-    """An answer whose body is read bit by bit.
+    """A response whose body is read in chunks.
 
     Attributes:
-        response: Head of the answer.
+        response: Head of the response.
         link: Connection that carries it.
     """
 
@@ -25,15 +25,15 @@
     link: connection.ClientConnection
 
     async def read(self) -> bytes:
-        """Reads a part of the body; empty at its end.
+        """Reads a chunk of the body; empty at its end.
 
         Raises:
-            ConnectionLostError: The connection closed or sent no HTTP.
+            ConnectionLostError: The connection closed or sent invalid HTTP.
         """
         return await self.link.read_chunk()
 
     def close(self) -> None:
-        """Gives the answer up and closes its connection."""
+        """Abandons the response and closes its connection."""
         self.link.close()
 
 
@@ -41,8 +41,8 @@
     """Sends requests to one endpoint.
 
     Attributes:
-        idle: Open connections without a request, latest used last.
-        slots: Free slots for requests.
+        idle: Idle connections, the most recently used one last.
+        slots: Limits concurrent requests to the number of connections.
     """
 
     def __init__(
@@ -70,15 +70,15 @@
         body: bytes = b"",
         fresh: bool = False,
     ) -> outcomes.Outcome:
-        """Sends a request and reads the whole answer.
+        """Sends a request and reads the complete response.
 
         Args:
             method: HTTP method.
             target: Path and query.
-            timeout_s: Longest time for all of it.
-            headers: Headers besides `Host` and `Content-Length`.
+            timeout_s: Timeout of the whole exchange, in seconds.
+            headers: Headers other than `Host` and `Content-Length`.
             body: Body, or empty for none.
-            fresh: Whether a new connection is opened in any case.
+            fresh: Whether to open a new connection even if one is idle.
         """
         request = self._build(method, target, headers, body)
         exchange = Exchange()
@@ -104,16 +104,16 @@
         timeout_s: float,
         headers: messages.Headers = (),
     ) -> Stream | outcomes.NotSent | outcomes.Lost:
-        """Sends a request on a connection of its own and reads the head.
+        """Sends a request on a new connection and reads the response head.
 
         Args:
             method: HTTP method.
             target: Path and query.
-            timeout_s: Longest time until the head of the answer.
-            headers: Headers besides `Host`.
+            timeout_s: Timeout until the response head, in seconds.
+            headers: Headers other than `Host`.
 
         Returns:
-            The answer, which the caller has to close, or what went wrong.
+            The response, which must be closed, or the outcome of a failure.
         """
         request = self._build(method, target, headers, b"")
         exchange = Exchange()
@@ -162,10 +162,10 @@
         return link
 
     async def _take_idle(self) -> connection.ClientConnection | None:
-        """Returns a connection that answered lately; closes the others.
+        """Returns a connection with a recent response; closes older ones.
 
-        A connection may have gone silent since its last answer, which no
-        check on this side can tell.
+        A connection may have become unresponsive since its last response,
+        which cannot be detected locally.
         """
         oldest = asyncio.get_running_loop().time() - self.limits.proven_s
         while self.idle:
@@ -197,10 +197,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """How far one request came.
+    """Progress of one request.
 
     Attributes:
-        link: Its connection, or None.
+        link: Connection of the request, or None.
         sent: Whether a byte may have been written.
         reused: Whether the connection served another request before.
     """
@@ -210,20 +210,20 @@
     reused: bool = False
 
     def failure_outcome(self, reason: str) -> outcomes.NotSent | outcomes.Lost:
-        """Returns the outcome of a failure at this point."""
+        """Returns the outcome of a failure at the current progress."""
         if self.sent:
             return outcomes.Lost(reason, self.reused)
         return outcomes.NotSent(reason)
 
     def release(self) -> connection.ClientConnection:
-        """Hands the connection on, so that `drop` doesn't close it."""
+        """Returns the connection, which `drop` then does not close."""
         assert self.link is not None
         link = self.link
         self.link = None
         return link
 
     def drop(self) -> None:
-        """Closes the connection if it wasn't handed on."""
+        """Closes the connection unless it was released."""
         if self.link is not None:
             self.link.close()
             self.link = None
--- a/banyantiller/http/connection.py
+++ b/banyantiller/http/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: writes a request and reads its answer."""
+"""One client connection: writes requests and reads responses."""
 
 import asyncio
 import socket
@@ -13,11 +13,11 @@
 
 
 class ConnectionLostError(Exception):
-    """The other side closed early or broke the protocol."""
+    """The remote side closed the connection early or broke the protocol."""
 
 
 class BodyTooLargeError(Exception):
-    """A body is over the limit."""
+    """A response body exceeds the limit."""
 
 
 class ClientConnection:
@@ -25,8 +25,8 @@
 
     Attributes:
         last_response_at: Loop time of the end of the last response, or None.
-        idle_read: Waits, between exchanges, for bytes that nobody asked for.
-        has_unmatched_response: Whether an answer to another request was read.
+        idle_read: Read between exchanges that detects unsolicited bytes.
+        has_unmatched_response: Whether a response to another request was read.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         tls: "ssl.SSLContext | None",
         server_name: str,
     ) -> "ClientConnection":
-        """Connects.
+        """Opens a connection.
 
         Raises:
             OSError: The connection or its TLS handshake failed.
@@ -66,10 +66,10 @@
         return cls(reader, writer, head_bytes)
 
     def abort_when_unresponsive(self, silence_s: int) -> None:
-        """Has the system end the connection when the other side is gone.
+        """Makes the system abort a connection whose remote side is gone.
 
         Args:
-            silence_s: Time without an acknowledgement, in seconds; 2 or more.
+            silence_s: Time without an acknowledgement, in seconds; at least 2.
         """
         raw = self.writer.get_extra_info("socket")
         options = (
@@ -83,9 +83,12 @@
             raw.setsockopt(level, name, value)
 
     async def resume(self) -> bool:
-        """Prepares an idle connection; False if it can't be used.
+        """Prepares an idle connection for reuse.
 
-        Bytes that came without a request would be taken for its answer.
+        Unsolicited bytes would be taken for the response to the next request.
+
+        Returns:
+            Whether the connection can be used.
         """
         if self.idle_read is None or self.idle_read.done():
             return False
@@ -96,7 +99,7 @@
         return is_unused and not self.writer.is_closing()
 
     async def send(self, request: messages.Request) -> None:
-        """Writes a whole request and waits until most of it is sent.
+        """Writes a request and waits until the write buffer has drained.
 
         Raises:
             OSError: The connection failed.
@@ -105,17 +108,21 @@
         await self.writer.drain()
 
     def write(self, request: messages.Request) -> None:
-        """Writes a whole request; the other side may answer before its end."""
+        """Writes a request without waiting.
+
+        The remote side may respond before it has received all of it.
+        """
         self.writer.writelines(self._encode(request))
 
     def expect_again(self, request: messages.Request) -> None:
-        """Prepares to read one more answer to a request that was written.
+        """Prepares to read another response to a request that was written.
 
-        Called after a whole answer that belongs to another request. The
-        connection ends with the exchange: what else it carries is not known.
+        Called after a complete response that belongs to another request. The
+        connection is not reused afterwards, since it may carry more responses
+        to other requests.
 
         Raises:
-            ConnectionLostError: The other side has closed the connection.
+            ConnectionLostError: The remote side has closed the connection.
         """
         trailing_data, closed = self.codec.trailing_data
         if closed and not trailing_data:
@@ -129,10 +136,10 @@
             self.codec.receive_data(trailing_data)
 
     async def read_head(self) -> messages.Response:
-        """Reads the head of the final answer.
+        """Reads the head of the final response, skipping informational ones.
 
         Raises:
-            ConnectionLostError: The connection closed or sent no HTTP.
+            ConnectionLostError: The connection closed or sent invalid HTTP.
         """
         while True:
             event = await self._next_event()
@@ -142,10 +149,10 @@
                 )
 
     async def read_chunk(self) -> bytes:
-        """Reads a part of the answer's body; empty at its end.
+        """Reads a chunk of the response body; empty at its end.
 
         Raises:
-            ConnectionLostError: The connection closed or sent no HTTP.
+            ConnectionLostError: The connection closed or sent invalid HTTP.
         """
         while True:
             event = await self._next_event()
@@ -155,10 +162,10 @@
                 return bytes(event.data)
 
     async def read_body(self, max_bytes: int) -> bytes:
-        """Reads the rest of the answer's body.
+        """Reads the rest of the response body.
 
         Raises:
-            ConnectionLostError: The connection closed or sent no HTTP.
+            ConnectionLostError: The connection closed or sent invalid HTTP.
             BodyTooLargeError: The body is longer than `max_bytes` bytes.
         """
         parts = []
@@ -171,22 +178,26 @@
         return b"".join(parts)
 
     def finish(self) -> bool:
-        """Ends an exchange and rests; False if there can be no other."""
+        """Ends an exchange and watches the idle connection.
+
+        Returns:
+            Whether the connection can be reused.
+        """
         if not self.ready_again():
             return False
         self.watch_idle()
         return True
 
     def watch_idle(self) -> None:
-        """Waits for bytes that nobody asked for; `resume` ends it."""
+        """Starts to watch for unsolicited bytes until `resume` is called."""
         self.idle_read = asyncio.ensure_future(self.reader.read(1))
 
     def ready_again(self) -> bool:
-        """Ends an exchange; False if there can be no other."""
+        """Ends an exchange; returns whether the connection can be reused."""
         if self.has_unmatched_response or self.codec.trailing_data[0]:
             return False
         if self.writer.transport.get_write_buffer_size():
-            # The answer came before the request was read.
+            # The response arrived before the request was read completely.
             return False
         try:
             self.codec.start_next_cycle()
@@ -196,7 +207,7 @@
         return True
 
     def close(self) -> None:
-        """Closes at once."""
+        """Aborts the connection."""
         if self.idle_read is not None:
             self.idle_read.cancel()
         self.writer.transport.abort()
--- a/banyantiller/http/messages.py
+++ b/banyantiller/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests, answers and bounds that client and server share."""
+"""Requests, responses and limits that client and server share."""
 
 from collections.abc import AsyncIterator, Iterable
 from typing import NamedTuple
@@ -10,13 +10,13 @@
 
 
 class Request(NamedTuple):
-    """One request with its whole body.
+    """One request with its complete body.
 
     Attributes:
         method: HTTP method.
         target: Path and query as sent.
-        headers: Pairs with lower-case names.
-        body: The body.
+        headers: Header pairs with lower-case names.
+        body: Complete body.
     """
 
     method: str
@@ -31,7 +31,7 @@
 
     @property
     def query(self) -> dict[str, str]:
-        """The query; of a repeated name the last value counts."""
+        """The query parameters; the last value of a repeated name counts."""
         text = self.target.partition("?")[2]
         return dict(parse.parse_qsl(text, keep_blank_values=True))
 
@@ -41,11 +41,11 @@
 
 
 class Response(NamedTuple):
-    """One answer.
+    """One response.
 
     Attributes:
         status: Status code.
-        headers: Pairs; the length is added by the server.
+        headers: Header pairs; the server adds the length.
         body: The body, or an iterator that streams it. A streamed body is
             chunked unless the headers state a length.
     """
@@ -60,19 +60,20 @@
 
 
 class Limits(NamedTuple):
-    """Bounds of one side of a connection.
+    """Limits of one side of a connection.
 
     Attributes:
-        head_bytes: Largest head.
-        body_bytes: Largest body that is collected.
-        head_s: Longest wait for a whole head.
-        body_s: Longest wait for a whole body.
-        idle_s: Longest idle time of a server's connection.
-        connections: Most open connections.
-        proven_s: A client reuses a connection that answered within this time.
-        silence_s: A client's connection ends when the other side's system
-            acknowledges nothing for so many seconds; 0 for the system's
-            default, which is hours.
+        head_bytes: Maximum size of a head in bytes.
+        body_bytes: Maximum size of a collected body in bytes.
+        head_s: Timeout of a head in seconds.
+        body_s: Timeout of a body in seconds.
+        idle_s: Idle timeout of a server's connection in seconds.
+        connections: Maximum number of open connections.
+        proven_s: Maximum age of the last response, in seconds, at which a
+            client reuses a connection.
+        silence_s: Time in seconds without an acknowledgement by the remote
+            system after which a client's connection is aborted; 0 for the
+            system's default, which is hours.
     """
 
     head_bytes: int = 65536
@@ -95,7 +96,7 @@
 
 
 def decode_headers(pairs: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Turns h11's pairs of bytes into text."""
+    """Decodes header pairs of h11."""
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in pairs
@@ -103,7 +104,7 @@
 
 
 def encode_headers(pairs: Headers) -> list[tuple[bytes, bytes]]:
-    """Turns pairs of text into those that h11 takes."""
+    """Encodes header pairs for h11."""
     return [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in pairs
--- a/banyantiller/http/outcomes.py
+++ b/banyantiller/http/outcomes.py
@@ -1,4 +1,4 @@
-"""Tagged outcomes of a client's request."""
+"""Outcomes of a client's request, distinguished by class."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer arrived."""
+    """A complete response arrived."""
 
     response: messages.Response
     body: bytes
@@ -15,19 +15,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSent:
-    """Not one byte of the request was written."""
+    """No byte of the request was written."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """The request, or a part of it, was written; no whole answer arrived.
+    """At least part of the request was written; no complete response arrived.
 
     Attributes:
-        reason: One sentence.
+        reason: Cause in one sentence.
         reused: Whether the connection had served another request before.
-        too_large: Whether the answer was over the size limit.
+        too_large: Whether the response exceeded the size limit.
     """
 
     reason: str
--- a/banyantiller/http/server.py
+++ b/banyantiller/http/server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server: one handler coroutine a request."""
+"""An HTTP server that runs one handler coroutine per request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,21 +18,21 @@
 
 
 class Bound(NamedTuple):
-    """Where a server listens."""
+    """Address and port on which a server listens."""
 
     address: str
     port: int
 
 
 class HttpServer:
-    """Listens and answers each request by its handler.
+    """Listens and answers each request through a handler.
 
     Attributes:
-        handler: Called for each request; cancelled when the caller leaves.
-        limits: Bounds of each connection.
-        connections: Open connections.
-        draining: Whether answers end their connections.
-        closing: Whether no further requests are read.
+        handler: Called for each request; cancelled when the caller disconnects.
+        limits: Limits of each connection.
+        connections: Open connections and the tasks that serve them.
+        draining: Whether connections close after the next response.
+        closing: Whether the server has stopped reading requests.
     """
 
     def __init__(
@@ -52,10 +52,10 @@
     async def start(
         self, address: str, port: int, tls: "ssl.SSLContext | None" = None
     ) -> Bound:
-        """Listens; port 0 lets the system choose.
+        """Starts listening; port 0 lets the system choose a port.
 
         Raises:
-            OSError: The address can't be used.
+            OSError: The address cannot be used.
         """
         self.listener = await asyncio.start_server(
             self._accept, address, port, ssl=tls
@@ -64,16 +64,16 @@
         return Bound(name[0], name[1])
 
     def drain(self) -> None:
-        """Goes on listening; each connection ends after its next answer."""
+        """Keeps listening; each connection closes after its next response."""
         self.draining = True
         for link in self.connections:
             link.stopping = True
 
     async def close(self, grace_s: float = 0.0) -> None:
-        """Stops listening and lets requests in flight end.
+        """Stops listening and waits for requests in flight.
 
         Args:
-            grace_s: Longest wait for them; then their connections are cut.
+            grace_s: Maximum wait in seconds, after which connections are cut.
         """
         self.closing = True
         if self.listener is not None:
--- a/banyantiller/http/server_connection.py
+++ b/banyantiller/http/server_connection.py
@@ -1,4 +1,4 @@
-"""One server connection: reads requests in turn and answers them."""
+"""One server connection: reads requests and answers them in order."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
     """Raised by a handler or a streamed body to cut the connection.
 
     Attributes:
-        raw: Bytes that are written before.
+        raw: Bytes to write before the connection is cut.
     """
 
     def __init__(self, raw: bytes = b"") -> None:
@@ -28,10 +28,10 @@
 
 
 class RequestRefusedError(Exception):
-    """A request that gets an error answer, after which the connection ends.
+    """A request that gets an error response and closes the connection.
 
     Attributes:
-        status: Status code of the answer.
+        status: Status code of the response.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -44,7 +44,7 @@
 
     Attributes:
         received_early: Bytes that arrived while a request was being answered.
-        stopping: Whether the connection ends after its next answer.
+        stopping: Whether the connection closes after its next response.
         idle: Task that waits for the first byte of a request, or None.
     """
 
@@ -82,13 +82,13 @@
             pass
 
     def stop_reading(self) -> None:
-        """Ends the connection at once if no byte of a request has come."""
+        """Closes the connection, at once if no request byte has arrived."""
         self.stopping = True
         if self.idle is not None:
             self.idle.cancel()
 
     async def _read_request(self) -> messages.Request | None:
-        """Reads a whole request; None when the caller has closed."""
+        """Reads a complete request; returns None if the caller has closed."""
         head = await self._read_head()
         if head is None:
             return None
@@ -114,7 +114,7 @@
             raise RequestRefusedError(408, "the head came too late") from None
 
     async def _wait_for_byte(self) -> bool:
-        """Waits for the start of a request; False when there is none."""
+        """Waits for the first byte of a request; returns False without one."""
         if self.received_early or self.codec.trailing_data[0]:
             return True
         self.idle = asyncio.ensure_future(self.reader.read(messages.READ_BYTES))
@@ -144,7 +144,7 @@
         return b"".join(parts)
 
     async def _next_event(self) -> h11.Event | None:
-        """Returns the next event; None when the caller has closed."""
+        """Returns the next event, or None if the caller has closed."""
         while True:
             try:
                 event = self.codec.next_event()
@@ -164,7 +164,11 @@
             self.codec.receive_data(data)
 
     async def _answer(self, request: messages.Request) -> bool:
-        """Answers while watching the caller; False ends the connection."""
+        """Answers a request unless the caller disconnects meanwhile.
+
+        Returns:
+            Whether the connection can be reused.
+        """
         answering = asyncio.ensure_future(self._respond(request))
         watching = asyncio.ensure_future(self._watch_caller())
         try:
@@ -180,7 +184,7 @@
             await asyncio.gather(answering, watching, return_exceptions=True)
 
     async def _watch_caller(self) -> bool:
-        """Returns False when the caller closes, True when it sends more."""
+        """Returns True when the caller sends more, False when it closes."""
         try:
             data = await self.reader.read(messages.READ_BYTES)
         except OSError:
@@ -243,7 +247,10 @@
             await self._close()
 
     async def _linger(self) -> None:
-        """Takes what the caller still sends, so that it reads the answer."""
+        """Discards what the caller still sends, so that it reads the response.
+
+        Closing with unread bytes would reset the connection.
+        """
         if self.writer.can_write_eof():
             self.writer.write_eof()
         with contextlib.suppress(TimeoutError):
@@ -252,7 +259,7 @@
                     pass
 
     async def _close(self) -> None:
-        """Closes after what is written has been sent."""
+        """Closes the connection after the written bytes have been sent."""
         self.writer.close()
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(self.limits.body_s):
--- a/banyantiller/tests/http/test_exchange.py
+++ b/banyantiller/tests/http/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the small client against the small server."""
+"""Tests of the HTTP client against the HTTP server."""
 
 import asyncio
 
@@ -305,7 +305,7 @@
 
 
 async def raw_exchange(port, sent):
-    """Sends bytes and reads until the other side closes."""
+    """Sends bytes and reads until the remote side closes."""
     reader, writer = await asyncio.open_connection(ADDRESS, port)
     writer.write(sent)
     answer = await reader.read()
