--- a/banyantiller/tests/utils/test_tls.py
+++ b/banyantiller/tests/utils/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of the rules by which TLS contexts verify the other side."""
+"""Tests of the verification of certificates by TLS contexts."""
 
 import asyncio
 import os
@@ -14,25 +14,27 @@
 
 
 async def greet(
-    served: ssl.SSLContext, used: ssl.SSLContext, name: str
+    server_context: ssl.SSLContext, client_context: ssl.SSLContext, name: str
 ) -> bytes:
-    """Returns the greeting that the connecting side got, empty if refused."""
+    """Returns the greeting that the client received, empty if rejected."""
 
     async def serve(_, writer):
         writer.write(b"hello")
         writer.close()
 
-    listening = await asyncio.start_server(serve, LOOPBACK, 0, ssl=served)
-    port = listening.sockets[0].getsockname()[1]
+    listener = await asyncio.start_server(
+        serve, LOOPBACK, 0, ssl=server_context
+    )
+    port = listener.sockets[0].getsockname()[1]
     try:
         reader, writer = await asyncio.open_connection(
-            LOOPBACK, port, ssl=used, server_hostname=name
+            LOOPBACK, port, ssl=client_context, server_hostname=name
         )
         greeting = await reader.read()
         writer.close()
     except OSError:
         greeting = b""
-    listening.close()
+    listener.close()
     return greeting
 
 
@@ -42,14 +44,14 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.authority = Authority(folder.name, "ours")
-        self.other = Authority(folder.name, "theirs")
+        self.other_authority = Authority(folder.name, "theirs")
 
-    def meet(self, served, used, check_address=True):
-        """Lets a side that listens and one that connects talk."""
+    def connect(self, server_files, client_files, check_address=True):
+        """Returns the greeting that a client with these files receives."""
         greeting = greet(
-            tls.server_context(served),
-            tls.client_context(used, check_address),
-            used.server_name or LOOPBACK,
+            tls.server_context(server_files),
+            tls.client_context(client_files, check_address),
+            client_files.server_name or LOOPBACK,
         )
         return asyncio.run(greeting)
 
@@ -57,66 +59,89 @@
         self.assertIsNone(tls.server_context(None))
         self.assertIsNone(tls.client_context(None))
 
-    def test_a_trust_file_makes_the_listening_side_ask(self):
-        served = self.authority.issue("server")
-        known = self.authority.issue("client")
-        nameless = defaults.TlsFiles(trust=self.authority.trust)
-        stranger = self.other.issue("stranger")
-        self.assertEqual(b"hello", self.meet(served, known))
-        self.assertEqual(b"", self.meet(served, nameless))
+    def test_trust_file_makes_the_listener_require_a_certificate(self):
+        server_files = self.authority.issue("server")
+        trusted = self.authority.issue("client")
+        without_certificate = defaults.TlsFiles(trust=self.authority.trust)
+        untrusted = self.other_authority.issue("untrusted")
+        self.assertEqual(b"hello", self.connect(server_files, trusted))
+        self.assertEqual(b"", self.connect(server_files, without_certificate))
         self.assertEqual(
             b"",
-            self.meet(served, stranger._replace(trust=self.authority.trust)),
+            self.connect(
+                server_files, untrusted._replace(trust=self.authority.trust)
+            ),
         )
-        open_to_all = served._replace(trust="")
-        self.assertEqual(b"hello", self.meet(open_to_all, nameless))
-
-    def test_the_connecting_side_checks_authority_and_name(self):
-        served = self.authority.issue("server", "orders")._replace(trust="")
-        trusting = defaults.TlsFiles(trust=self.authority.trust)
-        named = trusting._replace(server_name="orders")
-        self.assertEqual(b"hello", self.meet(served, trusting))
-        self.assertEqual(b"hello", self.meet(served, named))
+        without_trust = server_files._replace(trust="")
         self.assertEqual(
-            b"", self.meet(served, named._replace(server_name="stock"))
+            b"hello", self.connect(without_trust, without_certificate)
+        )
+
+    def test_client_checks_authority_and_name(self):
+        server_files = self.authority.issue("server", "orders")._replace(
+            trust=""
+        )
+        client_files = defaults.TlsFiles(trust=self.authority.trust)
+        named = client_files._replace(server_name="orders")
+        self.assertEqual(b"hello", self.connect(server_files, client_files))
+        self.assertEqual(b"hello", self.connect(server_files, named))
+        self.assertEqual(
+            b"", self.connect(server_files, named._replace(server_name="stock"))
         )
         self.assertEqual(
-            b"", self.meet(served, named._replace(trust=self.other.trust))
+            b"",
+            self.connect(
+                server_files, named._replace(trust=self.other_authority.trust)
+            ),
         )
 
-    def test_the_address_is_checked_when_no_name_is_given(self):
-        moved = self.authority.issue("moved", address="127.0.0.2")
-        served = moved._replace(trust="")
-        trusting = defaults.TlsFiles(trust=self.authority.trust)
-        self.assertEqual(b"", self.meet(served, trusting))
-        self.assertEqual(b"hello", self.meet(served, trusting, False))
+    def test_client_checks_the_address_without_a_server_name(self):
+        other_address = self.authority.issue(
+            "other_address", address="127.0.0.2"
+        )
+        server_files = other_address._replace(trust="")
+        client_files = defaults.TlsFiles(trust=self.authority.trust)
+        self.assertEqual(b"", self.connect(server_files, client_files))
+        self.assertEqual(
+            b"hello", self.connect(server_files, client_files, False)
+        )
 
-    def test_without_a_trust_file_the_system_is_trusted(self):
-        served = self.authority.issue("server")._replace(trust="")
+    def test_client_without_a_trust_file_trusts_the_system(self):
+        server_files = self.authority.issue("server")._replace(trust="")
         for system, answer in (
             (self.authority.trust, b"hello"),
-            (self.other.trust, b""),
+            (self.other_authority.trust, b""),
         ):
             with mock.patch.dict(os.environ, SSL_CERT_FILE=system):
-                met = self.meet(served, defaults.TlsFiles())
-            self.assertEqual(answer, met)
+                greeting = self.connect(server_files, defaults.TlsFiles())
+            self.assertEqual(answer, greeting)
 
-    def test_without_a_trust_file_a_name_is_required(self):
-        moved = self.authority.issue("moved", address="127.0.0.2")
-        served = moved._replace(trust="")
+    def test_client_without_a_trust_file_requires_a_name(self):
+        other_address = self.authority.issue(
+            "other_address", address="127.0.0.2"
+        )
+        server_files = other_address._replace(trust="")
         with mock.patch.dict(os.environ, SSL_CERT_FILE=self.authority.trust):
-            self.assertEqual(b"", self.meet(served, defaults.TlsFiles()))
+            self.assertEqual(
+                b"", self.connect(server_files, defaults.TlsFiles())
+            )
         with self.assertRaises(exceptions.ConfigError):
             tls.client_context(defaults.TlsFiles(), check_address=False)
 
-    def test_files_that_cannot_be_loaded_are_told(self):
+    def test_files_that_cannot_be_loaded_raise_an_error(self):
         files = self.authority.issue("server")
         missing = files._replace(trust=f"{files.trust}.none")
-        mixed = files._replace(key=self.other.issue("other").key)
-        bad = (missing, mixed, files._replace(certificate=files.key))
-        for wrong in bad:
+        mismatched_key = files._replace(
+            key=self.other_authority.issue("other").key
+        )
+        faulty = (
+            missing,
+            mismatched_key,
+            files._replace(certificate=files.key),
+        )
+        for files_with_fault in faulty:
             for build in (tls.server_context, tls.client_context):
                 with self.assertRaises(exceptions.ConfigError):
-                    build(wrong)
+                    build(files_with_fault)
         with self.assertRaises(exceptions.ConfigError):
             tls.server_context(defaults.TlsFiles(trust=files.trust))
--- a/banyantiller/utils/__init__.py
+++ b/banyantiller/utils/__init__.py
@@ -1,1 +1,1 @@
-"""What several parts share and none of them owns."""
+"""Utilities that several packages share."""
--- a/banyantiller/utils/plots.py
+++ b/banyantiller/utils/plots.py
@@ -1,4 +1,4 @@
-"""Plots as SVG in data URIs; needs the optional extra `report`."""
+"""Plots as SVG data URIs; requires the optional extra `report`."""
 
 import base64
 import io
@@ -14,10 +14,10 @@
 
 
 def load_library() -> Any:
-    """Imports matplotlib without a display.
+    """Imports matplotlib with a backend that needs no display.
 
     Raises:
-        PluginError: It is not installed.
+        PluginError: Matplotlib is not installed.
     """
     try:
         import matplotlib
@@ -33,7 +33,12 @@
 
 
 def to_data_uri(draw: Draw, title: str) -> str:
-    """Draws one plot and returns it as a data URI."""
+    """Draws one plot and returns it as a data URI.
+
+    Args:
+        draw: Draws on the axes that it gets.
+        title: Title above the plot.
+    """
     pyplot = load_library()
     figure, axes = pyplot.subplots(figsize=SIZE_IN)
     try:
--- a/banyantiller/utils/tls.py
+++ b/banyantiller/utils/tls.py
@@ -1,11 +1,11 @@
-"""TLS contexts from the files that settings name; no other module builds one.
+"""TLS contexts from the files named in settings; no other module creates one.
 
-The other side's certificate is always verified when it shows one:
+A certificate of the remote side is always verified:
 
-- A listening side asks for a certificate exactly when a trust file is named.
-- A connecting side trusts the authorities of the trust file, or those of the
-  system when none is named. It also checks that the certificate is for
-  `server_name`, or for the IP number that it connects to.
+- A listener requests a client certificate if and only if a trust file is named.
+- A client trusts the authorities of the trust file, or those of the system if
+  none is named. It also checks that the certificate is valid for `server_name`
+  or, without it, for the IP address to which it connects.
 """
 
 import ssl
@@ -19,10 +19,10 @@
 def server_context(
     files: defaults.TlsFiles | None,
 ) -> ssl.SSLContext | None:
-    """Returns the context of a listening side, or None without TLS.
+    """Returns the context of a listener, or None without TLS.
 
     Args:
-        files: Certificate and key, and trust if the other side has to show a
+        files: Certificate and key, and a trust file if clients must present a
             certificate.
 
     Raises:
@@ -31,9 +31,7 @@
     if files is None:
         return None
     if not files.certificate:
-        raise exceptions.ConfigError(
-            "TLS on a listening side needs a certificate."
-        )
+        raise exceptions.ConfigError("A TLS listener needs a certificate.")
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.set_alpn_protocols(PROTOCOLS)
@@ -46,14 +44,14 @@
 def client_context(
     files: defaults.TlsFiles | None, check_address: bool = True
 ) -> ssl.SSLContext | None:
-    """Returns the context of a connecting side, or None without TLS.
+    """Returns the context of a client, or None without TLS.
 
     Args:
-        files: Trust and the expected name, and a certificate and key if the
-            other side asks for them.
+        files: Trust file and expected name, and a certificate and key if the
+            server requests them.
         check_address: Whether, without a `server_name`, the certificate must
-            be for the IP number. Without both, anyone whom the trust file
-            vouches for is accepted, so a trust file must be named.
+            be valid for the IP address. Without both, any certificate of an
+            authority in the trust file is accepted, so one must be named.
 
     Raises:
         ConfigError: A file is missing or not valid.
@@ -63,7 +61,7 @@
     is_named = bool(files.server_name) or check_address
     if not is_named and not files.trust:
         raise exceptions.ConfigError(
-            "TLS without a trust file needs the name of the other side."
+            "TLS without a trust file needs a server_name."
         )
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -82,5 +80,5 @@
             context.load_verify_locations(files.trust)
     except (OSError, ssl.SSLError) as error:
         raise exceptions.ConfigError(
-            f"TLS files could not be loaded: {error}."
+            f"Cannot load TLS files: {error}."
         ) from error
