--- a/banyantiller/daemon/leaving_servers.py
+++ b/banyantiller/daemon/leaving_servers.py
@@ -58,8 +58,8 @@
                 events.ServerLeaving(service, server, reason, daemon.wall())
             )
 
-    vm_list = daemon.settings.vm_list
-    period_s = vm_list.period_s if vm_list is not None else 0.0
+    settings = daemon.settings.vm_list
+    period_s = settings.period_s if settings is not None else 0.0
     callbacks = leaving.Callbacks(
         leave, daemon.proxy.server_returned, daemon.peers.broadcast
     )
--- a/banyantiller/kernel/core.py
+++ b/banyantiller/kernel/core.py
@@ -62,7 +62,7 @@
             ValueError: A task of this name is running.
         """
         if name in self.tasks:
-            raise ValueError(f"Task {name!r} is already running.")
+            raise ValueError(f"Task '{name}' is already running.")
         task = asyncio.create_task(self._supervise(name, body), name=name)
         self.tasks[name] = task
         task.add_done_callback(lambda _: self.tasks.pop(name, None))
--- a/banyantiller/tests/utils/test_tls.py
+++ b/banyantiller/tests/utils/test_tls.py
@@ -63,7 +63,7 @@
         server_files = self.authority.issue("server")
         trusted = self.authority.issue("client")
         without_certificate = defaults.TlsFiles(trust=self.authority.trust)
-        untrusted = self.other_authority.issue("untrusted")
+        untrusted = self.other_authority.issue("stranger")
         self.assertEqual(b"hello", self.connect(server_files, trusted))
         self.assertEqual(b"", self.connect(server_files, without_certificate))
         self.assertEqual(
@@ -96,9 +96,7 @@
         )
 
     def test_client_checks_the_address_without_a_server_name(self):
-        other_address = self.authority.issue(
-            "other_address", address="127.0.0.2"
-        )
+        other_address = self.authority.issue("moved", address="127.0.0.2")
         server_files = other_address._replace(trust="")
         client_files = defaults.TlsFiles(trust=self.authority.trust)
         self.assertEqual(b"", self.connect(server_files, client_files))
@@ -117,9 +115,7 @@
             self.assertEqual(answer, greeting)
 
     def test_client_without_a_trust_file_requires_a_name(self):
-        other_address = self.authority.issue(
-            "other_address", address="127.0.0.2"
-        )
+        other_address = self.authority.issue("moved", address="127.0.0.2")
         server_files = other_address._replace(trust="")
         with mock.patch.dict(os.environ, SSL_CERT_FILE=self.authority.trust):
             self.assertEqual(
