--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -1,4 +1,4 @@
-"""One request: its route, its tries at servers, and its answer."""
+"""Handles one call: its route, its attempts at servers and its response."""
 
 import asyncio
 import math
@@ -14,41 +14,43 @@
     progress,
     protocols,
     replies,
+    requests,
     routes,
     server_choice,
     types,
 )
-from banyantiller.gateway import requests as reading
 from banyantiller.gateway.decisions import hedging, retry_after, waiting
 
-# Less time than this is too little to run anything.
-MIN_TIME_S = 0.01
-# Servers that ended with a request on them, in this call or before, after which
-# a call is not sent to another one.
+# With less time left, a server could not execute the request.
+MIN_REMAINING_S = 0.01
+# Servers that crashed while they executed a request, in this call or in earlier
+# ones, after which the call is not sent to another server.
 MAX_CRASHES_BEFORE_ATTEMPT = 2
 
 
 class Call:
-    """A request that was read whole.
+    """A request that was read completely.
 
     Attributes:
         request: The request.
         route: Its route, or None.
-        service: Name of the service that takes it.
-        table: Routes that it is served by, or None before the first document.
+        service: Name of the service that it is routed to.
+        route_table: Routes that apply, or None before the first document.
         urgent: Whether its route is among the most urgent of the service.
-        deadline: Loop time at which it ends unanswered.
-        progress: How far it has come.
-        attempted: Servers that it was sent to or that turned it away.
-        attempts: Tries that are running.
-        sole: Whether no further server may be tried beside the running one.
-        next_second: Loop time from which a second server is looked for.
-        suspected: Whether the server of the running try seems to be dead.
-        failed_answer: A server's own failure, in case no other does better.
+        deadline: Loop time at which it fails for lack of a response.
+        progress: State that is logged when the call ends.
+        attempted: Instances of the servers that were tried so far.
+        attempts: Attempts that are running.
+        hedging_stopped: Whether no hedge may be started any more.
+        next_hedge_at: Loop time before which no hedge is started.
+        server_suspected: Whether the server of the running attempt did not
+            respond to a probe.
+        failed_response: Last 5xx response of a server, forwarded if no other
+            server responds successfully.
     """
 
     def __init__(
-        self, gateway: protocols.CallContext, request: reading.Request
+        self, gateway: protocols.CallContext, request: requests.Request
     ) -> None:
         self.gateway = gateway
         self.loop = gateway.loop
@@ -58,32 +60,32 @@
         self.deadline = request.received + gateway.default_timeout_s
         self.attempted: set[str] = set()
         self.attempts: list[attempts.Attempt] = []
-        self.sole = False
-        self.next_second = 0.0
-        self.suspected = False
-        self.failed_answer: exchange.CompleteResponse | None = None
+        self.hedging_stopped = False
+        self.next_hedge_at = 0.0
+        self.server_suspected = False
+        self.failed_response: exchange.CompleteResponse | None = None
         self.outgoing = request.outgoing(gateway.adapter.wire)
-        self.table: routes.RouteTable | None = None
+        self.route_table: routes.RouteTable | None = None
         self.version = 0
         self.route: types.Route | None = None
         self.urgent = False
 
     def look_up_route(self) -> None:
-        """Takes routes, its route and its timeout from the document in force.
+        """Sets the route and the deadline from the document in force.
 
-        Called again until the call runs: one that waits behind another on its
-        connection is served by the document in force when its turn comes. If
-        it is looked up only when the request is read, callers of daemons that
-        start get 404 for routes in force.
+        Called again until the call runs: a call that waits behind another on
+        its connection uses the document that is in force when it starts. If
+        the route were looked up only when the request is read, callers of a
+        daemon that is starting would get 404 for routes in force.
         """
         request = self.request
-        self.table = self.gateway.store_view.routes
-        if self.table is None:
+        self.route_table = self.gateway.store_view.routes
+        if self.route_table is None:
             return
-        self.version = self.table.document.version
-        self.route = self.table.find(request.host, request.target)
+        self.version = self.route_table.document.version
+        self.route = self.route_table.find(request.host, request.target)
         if self.route is not None:
-            self.urgent = self.route.name in self.table.urgent
+            self.urgent = self.route.name in self.route_table.urgent
             timeout_s = self.route.timeout_s
             if request.remaining_s is not None:
                 timeout_s = min(timeout_s, request.remaining_s)
@@ -91,24 +93,24 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may be executed more than once."""
+        """Whether the request may be executed more than once."""
         return self.route is not None and self.route.idempotent
 
     async def run(self) -> replies.Reply:
-        """Returns the answer for the caller; the call is then over."""
+        """Runs the call and returns the reply for the caller."""
         try:
-            reply = await self._answer()
+            reply = await self._serve()
         except asyncio.CancelledError:
-            self._finish(0, ErrorKind.CALLER_GONE)
+            self._record_end(0, ErrorKind.CALLER_GONE)
             raise
         except Exception:
             fault = call_events.CallFault(self.request.request_id)
             events.emit(fault, exc_info=True)
             reply = self._fail(ErrorKind.INTERNAL)
-        self._finish(reply.status, self.progress.error)
+        self._record_end(reply.status, self.progress.error)
         return reply
 
-    async def _answer(self) -> replies.Reply:
+    async def _serve(self) -> replies.Reply:
         if not self.gateway.store_view.complete.is_set():
             await self.gateway.store_view.wait_for_first_read()
         if self.route is None:
@@ -118,26 +120,30 @@
                 ErrorKind.UNKNOWN_SERVICE
             )
             return self._fail(failure.kind, failure.retry_after)
-        self.service = self.table.choose_service(self.route)
+        self.service = self.route_table.choose_service(self.route)
         self.gateway.budget_of(self.service).record_request(self.loop.time())
         try:
             async with asyncio.timeout_at(self.deadline):
-                return await self._try_servers(self.table)
+                return await self._run_attempts(self.route_table)
         except TimeoutError:
             if self.progress.maybe_ran:
                 return self._fail(ErrorKind.DEADLINE_AFTER_START)
-            return self._refuse(ErrorKind.DEADLINE_UNREACHABLE)
+            return self._fail_with_retry_after(ErrorKind.DEADLINE_UNREACHABLE)
 
-    async def _try_servers(self, table: routes.RouteTable) -> replies.Reply:
-        """Tries servers until one answers; a second one may run beside."""
-        service = table.document.services[self.service]
+    async def _run_attempts(
+        self, route_table: routes.RouteTable
+    ) -> replies.Reply:
+        """Sends to servers until one responds, with one hedge at most."""
+        service = route_table.document.services[self.service]
         try:
             while True:
-                if not self.attempts or self._second_is_due():
-                    reply = await self._start_another(service)
+                if not self.attempts or self._hedge_is_due():
+                    reply = await self._start_attempt(service)
                     if reply is not None:
                         return reply
-                reply = self._take(await self._next_ended(service))
+                reply = self._process_outcomes(
+                    await self._wait_for_attempts(service)
+                )
                 if reply is not None:
                     return reply
         finally:
@@ -145,55 +151,60 @@
                 self.progress.maybe_ran |= attempt.sent
                 await attempt.cancel()
 
-    async def _start_another(
+    async def _start_attempt(
         self, service: types.Service
     ) -> replies.Reply | None:
-        """Sends to one more server; returns an answer if that can't be."""
-        beside = bool(self.attempts)
+        """Starts one more attempt.
+
+        Returns:
+            The reply that ends the call if neither a new nor a running
+            attempt is left, or None.
+        """
+        is_hedge = bool(self.attempts)
         if self._is_quarantined():
-            self.sole = True
-            return None if beside else self._give_up()
-        candidate = await self._choose(service, beside)
+            self.hedging_stopped = True
+            return None if is_hedge else self._end_without_server()
+        candidate = await self._choose_server(service, is_hedge)
         if candidate is None:
-            self.next_second = self.loop.time() + hedging.RETRY_PAUSE_S
-            return None if beside else self._give_up()
-        if self._is_quarantined() or not self._may_send(beside):
+            self.next_hedge_at = self.loop.time() + hedging.RECHECK_PAUSE_S
+            return None if is_hedge else self._end_without_server()
+        if self._is_quarantined() or not self._can_send(is_hedge):
             self.gateway.prober.release([candidate])
-            self.sole = True
-            return None if beside else self._give_up()
+            self.hedging_stopped = True
+            return None if is_hedge else self._end_without_server()
         self.attempted.add(candidate.entry.server.instance)
         self.attempts.append(attempts.Attempt(self, candidate))
         return None
 
-    async def _choose(
-        self, service: types.Service, beside: bool
+    async def _choose_server(
+        self, service: types.Service, is_hedge: bool
     ) -> probing.Candidate | None:
-        """Finds a server; one that is tried beside another must be good."""
+        """Selects a server; a hedge within the objective needs a good score."""
         now = self.loop.time()
         objective_s = self.route.objective_s
         in_time = now < self.request.received + objective_s
         usual_s = self.gateway.durations.usual_s(self.route.name, objective_s)
         limits = waiting.wait_limits(objective_s, usual_s, self.urgent, now)
         self.progress.usual_s = usual_s
-        wanted = server_choice.SelectionRequest(
+        selection_request = server_choice.SelectionRequest(
             self.route,
             service,
-            waiting.no_wait(now) if beside else limits,
+            waiting.no_wait(now) if is_hedge else limits,
             frozenset(self.attempted),
-            hedging.MAX_SCORE if beside and in_time else math.inf,
+            hedging.MAX_SCORE if is_hedge and in_time else math.inf,
         )
-        return await self.gateway.chooser.choose(wanted)
+        return await self.gateway.chooser.choose(selection_request)
 
-    def _may_send(self, beside: bool) -> bool:
+    def _can_send(self, is_hedge: bool) -> bool:
         if self.progress.sends == 0:
             return True
         if self.progress.sends >= self.route.max_attempts:
             return False
         budget = self.gateway.budget_of(self.service)
-        share = hedging.BUDGET_SHARE if beside else 1.0
+        share = hedging.BUDGET_SHARE if is_hedge else 1.0
         if budget.try_spend(self.loop.time(), share):
             return True
-        if not beside and budget.should_report_spent(self.loop.time()):
+        if not is_hedge and budget.should_report_spent(self.loop.time()):
             events.emit(
                 call_events.BudgetSpent(
                     id=self.request.request_id,
@@ -205,13 +216,17 @@
             )
         return False
 
-    def _second_is_due(self) -> bool:
-        """Tells whether the running try has taken so long that another runs.
+    def _hedge_is_due(self) -> bool:
+        """Returns whether the running attempt is slow enough for a hedge.
 
-        Only where the request may be executed again: of any other request the
-        answer may still come, and nothing better can be done.
+        Only idempotent requests are hedged. Any other request may not be
+        executed twice, so the only option is to wait for its response.
         """
-        if self.sole or not self.idempotent or len(self.attempts) > 1:
+        if (
+            self.hedging_stopped
+            or not self.idempotent
+            or len(self.attempts) > 1
+        ):
             return False
         if self.gateway.crash_detector.watch.is_suspect(
             self.request.fingerprint
@@ -219,118 +234,131 @@
             return False
         if self.progress.sends >= self.route.max_attempts:
             return False
-        late = hedging.should_hedge(self._first())
-        return late and self.loop.time() >= self.next_second
+        late = hedging.should_hedge(self._first_attempt())
+        return late and self.loop.time() >= self.next_hedge_at
 
-    def _first(self) -> hedging.FirstAttempt:
+    def _first_attempt(self) -> hedging.FirstAttempt:
         waited_s = self.loop.time() - self.attempts[0].started_at
         return hedging.FirstAttempt(
-            waited_s, self.route.objective_s, self.suspected
+            waited_s, self.route.objective_s, self.server_suspected
         )
 
-    async def _next_ended(
+    async def _wait_for_attempts(
         self, service: types.Service
     ) -> list[attempts.Attempt]:
-        """Waits until a try ends or it is time to look again."""
+        """Waits until an attempt ends or the next hedging check is due."""
         tasks = {attempt.task for attempt in self.attempts}
         if not tasks:
             return []
-        look_s = hedging.recheck_after_s(self._first())
+        recheck_s = hedging.recheck_after_s(self._first_attempt())
         await asyncio.wait(
-            tasks, timeout=look_s, return_when=asyncio.FIRST_COMPLETED
+            tasks, timeout=recheck_s, return_when=asyncio.FIRST_COMPLETED
         )
-        ended = [attempt for attempt in self.attempts if attempt.task.done()]
-        if not ended and self.idempotent:
-            await self._doubt(service)
-        return ended
+        finished = [attempt for attempt in self.attempts if attempt.task.done()]
+        if not finished and self.idempotent:
+            await self._probe_slow_server(service)
+        return finished
 
-    async def _doubt(self, service: types.Service) -> None:
-        """Asks the server of the only try whether it lives.
+    async def _probe_slow_server(self, service: types.Service) -> None:
+        """Probes the server of the only attempt, to detect a dead server.
 
-        The try goes on in any case: the question may be lost where the answer
-        is not.
+        The attempt continues in any case: the probe may be lost although the
+        response to the request arrives.
         """
-        if self.sole or self.suspected or len(self.attempts) != 1:
+        if (
+            self.hedging_stopped
+            or self.server_suspected
+            or len(self.attempts) != 1
+        ):
             return
         entry = self.attempts[0].entry
         if not entry.usable(self.loop.time()):
             return
-        found = await self.gateway.prober.probe([entry], service.health_path)
-        self.gateway.prober.release(found)
-        if not found:
-            self.suspected = True
+        candidates = await self.gateway.prober.probe(
+            [entry], service.health_path
+        )
+        self.gateway.prober.release(candidates)
+        if not candidates:
+            self.server_suspected = True
             events.emit(
                 call_events.ServerSuspected(
                     self.request.request_id, entry.server.instance
                 )
             )
 
-    def _take(self, ended: list[attempts.Attempt]) -> replies.Reply | None:
-        """Takes the outcomes of tries; returns the answer, if there is one."""
-        for attempt in ended:
+    def _process_outcomes(
+        self, finished: list[attempts.Attempt]
+    ) -> replies.Reply | None:
+        """Processes ended attempts; returns the reply if there is one."""
+        for attempt in finished:
             self.attempts.remove(attempt)
             outcome = attempt.finish()
             if isinstance(outcome, exchange.CompleteResponse):
-                if not self._worth_another(outcome):
-                    return self._relay(outcome)
-                self.failed_answer = outcome
+                if not self._should_retry(outcome):
+                    return self._forward_response(outcome)
+                self.failed_response = outcome
                 self.progress.maybe_ran = True
             elif isinstance(outcome, exchange.BrokenResponse):
                 self.progress.maybe_ran = True
-                if not self.idempotent or self._ends_servers(attempt, outcome):
+                if not self.idempotent or self._crashed_too_many(
+                    attempt, outcome
+                ):
                     return self._fail(outcome.kind)
         return None
 
     def _is_quarantined(self) -> bool:
-        """Tells whether it is refused since servers ended under it.
+        """Returns whether the request is quarantined for crashing servers.
 
-        Asked before each try: else every daemon ends servers with it anew.
+        Checked before each attempt: otherwise every daemon would crash more
+        servers with the same request.
         """
-        return self._quarantine_s() is not None
+        return self._quarantine_left_s() is not None
 
-    def _quarantine_s(self) -> float | None:
-        """Returns how long it is still refused, in seconds, or None."""
+    def _quarantine_left_s(self) -> float | None:
+        """Returns the rest of the quarantine in seconds, or None."""
         return self.gateway.crash_detector.watch.quarantine_left_s(
             self.request.fingerprint, self.loop.time()
         )
 
-    def _ends_servers(
+    def _crashed_too_many(
         self, attempt: attempts.Attempt, broken: exchange.BrokenResponse
     ) -> bool:
-        """Tells whether too many servers ended under it for another try.
+        """Returns whether too many servers crashed for another attempt.
 
-        With one, it most likely was only there; after a second, the next
-        server would be risked for a request that perhaps ends it too.
+        After one crash the request most likely was not the cause. After a
+        second one, another attempt would risk crashing a further server.
         """
         if broken.kind is not ErrorKind.CONNECTION_LOST:
             return False
-        lost = crash_detection.incarnation_id(attempt.entry.server)
-        found = self.gateway.crash_detector.watch.count_crashes(
-            self.request.fingerprint, lost
+        incarnation = crash_detection.incarnation_id(attempt.entry.server)
+        crashes = self.gateway.crash_detector.watch.count_crashes(
+            self.request.fingerprint, incarnation
         )
-        return found >= MAX_CRASHES_BEFORE_ATTEMPT
+        return crashes >= MAX_CRASHES_BEFORE_ATTEMPT
 
-    def _worth_another(self, answer: exchange.CompleteResponse) -> bool:
-        """Tells whether another server may do better than this failure."""
+    def _should_retry(self, response: exchange.CompleteResponse) -> bool:
+        """Returns whether a 5xx response should be retried elsewhere."""
         return (
-            answer.status >= 500
+            response.status >= 500
             and self.idempotent
             and self.progress.sends < self.route.max_attempts
-            and self.deadline - self.loop.time() > MIN_TIME_S
+            and self.deadline - self.loop.time() > MIN_REMAINING_S
         )
 
-    def _relay(self, answer: exchange.CompleteResponse) -> replies.Reply:
+    def _forward_response(
+        self, response: exchange.CompleteResponse
+    ) -> replies.Reply:
         return replies.Reply(
-            answer.status, answer.headers, answer.body, answer.length
+            response.status, response.headers, response.body, response.length
         )
 
-    def _give_up(self) -> replies.Reply:
-        """Ends a call for which no further server is to be had."""
-        if self.failed_answer is not None:
-            return self._relay(self.failed_answer)
+    def _end_without_server(self) -> replies.Reply:
+        """Returns the reply when no further attempt can be started."""
+        if self.failed_response is not None:
+            return self._forward_response(self.failed_response)
         if self.progress.maybe_ran:
             return self._fail(ErrorKind.CONNECTION_LOST)
-        wait_s = self._quarantine_s()
+        wait_s = self._quarantine_left_s()
         if wait_s is not None:
             return self._fail(ErrorKind.QUARANTINED, wait_s)
         now = self.loop.time()
@@ -341,15 +369,17 @@
             )
         shed = self.progress.sends > 0
         kind = ErrorKind.BACKEND_SHED if shed else ErrorKind.NO_SERVER
-        turn_in_s = self.gateway.chooser.seconds_until_turn(
+        wait_for_turn_s = self.gateway.chooser.seconds_until_turn(
             self.service, self.attempted
         )
-        if 0 < turn_in_s < math.inf:
+        if 0 < wait_for_turn_s < math.inf:
             self.progress.reason = "servers_limited"
-            return self._fail(kind, retry_after.turn_retry_after_s(turn_in_s))
-        return self._refuse(kind)
+            return self._fail(
+                kind, retry_after.turn_retry_after_s(wait_for_turn_s)
+            )
+        return self._fail_with_retry_after(kind)
 
-    def _refuse(self, kind: ErrorKind) -> replies.Reply:
+    def _fail_with_retry_after(self, kind: ErrorKind) -> replies.Reply:
         by_servers = kind is ErrorKind.BACKEND_SHED
         retry_after_s = retry_after.retry_after_s(
             self.gateway.random, by_servers
@@ -364,5 +394,5 @@
         ran = Ran.UNKNOWN if self.progress.maybe_ran else failure.answer.ran
         return replies.from_failure(failure, ran, self.gateway.settings.daemon)
 
-    def _finish(self, status: int, error: ErrorKind | None) -> None:
+    def _record_end(self, status: int, error: ErrorKind | None) -> None:
         self.gateway.record_call(self, status, error)
--- a/banyantiller/gateway/early_listening.py
+++ b/banyantiller/gateway/early_listening.py
@@ -1,51 +1,58 @@
-"""Lets callers wait while the program loads, if they have nowhere else to go.
+"""Listens for callers while the program loads, if no peer is running.
 
-Loading takes 0.3 s. Where other daemons live, a caller that is refused at once
-does better there, so nothing is listened on. Where all daemons start at the
-same time, a refused caller meets the next one that refuses and gives up: then
-this one listens before it loads, and answers when it can. Over 15 days that
-end with a restart of all daemons 249 callers got no connection at last, and 365
-when none listened before it was loaded.
+Loading takes 0.3 s. While peers are running, a caller whose connection is
+refused at once is served sooner by one of them, so this daemon does not listen
+yet. If all daemons start at the same time, a refused caller is refused by the
+next daemon as well and gives up. In this case the daemon listens before it
+loads, and serves the connection when it can. Over 15 days that end with a
+restart of all daemons, 249 callers got no connection; without early listening
+it was 365.
 """
 
 import os
 import select
 import socket
 
-# The address that callers are taken at, and addresses of other daemons that
-# listen while they serve, separated by commas. Both are in the environment,
-# since the settings file can't be read before the program is loaded.
+# The address to listen on for callers, and the addresses of peers that listen
+# while they serve, separated by commas. Both are environment variables, since
+# the settings file can't be read before the program is loaded.
 LISTEN_VARIABLE = "BANYANTILLER_LISTEN"
-OTHERS_VARIABLE = "BANYANTILLER_OTHERS"
-# A daemon that lives accepts a connection within 4 ms, twice the longest way
-# between availability zones; five times that for a busy one.
-ANSWER_S = 0.02
-# As many callers as the gateway's own listener lets wait.
+PEERS_VARIABLE = "BANYANTILLER_OTHERS"
+# A running daemon accepts a connection within 4 ms, which is twice the longest
+# latency between availability zones; a busy one gets five times that.
+ACCEPT_TIMEOUT_S = 0.02
+# The same as the backlog of the gateway's own listener.
 BACKLOG = 1024
 
 
 def listen(environment: dict[str, str] | None = None) -> socket.socket | None:
-    """Listens for callers unless another daemon does.
+    """Listens for callers unless a peer accepts connections.
 
     Args:
-        environment: Where both variables are; the process's own if None.
+        environment: Environment variables; those of the process if None.
 
     Returns:
-        The listening socket, or None if the program shall listen when loaded.
+        The listening socket, or None if the gateway listens after loading.
     """
     variables = os.environ if environment is None else environment
-    own = _address(variables.get(LISTEN_VARIABLE, ""))
-    listed = variables.get(OTHERS_VARIABLE, "").split(",")
-    others = [found for found in map(_address, listed) if found is not None]
-    if own is None or not others or _any_lives(others):
+    local_address = _address(variables.get(LISTEN_VARIABLE, ""))
+    listed = variables.get(PEERS_VARIABLE, "").split(",")
+    peer_addresses = [
+        found for found in map(_address, listed) if found is not None
+    ]
+    if (
+        local_address is None
+        or not peer_addresses
+        or _any_accepts(peer_addresses)
+    ):
         return None
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
-        listener.bind(own)
+        listener.bind(local_address)
         listener.listen(BACKLOG)
     except OSError:
-        # The gateway meets the same error when it listens, and reports it.
+        # The gateway gets the same error when it listens, and reports it.
         listener.close()
         return None
     return listener
@@ -56,34 +63,37 @@
     return (host, int(port)) if host and port.isdigit() else None
 
 
-def _any_lives(others: list[tuple[str, int]]) -> bool:
-    """Tells whether a connection to one of some addresses is accepted."""
-    asked = [socket.socket(socket.AF_INET, socket.SOCK_STREAM) for _ in others]
+def _any_accepts(peer_addresses: list[tuple[str, int]]) -> bool:
+    """Returns whether any of the peers accepts a connection."""
+    sockets = [
+        socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        for _ in peer_addresses
+    ]
     try:
-        waiting = [
-            one
-            for one, address in zip(asked, others, strict=True)
-            if _begin(one, address)
+        connecting = [
+            sock
+            for sock, address in zip(sockets, peer_addresses, strict=True)
+            if _start_connecting(sock, address)
         ]
-        while waiting:
-            _, ended, _ = select.select([], waiting, [], ANSWER_S)
-            if not ended:
+        while connecting:
+            _, finished, _ = select.select([], connecting, [], ACCEPT_TIMEOUT_S)
+            if not finished:
                 return False
-            for one in ended:
-                waiting.remove(one)
-                if not one.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+            for sock in finished:
+                connecting.remove(sock)
+                if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                     return True
         return False
     finally:
-        for one in asked:
-            one.close()
+        for sock in sockets:
+            sock.close()
 
 
-def _begin(one: socket.socket, address: tuple[str, int]) -> bool:
-    """Begins to connect; False if that fails at once."""
-    one.setblocking(False)
+def _start_connecting(sock: socket.socket, address: tuple[str, int]) -> bool:
+    """Starts to connect; returns False if that fails at once."""
+    sock.setblocking(False)
     try:
-        one.connect(address)
+        sock.connect(address)
     except BlockingIOError:
         return True
     except OSError:
--- a/banyantiller/gateway/gateway.py
+++ b/banyantiller/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway of one daemon: what is in force, and who is being served."""
+"""The gateway of one daemon: its shared state and its life cycle."""
 
 import asyncio
 import math
@@ -30,44 +30,44 @@
 from banyantiller.quarantine import crash_table
 
 BACKLOG = 1024
-# Part of the fleet's retry budget that is used: the users count a request
-# where it was sent, this daemon where it arrived.
-BUDGET_USE = 0.9
-# A daemon's part of what the budget allows besides, and of a server's
-# connections, where daemons can't be counted: small fleets have none to ask.
-FLEET_SHARE = 1 / turns.UNCOUNTED_FLEET
-# Part of what is shared that is used: a daemon that changes its group counts
-# in two for 3 s.
-SHARE_USE = 0.8
+# Part of the fleet's retry budget that is used. Those who check the budget
+# count a request where it was sent, this daemon counts it where it arrived.
+USABLE_BUDGET_RATIO = 0.9
+# A daemon's share of the extra retries and of a server's connections if daemons
+# can't be counted: small fleets have no relays to count them.
+UNCOUNTED_FLEET_SHARE = 1 / turns.UNCOUNTED_FLEET
+# Part of the share that is used: a daemon that changes its relay is counted at
+# both for 3 s.
+USABLE_SHARE_RATIO = 0.8
 MIN_CONNECTIONS = 4
-# Longest wait for a request without a route.
+# Maximum time for a call without a route.
 DEFAULT_TIMEOUT_S = 5.0
 MAX_RESPONSE_BYTES = 16 << 20
 HOUSEKEEPING_S = 0.25
-# After an order to end: how long new connections and requests are taken, so
-# that the platform, which asks once a second and acts on two misses, sees it.
-LISTEN_ON_S = 3.0
-# Connections that were accepted before listening ended are seen by then.
-ACCEPTED_S = 0.02
-# Part of the time to end that is kept for closing and for the interpreter's
-# end, which takes 0.1 s of processor time.
-RESERVE_S = 0.8
+# How long a draining daemon accepts connections and requests, so that the
+# platform, which checks readiness each second, notices: it acts on two misses.
+DRAIN_LISTEN_S = 3.0
+# Within this time, connections accepted before listening ended are registered.
+ACCEPT_SETTLE_S = 0.02
+# Part of the drain time that is reserved for closing connections and for the
+# interpreter's exit, which takes 0.1 s of processor time.
+SHUTDOWN_RESERVE_S = 0.8
 
 
 class Gateway:
-    """Takes calls from callers and relays the answers of servers.
+    """Routes calls to servers and forwards their responses to callers.
 
     Attributes:
         settings: Settings in force.
-        adapter: What is known of the surroundings.
-        store_view: What is known of the store: routes, limits and servers.
-        draining: Whether an order to end was given.
+        adapter: Access to the store and the formats of the environment.
+        store_view: State read from the store: routes, limits and servers.
+        draining: Whether the daemon is shutting down.
         connections: Open connections of callers.
         buffered_body_bytes: Bytes of request bodies in memory.
-        durations: How long requests usually take.
-        crash_detector: Which requests were on servers that ended.
-        quarantine_sync: Tells other daemons of them.
-        server_limits: Limits that servers name.
+        durations: Usual durations of requests.
+        crash_detector: Finds requests that were on servers that crashed.
+        quarantine_sync: Exchanges quarantined requests with peers.
+        server_limits: Rate limits that servers name.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         )
         self.store_view.mirror.mark = self.quarantine_sync.mark
         self.quarantine_sync.on_mark_change = self.store_view.mirror.wake
-        self.server_limits = server_limits.ServerLimits(adapter, self._place)
+        self.server_limits = server_limits.ServerLimits(adapter, self._position)
         self.store_view.mirror.server_limits = self.server_limits
         for peer in self.store_view.reader.relays:
             peer.server_limits = self.server_limits
@@ -118,7 +118,7 @@
             probing.ProbeCallbacks(
                 self.store_view.remove_moved,
                 self.crash_detector.record_refused_connection,
-                self._note_health,
+                self._record_probe_limit,
             ),
             settings.zone,
         )
@@ -126,82 +126,80 @@
             self.store_view.table,
             self.prober,
             selection.ServerSelector(settings.daemon, settings.zone, rng),
-            self._connected,
+            self._find_connected,
             lambda: self.min_recent_share() * self.settings.cold_tolerance,
             self.server_limits,
         )
-        self.emptied = asyncio.Event()
+        self.all_closed = asyncio.Event()
         self.listener: asyncio.Server | None = None
 
-    # Called by the daemon.
-
     async def start(
-        self, endpoint: Endpoint, waiting: socket.socket | None = None
+        self, endpoint: Endpoint, listener: socket.socket | None = None
     ) -> Endpoint:
-        """Listens for callers and returns where.
+        """Starts to listen for callers and returns the bound endpoint.
 
         Args:
-            endpoint: Where to listen.
-            waiting: Socket that listens already; of use if it is there.
+            endpoint: Address and port to listen on.
+            listener: Listening socket, used if it is bound to `endpoint`.
 
         Raises:
             OSError: The address can't be bound.
         """
-        wanted = (endpoint.address, endpoint.port)
-        if waiting is not None and waiting.getsockname() != wanted:
-            waiting.close()
-            waiting = None
-        where = {"host": wanted[0], "port": wanted[1]}
-        if waiting is not None:
-            where = {"sock": waiting}
+        address = (endpoint.address, endpoint.port)
+        if listener is not None and listener.getsockname() != address:
+            listener.close()
+            listener = None
+        target = {"host": address[0], "port": address[1]}
+        if listener is not None:
+            target = {"sock": listener}
         self.listener = await self.loop.create_server(
-            lambda: caller.CallerConnection(self), backlog=BACKLOG, **where
+            lambda: caller.CallerConnection(self), backlog=BACKLOG, **target
         )
         bound = self.listener.sockets[0].getsockname()
         return Endpoint(bound[0], bound[1])
 
-    def not_ready(self) -> str:
-        """Returns why callers should not be sent here, or an empty text."""
+    def not_ready_reason(self) -> str:
+        """Returns why the daemon is not ready, or an empty text if it is."""
         if self.draining:
-            return "the daemon is ending"
+            return "the daemon is shutting down"
         if self.store_view.routes is None:
             return "no document is in force"
         if not self.store_view.servers_listed:
-            return "the servers are not known"
+            return "the list of servers was not read yet"
         if not self.store_view.evacuations.listed:
             return "the evacuated zones are not known"
         return ""
 
     async def drain(self, limit_s: float) -> int:
-        """Ends without cutting a call.
+        """Stops listening and waits until callers' connections are closed.
 
         Args:
             limit_s: Time until the process is killed, in seconds.
 
         Returns:
-            Number of calls that were still in flight at the end.
+            Number of calls that are cut, as they are still in flight.
         """
         self.draining = True
         self.store_view.begin_shutdown()
-        ends = self.loop.time() + limit_s - RESERVE_S
-        await asyncio.sleep(min(LISTEN_ON_S, limit_s / 2))
+        deadline = self.loop.time() + limit_s - SHUTDOWN_RESERVE_S
+        await asyncio.sleep(min(DRAIN_LISTEN_S, limit_s / 2))
         if self.listener is not None:
             self.listener.close()
-        await asyncio.sleep(ACCEPTED_S)
+        await asyncio.sleep(ACCEPT_SETTLE_S)
         for connection in list(self.connections):
             connection.drain()
-        # It may have been empty for a moment before.
-        self.emptied.clear()
-        self._note_emptied()
+        # It may be set if no connection was open for a moment.
+        self.all_closed.clear()
+        self._signal_if_closed()
         try:
-            async with asyncio.timeout_at(ends):
-                await self.emptied.wait()
+            async with asyncio.timeout_at(deadline):
+                await self.all_closed.wait()
         except TimeoutError:
             events.emit(events.CallsCut(self._in_flight()))
         return self._in_flight()
 
     async def run_housekeeping(self) -> None:
-        """Forgets what is out of date, now and then, until cancelled."""
+        """Removes expired state periodically until it is cancelled."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
             now = self.loop.time()
@@ -212,96 +210,97 @@
             )
             self.crash_detector.watch.expire(now)
             self.min_recent_share()
-            for kept in self.pools.values():
-                kept.expire(now)
+            for server_pool in self.pools.values():
+                server_pool.expire(now)
             if self.store_view.routes is not None:
                 self.durations.retain_routes(self.store_view.routes.names)
 
     async def close(self) -> None:
-        """Closes every connection at once."""
+        """Closes every connection to servers and peers."""
         self.quarantine_sync.close()
-        for kept in self.pools.values():
-            kept.close()
+        for server_pool in self.pools.values():
+            server_pool.close()
         await self.store_view.reader.close()
 
     async def handle_peer(self, request: messages.Request) -> messages.Response:
-        """Answers another daemon."""
+        """Handles a request of a peer."""
         if request.path.startswith(quarantine_sync.PATH):
             return self.quarantine_sync.handle(request)
         return await self.store_view.mirror.handle(request)
 
-    # Called by connections and calls.
-
     def pool_of(self, server: types.Server) -> pool.Pool:
-        """Returns the connections to a server.
+        """Returns the connection pool of a server.
 
-        For a server that has left or started again, returns a closed pool that
-        keeps nothing: pools are found by instance, which a later start shares.
+        For a server that left or restarted, returns a closed pool that keeps
+        nothing: pools are keyed by instance, which a restarted server may keep.
         """
         if not self.store_view.table.is_registered(server):
             closed = pool.Pool(server, MIN_CONNECTIONS, self.tallies.opened)
             closed.close()
             return closed
-        found = self.pools.get(server.instance)
-        if found is None:
-            found = pool.Pool(server, MIN_CONNECTIONS, self.tallies.opened)
-            self.pools[server.instance] = found
-        found.max_size = self._connections_of(server.service)
-        return found
+        server_pool = self.pools.get(server.instance)
+        if server_pool is None:
+            server_pool = pool.Pool(
+                server, MIN_CONNECTIONS, self.tallies.opened
+            )
+            self.pools[server.instance] = server_pool
+        server_pool.max_size = self._max_connections(server.service)
+        return server_pool
 
     def budget_of(self, service: str) -> budget.RetryBudget:
         """Returns the retry budget of a service."""
-        found = self.budgets.get(service)
-        if found is None:
+        service_budget = self.budgets.get(service)
+        if service_budget is None:
             rounding = budget.rounding(self.settings.daemon, service)
-            found = budget.RetryBudget(0.0, 0.0, 0.0, rounding)
-            self.budgets[service] = found
-        # Settings may have changed; what was used counts on.
-        found.window_s = self.settings.retry_window_s
-        found.ratio = self.settings.retry_ratio * BUDGET_USE
-        found.extra = self.settings.retry_extra * self.min_recent_share()
-        return found
+            service_budget = budget.RetryBudget(0.0, 0.0, 0.0, rounding)
+            self.budgets[service] = service_budget
+        # Settings may have changed; retries already spent still count.
+        service_budget.window_s = self.settings.retry_window_s
+        service_budget.ratio = self.settings.retry_ratio * USABLE_BUDGET_RATIO
+        service_budget.extra = (
+            self.settings.retry_extra * self.min_recent_share()
+        )
+        return service_budget
 
     def min_recent_share(self) -> float:
-        """Returns the least share that was held in the last retry window."""
+        """Returns the smallest share during the last retry window."""
         if not self.settings.seeds:
-            return FLEET_SHARE
+            return UNCOUNTED_FLEET_SHARE
         now = self.loop.time()
         self.shares.window_s = self.settings.retry_window_s
         self.shares.record(self.share(), now)
         return self.shares.minimum(now)
 
     def share(self) -> float:
-        """Returns this daemon's part of what the fleet may use.
+        """Returns this daemon's share of the fleet's budgets, from 0 to 1.
 
-        Until the daemons that share it were counted it is nothing, if they can
-        be counted at all.
+        If the daemons can be counted, the share is 0 until they were.
         """
         if not self.settings.seeds:
-            return FLEET_SHARE
-        return (self.store_view.reader.budget_share or 0.0) * SHARE_USE
+            return UNCOUNTED_FLEET_SHARE
+        return (self.store_view.reader.budget_share or 0.0) * USABLE_SHARE_RATIO
 
     def remove_connection(self, connection: caller.CallerConnection) -> None:
-        """Forgets a caller's connection."""
+        """Removes a closed connection of a caller."""
         self.connections.discard(connection)
         if self.draining:
-            self._note_emptied()
+            self._signal_if_closed()
 
     def record_call(
         self, call: calls.Call, status: int, error: ErrorKind | None
     ) -> None:
-        """Counts and logs the end of a call."""
+        """Counts and logs a finished call."""
         progress = call.progress
         duration_s = self.loop.time() - call.request.received
         route = call.route.name if call.route is not None else ""
         self.tallies.record_call(
             call.service, route, status, error, progress.sends, duration_s
         )
-        good = error is None and status < 500 and progress.sends <= 1
+        successful = error is None and status < 500 and progress.sends <= 1
         skipped = self.sampler.begin_second(self.loop.time())
         if skipped is not None:
             events.emit(call_events.CallsNotLogged(*skipped))
-        if self.sampler.should_log(good):
+        if self.sampler.should_log(successful):
             self._log_call(call, status, error, route, duration_s)
 
     def _log_call(
@@ -338,9 +337,7 @@
         )
         events.emit(ended)
 
-    # Within.
-
-    def _note_health(
+    def _record_probe_limit(
         self, server: types.Server, headers: messages.Headers, sent_at: float
     ) -> None:
         self.server_limits.record_response(
@@ -348,50 +345,52 @@
         )
 
     def _run_waiting_calls(self) -> None:
-        """Runs reads that were sent ahead of their answers at a start.
+        """Starts pipelined reads once the first document is in force.
 
-        Before the first document no request is known to be idempotent, so that
-        each waits for those before it on its connection.
+        Before the first document no request is known to be idempotent, so each
+        waits for those before it on its connection.
         """
         for connection in tuple(self.connections):
             connection.run_waiting_calls()
 
-    def _place(self) -> turns.FleetPosition | None:
-        """Returns this daemon's place among those that take turns."""
+    def _position(self) -> turns.FleetPosition | None:
+        """Returns this daemon's position among those that take turns."""
         if self.settings.seeds:
             return self.store_view.reader.position
         return turns.uncounted_position(self.settings.daemon)
 
-    def _connected(
+    def _find_connected(
         self, entries: list[servers.ServerEntry]
-    ) -> selection.Connected:
-        """Returns to which servers there are connections."""
+    ) -> selection.ConnectedServers:
+        """Returns which servers have an idle or only busy connections."""
         pools = [
             (entry.server.instance, self.pools.get(entry.server.instance))
             for entry in entries
         ]
-        found = [(name, kept) for name, kept in pools if kept is not None]
-        idle = frozenset(name for name, kept in found if kept.has_idle())
-        busy = frozenset(name for name, kept in found if kept.busy)
-        return selection.Connected(idle, busy - idle)
-
-    def _connections_of(self, service: str) -> int:
-        found = self.store_view.service(service)
-        if found is None:
+        open_pools = [(name, held) for name, held in pools if held is not None]
+        idle = frozenset(name for name, held in open_pools if held.has_idle())
+        busy = frozenset(name for name, held in open_pools if held.busy)
+        return selection.ConnectedServers(idle, busy - idle)
+
+    def _max_connections(self, service: str) -> int:
+        definition = self.store_view.service(service)
+        if definition is None:
             return MIN_CONNECTIONS
-        return max(MIN_CONNECTIONS, int(found.max_connections * self.share()))
+        return max(
+            MIN_CONNECTIONS, int(definition.max_connections * self.share())
+        )
 
     def _close_pool(self, server: types.Server) -> None:
-        found = self.pools.pop(server.instance, None)
-        if found is not None:
-            found.close()
+        server_pool = self.pools.pop(server.instance, None)
+        if server_pool is not None:
+            server_pool.close()
 
     def _in_flight(self) -> int:
-        return sum(len(connection.slots) for connection in self.connections)
+        return sum(len(connection.pipeline) for connection in self.connections)
 
-    def _note_emptied(self) -> None:
+    def _signal_if_closed(self) -> None:
         if not self.connections:
-            self.emptied.set()
+            self.all_closed.set()
 
 
 def _rounded_ms(age_s: float) -> float | None:
