--- a/banyantiller/daemon/assembly.py
+++ b/banyantiller/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a daemon out of its parts and connects them."""
+"""Creates the components of a daemon and connects them."""
 
 import asyncio
 import random
@@ -33,12 +33,13 @@
 
 
 class Daemon:
-    """The parts of one daemon.
+    """The components of one daemon.
 
     Attributes:
         settings: Settings in force.
         kernel: Runs the tasks and delivers events.
-        draining: Whether the graceful end has begun.
+        draining: Whether the graceful shutdown has begun.
+        wall: Returns wall-clock seconds.
     """
 
     def __init__(
@@ -58,18 +59,18 @@
         self.store: store_interface.ObjectStore = registry.get(
             "object_api", settings.object_api.adapter
         )(settings.object_api, settings.deployment)
-        self.vms = _vm_list(settings, registry)
+        self.vms = _create_vm_list(settings, registry)
         self.peers = peering.Peers.from_settings(
             settings, self.kernel, wall, seed
         )
-        self.spread = replicator.BundleReplicator.from_settings(
+        self.replicator = replicator.BundleReplicator.from_settings(
             settings,
             self.store,
             self.peers,
             self.kernel,
             wall,
             seed,
-            _replica(settings),
+            _create_replica(settings),
         )
         self.claims = arbiter.StoreClaims.from_settings(
             self.store, settings.deployment, settings.daemon, wall
@@ -80,7 +81,7 @@
         self.proxy = proxying.Proxy.from_settings(
             settings,
             self.kernel,
-            _routing(settings, registry),
+            _choose_routing(settings, registry),
             self.claims,
             self.budget.charger,
             wall,
@@ -95,7 +96,7 @@
         )
         self.admin = admin.Admin(self.readiness, self.state, self.instruments)
         self.admin_server = admin_server.AdminServer(
-            self.admin, self.proxy.crash_tracker.lift
+            self.admin, self.proxy.crash_detector.lift
         )
 
     @classmethod
@@ -105,41 +106,42 @@
         registry: plugins.Registry,
         wall: Callable[[], float],
     ) -> "Daemon":
-        """Builds a daemon that is seeded by the system's random source.
+        """Creates a daemon that is seeded by the system's random source.
 
         Args:
             settings: Validated settings.
-            registry: Plug-ins to take adapters and the routing from.
+            registry: Plug-ins that provide the adapters and the routing.
             wall: Returns wall-clock seconds.
         """
         seed = random.SystemRandom().getrandbits(SEED_BITS)
         return cls(settings, registry, wall, seed)
 
     async def start(self) -> None:
-        """Connects the parts and starts listeners and tasks.
+        """Connects the components and starts listeners and tasks.
 
         Raises:
-            ConfigError: An address can't be used.
+            ConfigError: An address cannot be used.
         """
         try:
             await self._start()
         except OSError as error:
             raise exceptions.ConfigError(
-                f"An address can't be listened on: {error}."
+                f"Cannot listen on an address: {error}."
             ) from error
 
     async def _start(self) -> None:
         metrics.add_calls(self.instruments, self.counts)
         metrics.add_in_flight(self.instruments, self.proxy.own_load)
         metrics.add_quarantine(
-            self.instruments, self.proxy.crash_tracker.count_quarantined
+            self.instruments, self.proxy.crash_detector.count_quarantined
         )
         self.kernel.subscribe(events.CallFinished, self.counts.record)
         self.registry.connect(self.kernel)
         bundles.connect(self)
         endpoint = await self.admin_server.start(self.settings.admin)
         peer_endpoint = await self.peers.start()
-        self.kernel.start("spread", self.spread.run)
+        # The status page shows the names of tasks.
+        self.kernel.start("spread", self.replicator.run)
         self.kernel.start("claims", self.claims.run)
         self.kernel.start("measuring", self.budget.run)
         self.kernel.start("evidence", self.writer.run)
@@ -154,7 +156,7 @@
         )
 
     async def stop(self) -> int:
-        """Ends gracefully: drains calls, writes evidence, leaves the peers.
+        """Drains calls, writes the last evidence and leaves the peers.
 
         Returns:
             Number of calls that were cut at the drain limit.
@@ -167,7 +169,7 @@
         cut_calls.report(self)
         self.peers.leave()
         await self.kernel.stop()
-        # Closing settles the claims of calls that are cut by it.
+        # Closing the proxy cuts calls and settles their claims.
         await self.proxy.close()
         await self.claims.drain()
         await self.writer.finish()
@@ -179,7 +181,7 @@
         return cut
 
     def readiness(self) -> admin.Readiness:
-        """Tells whether callers should be sent here."""
+        """Returns whether callers should be sent to this daemon."""
         if self.draining:
             return admin.Readiness(False, "the daemon is draining")
         if self.proxy.version == 0:
@@ -190,17 +192,17 @@
 
     def state(self) -> dict[str, object]:
         """Returns the daemon's state for the status page."""
-        held = self.spread.in_force
+        in_force = self.replicator.in_force
         return {
             "deployment": self.settings.deployment,
             "daemon": self.settings.daemon,
             "zone": self.settings.zone,
             "region": self.settings.region,
-            "bundle": held.accepted.manifest.version if held else 0,
-            "digest": held.digest if held else "",
+            "bundle": in_force.accepted.manifest.version if in_force else 0,
+            "digest": in_force.digest if in_force else "",
             "in_flight": self.proxy.in_flight,
             "draining": self.draining,
-            "isolated": self.spread.isolated,
+            "isolated": self.replicator.isolated,
             "fenced": self.proxy.fenced,
             "members": sorted(
                 entry.daemon for entry in self.peers.alive_members()
@@ -211,7 +213,7 @@
         }
 
 
-def _vm_list(
+def _create_vm_list(
     settings: defaults.Settings, registry: plugins.Registry
 ) -> vm_interface.VmList | None:
     if settings.vm_list is None:
@@ -220,7 +222,7 @@
     return factory(settings.vm_list)
 
 
-def _routing(
+def _choose_routing(
     settings: defaults.Settings, registry: plugins.Registry
 ) -> plugins.Factory:
     factory = registry.get("routing", settings.routing)
@@ -231,7 +233,7 @@
     return recording.record_to_files(factory, settings.trace_file)
 
 
-def _replica(settings: defaults.Settings) -> state.Replica | None:
+def _create_replica(settings: defaults.Settings) -> state.Replica | None:
     if not settings.trace_file:
         return None
     from banyantiller.replay import replica_recording
--- a/banyantiller/daemon/run.py
+++ b/banyantiller/daemon/run.py
@@ -1,4 +1,4 @@
-"""Command line of the daemon: one settings file, then run until told to end."""
+"""Command line of the daemon, which takes the path of a settings file."""
 
 import argparse
 import asyncio
@@ -15,18 +15,18 @@
 
 log = structlog.get_logger("banyantiller.daemon")
 
-EXIT_CUT = 1
+EXIT_CALLS_CUT = 1
 
 
 def run(argv: list[str]) -> int:
     """Runs a daemon until SIGTERM or SIGINT.
 
     Args:
-        argv: Arguments after the program's name.
+        argv: Command-line arguments without the program name.
 
     Returns:
-        0 after a graceful end, 1 when calls were cut at the drain limit, or
-        the exit code of the error that kept the daemon from starting.
+        0 after a graceful shutdown, 1 if calls were cut at the drain limit, or
+        the exit code of the error that prevented the start.
     """
     options = _parser().parse_args(argv)
     try:
@@ -50,11 +50,11 @@
     logs.configure(
         settings.log, deployment=settings.deployment, daemon=settings.daemon
     )
-    for problem in warnings:
-        log.warning("daemon: check the settings.", problem=str(problem))
+    for warning in warnings:
+        log.warning("daemon: check the settings.", problem=str(warning))
     registry = plugins.Registry.from_entry_points()
     daemon = assembly.Daemon.from_settings(settings, registry, time.time)
     gc_tuning.tune()
-    cycle = lifecycle.Lifecycle(daemon, path)
-    cut = await cycle.run()
-    return EXIT_CUT if cut else 0
+    process_lifecycle = lifecycle.Lifecycle(daemon, path)
+    cut = await process_lifecycle.run()
+    return EXIT_CALLS_CUT if cut else 0
--- a/banyantiller/http/connection.py
+++ b/banyantiller/http/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: writes a request and reads its answer."""
+"""One client connection: writes requests and reads responses."""
 
 import asyncio
 import socket
@@ -13,20 +13,20 @@
 
 
 class ConnectionLostError(Exception):
-    """The other side closed early or broke the protocol."""
+    """The remote side closed the connection early or broke the protocol."""
 
 
 class BodyTooLargeError(Exception):
-    """A body is over the limit."""
+    """A response body exceeds the limit."""
 
 
 class ClientConnection:
     """A connection that carries one exchange at a time.
 
     Attributes:
-        proven_at: Loop time of the end of the last whole answer, or None.
-        unasked: Waits, between exchanges, for bytes that nobody asked for.
-        stray: Whether an answer to another request was read.
+        last_response_at: Loop time of the end of the last response, or None.
+        idle_read: Read between exchanges that detects unsolicited bytes.
+        has_unmatched_response: Whether a response to another request was read.
     """
 
     def __init__(
@@ -41,9 +41,9 @@
         self.codec = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=head_bytes
         )
-        self.stray = False
-        self.proven_at: float | None = None
-        self.unasked: asyncio.Task[bytes] | None = None
+        self.has_unmatched_response = False
+        self.last_response_at: float | None = None
+        self.idle_read: asyncio.Task[bytes] | None = None
 
     @classmethod
     async def open(
@@ -54,7 +54,7 @@
         tls: "ssl.SSLContext | None",
         server_name: str,
     ) -> "ClientConnection":
-        """Connects.
+        """Opens a connection.
 
         Raises:
             OSError: The connection or its TLS handshake failed.
@@ -65,11 +65,11 @@
         )
         return cls(reader, writer, head_bytes)
 
-    def end_when_silent(self, silence_s: int) -> None:
-        """Has the system end the connection when the other side is gone.
+    def abort_when_unresponsive(self, silence_s: int) -> None:
+        """Makes the system abort a connection whose remote side is gone.
 
         Args:
-            silence_s: Time without an acknowledgement, in seconds; 2 or more.
+            silence_s: Time without an acknowledgement, in seconds; at least 2.
         """
         raw = self.writer.get_extra_info("socket")
         options = (
@@ -83,20 +83,23 @@
             raw.setsockopt(level, name, value)
 
     async def resume(self) -> bool:
-        """Prepares an idle connection; False if it can't be used.
+        """Prepares an idle connection for reuse.
 
-        Bytes that came without a request would be taken for its answer.
+        Unsolicited bytes would be taken for the response to the next request.
+
+        Returns:
+            Whether the connection can be used.
         """
-        if self.unasked is None or self.unasked.done():
+        if self.idle_read is None or self.idle_read.done():
             return False
-        self.unasked.cancel()
-        await asyncio.wait([self.unasked])
-        silent = self.unasked.cancelled()
-        self.unasked = None
-        return silent and not self.writer.is_closing()
+        self.idle_read.cancel()
+        await asyncio.wait([self.idle_read])
+        is_unused = self.idle_read.cancelled()
+        self.idle_read = None
+        return is_unused and not self.writer.is_closing()
 
     async def send(self, request: messages.Request) -> None:
-        """Writes a whole request and waits until most of it is sent.
+        """Writes a request and waits until the write buffer has drained.
 
         Raises:
             OSError: The connection failed.
@@ -105,34 +108,38 @@
         await self.writer.drain()
 
     def write(self, request: messages.Request) -> None:
-        """Writes a whole request; the other side may answer before its end."""
+        """Writes a request without waiting.
+
+        The remote side may respond before it has received all of it.
+        """
         self.writer.writelines(self._encode(request))
 
     def expect_again(self, request: messages.Request) -> None:
-        """Prepares to read one more answer to a request that was written.
+        """Prepares to read another response to a request that was written.
 
-        Called after a whole answer that belongs to another request. The
-        connection ends with the exchange: what else it carries is not known.
+        Called after a complete response that belongs to another request. The
+        connection is not reused afterwards, since it may carry more responses
+        to other requests.
 
         Raises:
-            ConnectionLostError: The other side has closed the connection.
+            ConnectionLostError: The remote side has closed the connection.
         """
-        rest, ended = self.codec.trailing_data
-        if ended and not rest:
+        trailing_data, closed = self.codec.trailing_data
+        if closed and not trailing_data:
             raise ConnectionLostError("the connection was closed")
         self.codec = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=self.head_bytes
         )
         self._encode(request)
-        self.stray = True
-        if rest:
-            self.codec.receive_data(rest)
+        self.has_unmatched_response = True
+        if trailing_data:
+            self.codec.receive_data(trailing_data)
 
     async def read_head(self) -> messages.Response:
-        """Reads the head of the final answer.
+        """Reads the head of the final response, skipping informational ones.
 
         Raises:
-            ConnectionLostError: The connection closed or sent no HTTP.
+            ConnectionLostError: The connection closed or sent invalid HTTP.
         """
         while True:
             event = await self._next_event()
@@ -142,10 +149,10 @@
                 )
 
     async def read_chunk(self) -> bytes:
-        """Reads a part of the answer's body; empty at its end.
+        """Reads a chunk of the response body; empty at its end.
 
         Raises:
-            ConnectionLostError: The connection closed or sent no HTTP.
+            ConnectionLostError: The connection closed or sent invalid HTTP.
         """
         while True:
             event = await self._next_event()
@@ -154,51 +161,55 @@
             if isinstance(event, h11.Data) and event.data:
                 return bytes(event.data)
 
-    async def read_body(self, most: int) -> bytes:
-        """Reads the rest of the answer's body.
+    async def read_body(self, max_bytes: int) -> bytes:
+        """Reads the rest of the response body.
 
         Raises:
-            ConnectionLostError: The connection closed or sent no HTTP.
-            BodyTooLargeError: The body is longer than `most` bytes.
+            ConnectionLostError: The connection closed or sent invalid HTTP.
+            BodyTooLargeError: The body is longer than `max_bytes` bytes.
         """
         parts = []
         size = 0
         while chunk := await self.read_chunk():
             size += len(chunk)
-            if size > most:
-                raise BodyTooLargeError(f"a body is over {most} bytes")
+            if size > max_bytes:
+                raise BodyTooLargeError(f"a body is over {max_bytes} bytes")
             parts.append(chunk)
         return b"".join(parts)
 
     def finish(self) -> bool:
-        """Ends an exchange and rests; False if there can be no other."""
+        """Ends an exchange and watches the idle connection.
+
+        Returns:
+            Whether the connection can be reused.
+        """
         if not self.ready_again():
             return False
-        self.rest()
+        self.watch_idle()
         return True
 
-    def rest(self) -> None:
-        """Waits for bytes that nobody asked for; `resume` ends it."""
-        self.unasked = asyncio.ensure_future(self.reader.read(1))
+    def watch_idle(self) -> None:
+        """Starts to watch for unsolicited bytes until `resume` is called."""
+        self.idle_read = asyncio.ensure_future(self.reader.read(1))
 
     def ready_again(self) -> bool:
-        """Ends an exchange; False if there can be no other."""
-        if self.stray or self.codec.trailing_data[0]:
+        """Ends an exchange; returns whether the connection can be reused."""
+        if self.has_unmatched_response or self.codec.trailing_data[0]:
             return False
         if self.writer.transport.get_write_buffer_size():
-            # The answer came before the request was read.
+            # The response arrived before the request was read completely.
             return False
         try:
             self.codec.start_next_cycle()
         except h11.LocalProtocolError:
             return False
-        self.proven_at = asyncio.get_running_loop().time()
+        self.last_response_at = asyncio.get_running_loop().time()
         return True
 
     def close(self) -> None:
-        """Closes at once."""
-        if self.unasked is not None:
-            self.unasked.cancel()
+        """Aborts the connection."""
+        if self.idle_read is not None:
+            self.idle_read.cancel()
         self.writer.transport.abort()
 
     def _encode(self, request: messages.Request) -> list[bytes]:
--- a/banyantiller/telemetry/tallies.py
+++ b/banyantiller/telemetry/tallies.py
@@ -1,8 +1,8 @@
-"""Plain counters of calls, filled on the hot path and read by metrics.
+"""Counters of calls that are updated on the hot path and read by metrics.
 
-Recording through the metrics library costs about 28 microseconds a call
-for one counter and one histogram; a dictionary and an HDR histogram cost
-about 3. The library reads these tallies when metrics are asked for.
+Recording one counter and one histogram through the metrics library takes
+about 28 microseconds per call; a dictionary and an HDR histogram take about
+3. The library reads these tallies when metrics are requested.
 """
 
 import collections
@@ -11,9 +11,9 @@
 
 from banyantiller.kernel import events
 
-LEAST_US = 1
-MOST_US = 600_000_000
-DIGITS = 2
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 2
 
 
 class CallTallies:
@@ -22,10 +22,10 @@
     Attributes:
         calls: Calls by service and status code.
         errors: Failed calls by service and error kind.
-        cut: Relayed answers that ended early, by service.
-        attempts: Backend tries by service.
-        latency_us: Time from head to end of answer, by service, in
-            microseconds.
+        cut: Truncated responses by service.
+        attempts: Attempts at backend servers by service.
+        latency_us: Time from the head of the request to the end of the
+            response, by service, in microseconds.
     """
 
     def __init__(self) -> None:
@@ -46,13 +46,15 @@
             self.errors[service, event.error.value] += 1
         if event.cut:
             self.cut[service] += 1
-        self._latency(service).record_value(
-            max(LEAST_US, int(event.duration_s * 1e6))
+        self._latency_histogram(service).record_value(
+            max(MIN_LATENCY_US, int(event.duration_s * 1e6))
         )
 
-    def _latency(self, service: str) -> histogram.HdrHistogram:
-        found = self.latency_us.get(service)
-        if found is None:
-            found = histogram.HdrHistogram(LEAST_US, MOST_US, DIGITS)
-            self.latency_us[service] = found
-        return found
+    def _latency_histogram(self, service: str) -> histogram.HdrHistogram:
+        service_histogram = self.latency_us.get(service)
+        if service_histogram is None:
+            service_histogram = histogram.HdrHistogram(
+                MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+            )
+            self.latency_us[service] = service_histogram
+        return service_histogram
--- a/banyantiller/tests/daemon/test_outdated_bundle.py
+++ b/banyantiller/tests/daemon/test_outdated_bundle.py
@@ -1,4 +1,4 @@
-"""Tests of refusals while a daemon knows that its bundle may be outdated."""
+"""Tests of rejections by a daemon whose bundle may be outdated."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,22 +20,25 @@
 KEY_REQUIRED = samples.BUNDLE.replace(
     "    path: /orders\n", "    path: /orders\n    key_required: true\n"
 )
-SOON_S = 3.0
+PROPAGATION_S = 3.0
 
 
 async def roll(fleet: whole.Fleet, text: str) -> None:
-    """Proposes, signs and rolls a bundle with the operators' own store."""
+    """Proposes, signs and rolls a bundle through a store without faults."""
     store = memory.MemoryStore(fleet.table)
     await samples.roll(store, await samples.prepare(store, text))
 
 
-async def start_behind(fleet: whole.Fleet, *texts: str) -> Callable[[], None]:
-    """Starts two daemons; the second only hears of the last bundle's number.
+async def start_with_outdated_bundle(
+    fleet: whole.Fleet, *texts: str
+) -> Callable[[], None]:
+    """Starts two daemons; the second learns only the last bundle's version.
 
-    Its object API is down, and the first does not get to send it the bundle.
+    Its object API is down, and the first daemon does not answer its requests
+    for the bundle.
 
     Returns:
-        A function after which the first daemon sends it.
+        A function that lets the first daemon send the bundle.
     """
     await fleet.start(2)
     for text in texts[:-1]:
@@ -45,27 +48,29 @@
     handlers = fleet.daemons[0].peers.message_handlers
     send_bundle = handlers.pop(messages.BundleRequest)
     await roll(fleet, texts[-1])
-    await asyncio.sleep(SOON_S)
+    await asyncio.sleep(PROPAGATION_S)
 
-    def let_send() -> None:
+    def deliver_bundle() -> None:
         handlers[messages.BundleRequest] = send_bundle
 
-    return let_send
+    return deliver_bundle
 
 
-class KnownNewerBundleTest(base.TestCase):
-    def test_route_of_a_newer_bundle_is_not_told_as_unknown(self) -> None:
+class NewerBundleTest(base.TestCase):
+    def test_route_of_a_newer_bundle_is_retryable(self) -> None:
         """A peer's heartbeat names version 2, which has not arrived yet.
 
         `/maps` exists in version 2 only. The daemon knows that version 1 is
-        outdated, so it can't tell that a route does not exist. It said
-        `404 unknown_service` with `"retry": false`, and the caller gave up
-        on a route that the daemon served once the bundle had arrived.
+        outdated, so it cannot know that a route does not exist. With
+        `404 unknown_service` and `"retry": false` the caller would give up on
+        a route that the daemon serves once the bundle has arrived.
         """
 
         async def scenario() -> None:
             fleet = whole.Fleet()
-            let_send = await start_behind(fleet, samples.BUNDLE + MAPS)
+            deliver_bundle = await start_with_outdated_bundle(
+                fleet, samples.BUNDLE + MAPS
+            )
             self.assertEqual(1, fleet.daemons[1].proxy.version)
             refused = await whole.send(8002, "GET", "/maps/1")
             self.assertEqual(503, refused.status, refused)
@@ -73,8 +78,8 @@
             self.assertTrue(refused.header("retry-after"))
             served = await whole.send(8002, "GET", "/orders/1")
             self.assertEqual(200, served.status, served)
-            let_send()
-            await asyncio.sleep(SOON_S)
+            deliver_bundle()
+            await asyncio.sleep(PROPAGATION_S)
             self.assertEqual(2, fleet.daemons[1].proxy.version)
             served = await whole.send(8002, "GET", "/maps/1")
             self.assertEqual(200, served.status, served)
@@ -84,24 +89,26 @@
 
         self.run_paused(scenario())
 
-    def test_key_that_a_newer_bundle_may_not_ask_for(self) -> None:
-        """Version 2 asks for a key on each deposit, version 3 no more.
+    def test_missing_key_that_a_newer_bundle_may_not_require(self) -> None:
+        """Version 2 requires a key for each deposit, version 3 does not.
 
-        The daemon knows that version 3 is accepted but has not got it. It
-        said `400 key_missing` with `"retry": false` for a request that is
-        valid under the accepted bundle.
+        The daemon knows that version 3 is accepted but has not received it. It
+        must not answer `400 key_missing` with `"retry": false` to a request
+        that is valid under the accepted bundle.
         """
 
         async def scenario() -> None:
             fleet = whole.Fleet()
-            let_send = await start_behind(fleet, KEY_REQUIRED, samples.BUNDLE)
+            deliver_bundle = await start_with_outdated_bundle(
+                fleet, KEY_REQUIRED, samples.BUNDLE
+            )
             self.assertEqual(2, fleet.daemons[1].proxy.version)
             refused = await whole.send(8002, "POST", "/orders", b"deposit")
             self.assertEqual(503, refused.status, refused)
             self.assertEqual("no", refused.header("request-ran"))
             self.assertEqual(0, fleet.runs.count("deposit"))
-            let_send()
-            await asyncio.sleep(SOON_S)
+            deliver_bundle()
+            await asyncio.sleep(PROPAGATION_S)
             served = await whole.send(8002, "POST", "/orders", b"deposit")
             self.assertEqual(200, served.status, served)
             await fleet.stop()
@@ -109,14 +116,14 @@
         self.run_paused(scenario())
 
 
-class LostStoreTest(base.TestCase):
-    def test_daemons_cut_off_from_the_store_together(self) -> None:
-        """Two daemons hear each other but not the object API, for 30 s.
+class StoreOutageTest(base.TestCase):
+    def test_all_daemons_lose_the_object_api(self) -> None:
+        """Two daemons reach each other but not the object API for 30 s.
 
         Version 2 with `/maps` is accepted meanwhile. Neither daemon can have
-        heard of it, and both know that nobody told them for longer than
-        `isolated_after_s`. Both said `404 unknown_service` with
-        `"retry": false`; a caller that comes back may reach a daemon that
+        learned of it, and both know that they had no update for longer than
+        `isolated_after_s`. They must not answer `404 unknown_service` with
+        `"retry": false`, since a caller that retries may reach a daemon that
         has the bundle.
         """
 
@@ -148,12 +155,12 @@
 
         self.run_paused(scenario())
 
-    def test_isolated_daemon_that_goes_on_serving(self) -> None:
-        """A daemon alone tells `"isolated": true` on its status page.
+    def test_isolated_daemon_that_keeps_serving(self) -> None:
+        """A daemon without peers shows `"isolated": true` on its status page.
 
-        Told to go on, it serves what it knows. That a route does not exist
-        is nothing that it knows: it said `404 unknown_service` with
-        `"retry": false`.
+        Configured to keep serving, it serves the routes of its bundle. It
+        cannot know that other routes do not exist, so it must not answer
+        `404 unknown_service` with `"retry": false`.
         """
 
         async def scenario() -> None:
@@ -162,7 +169,7 @@
             fleet.stores[0].faults.down = True
             await roll(fleet, samples.BUNDLE + MAPS)
             await asyncio.sleep(30.0)
-            self.assertTrue(fleet.daemons[0].spread.isolated)
+            self.assertTrue(fleet.daemons[0].replicator.isolated)
             refused = await whole.send(8001, "GET", "/maps/1")
             self.assertEqual(503, refused.status, refused)
             served = await whole.send(8001, "GET", "/orders/1")
@@ -171,13 +178,14 @@
 
         self.run_paused(scenario())
 
-    def test_daemon_that_starts_beside_a_peer_that_is_behind(self) -> None:
+    def test_daemon_that_starts_with_an_outdated_peer(self) -> None:
         """A daemon starts while the object API does not answer.
 
-        It takes version 1 from the only peer, which is cut off from the
-        object API too; version 2 with `/maps` is accepted. The new daemon
-        never had an answer that says which version is accepted, and yet said
-        `404 unknown_service` with `"retry": false` 5 s after its start.
+        It receives version 1 from the only peer, which cannot reach the object
+        API either; version 2 with `/maps` is accepted. The new daemon never
+        learned which version is accepted, so it must not answer
+        `404 unknown_service` with `"retry": false`, not even 5 s after its
+        start.
         """
 
         async def scenario() -> None:
--- a/banyantiller/tests/daemon/test_whole_path.py
+++ b/banyantiller/tests/daemon/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Tests of whole daemons over in-memory sockets and one object table."""
+"""End-to-end tests of daemons over in-memory sockets and an object table."""
 
 import asyncio
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def settings(number: int, **changes: Any) -> defaults.Settings:
-    """Returns settings of the daemon with a number."""
+    """Returns the settings of the daemon with this number."""
     local = "127.0.0.1"
     made = defaults.Settings(
         deployment=samples.DEPLOYMENT,
@@ -70,7 +70,7 @@
     async def add(
         self, chosen: defaults.Settings, faults: memory.Faults | None = None
     ) -> assembly.Daemon:
-        """Starts one daemon; its store has the given faults from the start."""
+        """Starts one daemon whose store has the given faults from the start."""
         registry = plugins.Registry()
         store = memory.MemoryStore(self.table, faults)
         registry.add("object_api", "kubernetes", lambda *_: store)
@@ -86,13 +86,13 @@
         return daemon
 
     async def answer(self, request: messages.Request) -> messages.Response:
-        """Answers as a backend server; counts runs by body."""
+        """Responds as a backend server and records the body of each run."""
         self.runs.append(request.body.decode())
         await asyncio.sleep(self.service_s)
         return messages.Response(200, (), b"done " + request.body)
 
     async def stop(self) -> list[int]:
-        """Stops all daemons and servers; returns calls cut by each."""
+        """Stops all daemons and servers; returns the calls cut by each."""
         cut = [await daemon.stop() for daemon in self.daemons]
         for backend in self.servers:
             await backend.close()
@@ -107,7 +107,7 @@
     key: str = "",
     headers: messages.Headers = (),
 ) -> messages.Response:
-    """Sends one request on a connection of its own."""
+    """Sends one request on a separate connection."""
     if key:
         headers = (*headers, ("idempotency-key", key))
     http = client.HttpClient("127.0.0.1", port)
@@ -120,7 +120,7 @@
 
 
 class WholePathTest(base.TestCase):
-    def test_call_that_cannot_be_answered_in_time_is_refused_at_once(
+    def test_call_that_cannot_meet_its_deadline_is_rejected_at_once(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -134,16 +134,16 @@
             ]
             await asyncio.sleep(0.1)
             loop = asyncio.get_running_loop()
-            asked_at = loop.time()
-            hurried = (("x-request-deadline-ms", "500"),)
-            answer = await send(8001, "GET", "/orders/3", headers=hurried)
+            sent_at = loop.time()
+            deadline = (("x-request-deadline-ms", "500"),)
+            answer = await send(8001, "GET", "/orders/3", headers=deadline)
             self.assertEqual(503, answer.status)
             self.assertIn("deadline_unreachable", answer.header("proxy-status"))
             self.assertEqual("no", answer.header("request-ran"))
             self.assertNotEqual("", answer.header("retry-after"))
-            self.assertTrue(loop.time() - asked_at < 0.1)
-            for ended in await asyncio.gather(*busy):
-                self.assertEqual(200, ended.status)
+            self.assertTrue(loop.time() - sent_at < 0.1)
+            for response in await asyncio.gather(*busy):
+                self.assertEqual(200, response.status)
             await fleet.stop()
 
         self.run_paused(scenario())
@@ -164,7 +164,7 @@
 
         self.run_paused(scenario())
 
-    def test_stop_ends_calls_in_flight_and_refuses_none_meanwhile(
+    def test_stop_finishes_calls_in_flight_and_accepts_new_ones(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -173,13 +173,13 @@
             fleet.service_s = 3.0
             call = asyncio.create_task(send(8001, "GET", "/orders/1"))
             await asyncio.sleep(0.5)
-            ending = asyncio.create_task(fleet.daemons[0].stop())
+            stopping = asyncio.create_task(fleet.daemons[0].stop())
             await asyncio.sleep(0.5)
             text = fleet.daemons[0].instruments.exposition().decode()
             self.assertRegex(text, 'in_flight{server="desk-.",.*} 1.0')
             late = asyncio.create_task(send(8001, "GET", "/orders/2"))
             self.assertFalse(fleet.daemons[0].readiness().ready)
-            self.assertEqual(0, await ending)
+            self.assertEqual(0, await stopping)
             self.assertEqual(200, (await call).status)
             answer = await late
             self.assertEqual(200, answer.status, answer)
@@ -204,7 +204,7 @@
 
         self.run_paused(scenario())
 
-    def test_isolated_daemon_fences_itself_if_told_so(self) -> None:
+    def test_isolated_daemon_fences_itself_if_configured(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             await fleet.start(0)
@@ -225,22 +225,22 @@
 
         self.run_paused(scenario())
 
-    def test_bundle_that_the_data_path_refuses_is_not_said_to_be_in_force(
+    def test_bundle_that_the_data_path_rejects_is_not_reported_in_force(
         self,
     ) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             await fleet.start(0)
-            told: list[events.BundleInForce] = []
+            received: list[events.BundleInForce] = []
             daemon = await fleet.add(settings(1))
-            daemon.kernel.subscribe(events.BundleInForce, told.append)
+            daemon.kernel.subscribe(events.BundleInForce, received.append)
 
             def fail(*_: Any) -> None:
                 raise ValueError("a fault of the data path")
 
             daemon.proxy.apply = fail
             await asyncio.sleep(SETTLED_S)
-            self.assertEqual([], told)
+            self.assertEqual([], received)
             listed = await fleet.stores[0].list("daemonstatuses")
             self.assertEqual([], [item.value for item in listed.items])
             await fleet.stop()
@@ -248,11 +248,11 @@
         self.run_paused(scenario())
 
     def test_daemon_whose_data_path_has_no_bundle_is_not_ready(self) -> None:
-        """The replica holds version 1; the data path could not take it.
+        """The replica holds version 1, but the data path rejected it.
 
-        Every call gets 503 with `no_bundle`, yet `/readyz` said
-        `Readiness(ready=True)`, so the platform's balancer went on sending
-        callers here for as long as the process ran.
+        Every call gets 503 with `no_bundle`. If `/readyz` reported the daemon
+        as ready, the platform's balancer would send callers to it for as long
+        as the process runs.
         """
 
         async def scenario() -> None:
@@ -281,12 +281,12 @@
 
         self.run_paused(scenario())
 
-    def test_probes_go_on_under_the_bundle_that_stays_in_force(self) -> None:
-        """Version 2 drops a service, and the data path can't take it.
+    def test_probes_continue_under_the_bundle_that_stays_in_force(self) -> None:
+        """Version 2 removes a service, but the data path rejects it.
 
-        The service is served on under version 1, so its servers are probed
-        on. The budget had forgotten it: `ledgers` held `desk` only, and no
-        probe of an ejected server of `archive` was allowed any more.
+        The service is still served under version 1, so its servers are still
+        probed. If the budget applied version 2, `ledgers` would contain `desk`
+        only, and no probe of an ejected server of `archive` would be allowed.
         """
 
         async def scenario() -> None:
@@ -302,7 +302,7 @@
             text = samples.BUNDLE.partition("  - name: archive")[0]
             await samples.roll(store, await samples.prepare(store, text))
             await asyncio.sleep(SETTLED_S)
-            self.assertEqual(2, daemon.spread.in_force.version)
+            self.assertEqual(2, daemon.replicator.in_force.version)
             answer = await send(8001, "GET", "/archive/1")
             self.assertEqual(200, answer.status, answer)
             self.assertIn("archive", daemon.budget.ledgers)
--- a/banyantiller/tests/gateway/test_events.py
+++ b/banyantiller/tests/gateway/test_events.py
@@ -17,7 +17,7 @@
 
 DECLARED = {
     event_type: declared
-    for event_type, declared in log_events.DECLARED.items()
+    for event_type, declared in log_events.DECLARATIONS.items()
     if event_type.__module__ in (events.__name__, call_events.__name__)
 }
 SCENARIOS = []
