--- a/banyantiller/daemon/suspect_requests.py
+++ b/banyantiller/daemon/suspect_requests.py
@@ -24,7 +24,7 @@
 
     def on_suspected(event: events.RequestsSuspected) -> None:
         now = asyncio.get_running_loop().time()
-        records = detector.watch.table.export_records(event.fingerprints, now)
+        records = detector.tracker.table.export_records(event.fingerprints, now)
         peers.broadcast(_build_message(records))
 
     def on_message(sender: str, message: messages.SuspectRequests) -> None:
@@ -33,12 +33,12 @@
             return
         now = asyncio.get_running_loop().time()
         fingerprints = [fields["fingerprint"] for fields in records]
-        forwarded = detector.watch.table.export_records(fingerprints, now)
+        forwarded = detector.tracker.table.export_records(fingerprints, now)
         peers.broadcast(_build_message(forwarded), exclude=sender)
 
     def on_link(peer: str) -> None:
         now = asyncio.get_running_loop().time()
-        records = detector.watch.table.export_changes(now)
+        records = detector.tracker.table.export_changes(now)
         if records:
             peers.send(peer, _build_message(records))
 
--- a/banyantiller/proxy/crashes.py
+++ b/banyantiller/proxy/crashes.py
@@ -28,10 +28,10 @@
 
 
 class CrashDetector:
-    """Feeds the crash watch and logs its verdicts.
+    """Feeds the crash tracker and logs its verdicts.
 
     Attributes:
-        watch: Records which requests were on servers that crashed.
+        tracker: Records which requests were on servers that crashed.
         kernel: Gets an event when this daemon records something new, or None.
         wall: Returns wall-clock seconds.
     """
@@ -47,7 +47,7 @@
         callbacks = crash_tracker.Callbacks(
             self._emit_suspected, self._log_crash, self._log_verdict
         )
-        self.watch = crash_tracker.CrashTracker(known_crashes, callbacks)
+        self.tracker = crash_tracker.CrashTracker(known_crashes, callbacks)
         self.kernel = kernel
         self.wall = wall
         self.loop = asyncio.get_running_loop()
@@ -94,19 +94,19 @@
         return (
             None
             if text is None
-            else self.watch.quarantine_left_s(text, self._now())
+            else self.tracker.quarantine_left_s(text, self._now())
         )
 
     def is_suspect(self, call: "calls.Call") -> bool:
         """Returns whether a server crashed with a request none answered."""
         text = _complete_fingerprint(call)
-        return text is not None and self.watch.is_suspect(text)
+        return text is not None and self.tracker.is_suspect(text)
 
     def record_response(self, call: "calls.Call") -> None:
         """Records that a server responded to a request and did not crash."""
         text = _complete_fingerprint(call)
         if text is not None:
-            self.watch.record_response(text, self._now())
+            self.tracker.record_response(text, self._now())
 
     def record_loss(
         self, server: str, call: "calls.Call", sent_at: float
@@ -117,18 +117,18 @@
             return
         request_id = call.request_id.decode("latin-1")
         now = self._now()
-        self.watch.record_unanswered(
+        self.tracker.record_unanswered(
             server,
             crash_tracker.UnansweredRequest(text, request_id, sent_at, now),
         )
 
     def record_refusal(self, server: str) -> None:
         """Records that a server's machine refuses connections to it."""
-        unanswered = self.watch.unanswered.pop(server, None)
+        unanswered = self.tracker.unanswered.pop(server, None)
         if unanswered:
             start = f"{server}@{int(self.wall() // CRASH_WINDOW_S)}"
-            self.watch.unanswered[start] = unanswered
-            self.watch.record_refused_connection(start, self._now())
+            self.tracker.unanswered[start] = unanswered
+            self.tracker.record_refused_connection(start, self._now())
 
     def should_retry(self, call: "calls.Call", server: str) -> bool:
         """Returns whether a call may be retried at another server.
@@ -141,7 +141,7 @@
         text = _complete_fingerprint(call)
         if text is None:
             return True
-        crashes = self.watch.table.crashed_servers(text)
+        crashes = self.tracker.table.crashed_servers(text)
         earlier_crashes = [
             crash for crash in crashes if crash.partition("@")[0] != server
         ]
@@ -151,19 +151,19 @@
 
     def receive_records(self, reported: list[crash_table.RecordFields]) -> bool:
         """Merges the records of a peer; returns whether any was new."""
-        return self.watch.receive_records(reported, self._now())
+        return self.tracker.receive_records(reported, self._now())
 
     def lift(self, fingerprint: str) -> bool:
         """Lifts the quarantine of a request; returns False if there is none."""
-        return self.watch.lift(fingerprint, self._now())
+        return self.tracker.lift(fingerprint, self._now())
 
     def count_quarantined(self) -> int:
         """Returns the number of quarantined requests."""
-        return len(self.watch.table.quarantined_records(self._now()))
+        return len(self.tracker.table.quarantined_records(self._now()))
 
     def expire(self) -> None:
         """Removes expired records."""
-        self.watch.expire(self._now())
+        self.tracker.expire(self._now())
 
     # Internal.
 
--- a/banyantiller/tests/daemon/test_crashing_servers.py
+++ b/banyantiller/tests/daemon/test_crashing_servers.py
@@ -213,7 +213,7 @@
             fleet.crash_enabled = False
             await asyncio.sleep(RESTART_DELAY_S)
             daemon = fleet.daemons[0]
-            (record,) = daemon.proxy.crash_detector.watch.table.records
+            (record,) = daemon.proxy.crash_detector.tracker.table.records
             target = f"/quarantine/lift?fingerprint={record}"
             self.assertEqual(1, daemon.proxy.crash_detector.count_quarantined())
             user = client.HttpClient("127.0.0.1", 8101)
--- a/banyantiller/tests/proxy/test_crashes.py
+++ b/banyantiller/tests/proxy/test_crashes.py
@@ -60,7 +60,7 @@
             self.assertEqual(
                 1,
                 len(
-                    detector.watch.table.crashed_servers(
+                    detector.tracker.table.crashed_servers(
                         request.fingerprint.hexdigest()
                     )
                 ),
@@ -70,7 +70,7 @@
             self.assertEqual(
                 2,
                 len(
-                    detector.watch.table.crashed_servers(
+                    detector.tracker.table.crashed_servers(
                         request.fingerprint.hexdigest()
                     )
                 ),
