--- a/banyantiller/tests/gateway/test_missing_load.py
+++ b/banyantiller/tests/gateway/test_missing_load.py
@@ -15,16 +15,16 @@
         server in 10 requests.
         """
 
-        async def body(world):
-            world.servers["s0"].tells_load = False
-            prober = world.gateway.prober
-            entry = world.gateway.store_view.table.entries["s0"]
+        async def body(env):
+            env.servers["s0"].tells_load = False
+            prober = env.gateway.prober
+            entry = env.gateway.store_view.table.entries["s0"]
             prober.release(await prober.probe([entry], "/health"))
-            world.servers["s0"].tells_load = True
-            before = sum(one.asked for one in world.servers.values())
+            env.servers["s0"].tells_load = True
+            before = sum(one.asked for one in env.servers.values())
             for number in range(10):
-                await world.request(f"a{number}")
-            after = sum(one.asked for one in world.servers.values())
+                await env.request(f"a{number}")
+            after = sum(one.asked for one in env.servers.values())
             return after - before
 
         self.assertGreater(self.play(body), 10)
@@ -37,18 +37,18 @@
         later one. It then probes no server in 10 requests, after 10 others.
         """
 
-        async def body(world):
-            for one in world.servers.values():
+        async def body(env):
+            for one in env.servers.values():
                 one.tells_load = False
-            await world.request("first")
-            for one in world.servers.values():
+            await env.request("first")
+            for one in env.servers.values():
                 one.tells_load = True
             for number in range(10):
-                await world.request(f"a{number}")
-            before = sum(one.asked for one in world.servers.values())
+                await env.request(f"a{number}")
+            before = sum(one.asked for one in env.servers.values())
             for number in range(10):
-                await world.request(f"b{number}")
-            after = sum(one.asked for one in world.servers.values())
+                await env.request(f"b{number}")
+            after = sum(one.asked for one in env.servers.values())
             return after - before
 
         self.assertGreater(self.play(body), 10)
@@ -61,31 +61,31 @@
         three in 20 requests.
         """
 
-        async def body(world):
-            world.servers["s0"].tells_load = False
+        async def body(env):
+            env.servers["s0"].tells_load = False
             for number in range(20):
-                await world.request(f"a{number}")
-            before = {name: one.asked for name, one in world.servers.items()}
+                await env.request(f"a{number}")
+            before = {name: one.asked for name, one in env.servers.items()}
             for number in range(20):
-                await world.request(f"b{number}")
+                await env.request(f"b{number}")
             return {
                 name: one.asked > before[name]
-                for name, one in world.servers.items()
+                for name, one in env.servers.items()
             }
 
         self.assertEqual({"s0": False, "s1": True, "s2": True}, self.play(body))
 
     def test_servers_that_stop_reporting_their_load_are_not_probed(self):
-        async def body(world):
-            await world.request("first")
-            for one in world.servers.values():
+        async def body(env):
+            await env.request("first")
+            for one in env.servers.values():
                 one.tells_load = False
             for number in range(10):
-                await world.request(f"a{number}")
-            before = sum(one.asked for one in world.servers.values())
-            calls = [world.request(f"b{number}") for number in range(6)]
+                await env.request(f"a{number}")
+            before = sum(one.asked for one in env.servers.values())
+            calls = [env.request(f"b{number}") for number in range(6)]
             found = await asyncio.gather(*calls)
-            after = sum(one.asked for one in world.servers.values())
+            after = sum(one.asked for one in env.servers.values())
             return [answer.status for answer in found], after - before
 
         self.assertEqual(([200] * 6, 0), self.play(body))
--- a/banyantiller/tests/gateway/test_worst_load.py
+++ b/banyantiller/tests/gateway/test_worst_load.py
@@ -26,8 +26,8 @@
 class Caller:
     """A caller that retries at most once."""
 
-    def __init__(self, world, number):
-        self.world = world
+    def __init__(self, env, number):
+        self.env = env
         self.number = number
         self.loop = asyncio.get_running_loop()
         self.began = self.loop.time()
@@ -38,7 +38,7 @@
         """Sends a request, and retries it once if it is rejected."""
         for attempt in range(2):
             spent_ms = (self.loop.time() - self.began) * 1000
-            answer = await self.world.request(
+            answer = await self.env.request(
                 f"a{self.number}-{attempt}",
                 deadline_ms=int(DEADLINE_MS - spent_ms),
             )
@@ -67,14 +67,14 @@
             seed: Seed of the times at which callers arrive.
         """
 
-        async def body(world):
+        async def body(env):
             for name in ("s0", "s1", "s2"):
-                world.store.remove("servers", name)
+                env.store.remove("servers", name)
             for number in range(SERVERS):
-                one = await world.add_server(f"w{number}", work_s=WORK_S)
+                one = await env.add_server(f"w{number}", work_s=WORK_S)
                 one.full_slowdown = FULL_SLOWDOWN
-                world.tasks.append(asyncio.ensure_future(noise(one, seed)))
-            world.put_document(
+                env.tasks.append(asyncio.ensure_future(noise(one, seed)))
+            env.put_document(
                 [
                     harness.route(
                         "read", "safe", "/read/",
@@ -87,7 +87,7 @@
             callers, tasks = [], []
             ends = asyncio.get_running_loop().time() + SECONDS
             while asyncio.get_running_loop().time() < ends:
-                callers.append(Caller(world, len(callers)))
+                callers.append(Caller(env, len(callers)))
                 tasks.append(asyncio.ensure_future(callers[-1].run()))
                 gap_s = rng.expovariate(load * FULL_SPEED_RATE)
                 await asyncio.sleep(gap_s)
@@ -118,12 +118,12 @@
     def callers(self, seed):
         """Simulates a fleet without a retry budget; returns its callers."""
 
-        async def body(world):
-            world.gateway.settings = world.gateway.settings._replace(
+        async def body(env):
+            env.gateway.settings = env.gateway.settings._replace(
                 retry_ratio=0.0, retry_extra=0.0
             )
-            world.fault(shed_share=0.5)
-            world.put_document(
+            env.fault(shed_share=0.5)
+            env.put_document(
                 [
                     harness.route(
                         "read", "safe", "/read/",
@@ -135,7 +135,7 @@
             rng = random.Random(seed)
             callers, tasks = [], []
             for number in range(150):
-                callers.append(Caller(world, number))
+                callers.append(Caller(env, number))
                 tasks.append(asyncio.ensure_future(callers[-1].run()))
                 await asyncio.sleep(rng.expovariate(10.0))
             await asyncio.gather(*tasks)
