--- a/banyantiller/commands/gone.py
+++ b/banyantiller/commands/gone.py
@@ -15,8 +15,8 @@
 ) -> int:
     """States in the audit trail that a daemon no longer runs.
 
-    A daemon that died without a word may, as far as the evidence tells, run
-    on unseen, so `held` answers "not known" for all time since. Give this
+    The evidence does not show whether a daemon that crashed without reporting
+    it still runs, so `held` answers "not known" for all time since. Give this
     statement only if the platform shows that the VM is deleted. It ends the
     unknown time at the stated moment; a daemon that reports later refutes
     it.
