--- a/banyantiller/commands/explain.py
+++ b/banyantiller/commands/explain.py
@@ -5,7 +5,7 @@
 
 from banyantiller import exceptions
 from banyantiller.commands import explain_page, output
-from banyantiller.explain import reading, story
+from banyantiller.explain import explanation, log_reader
 
 NOT_KNOWN_STATUS = 10
 
@@ -31,8 +31,8 @@
             optional extra `report`.
         json: Print JSON for programs.
     """
-    logs = reading.read(_lines(files))
-    found = story.tell(id, logs)
+    logs = log_reader.parse_lines(_lines(files))
+    found = explanation.explain_request(id, logs)
     data = {
         "id": id,
         "ran": found.ran,
@@ -43,7 +43,9 @@
     if html_file:
         output.write_file(html_file, explain_page.build(id, found))
     output.emit(json, data, _text(found))
-    ended = any(line.event == story.ENDED for line in found.lines)
+    ended = any(
+        line.event == explanation.CALL_ENDED_EVENT for line in found.lines
+    )
     return 0 if ended else NOT_KNOWN_STATUS
 
 
@@ -60,7 +62,7 @@
             ) from error
 
 
-def _text(found: story.Story) -> Iterator[str]:
+def _text(found: explanation.Explanation) -> Iterator[str]:
     yield from found.sentences
     yield f"Did it run: {found.ran}."
     if found.unknown:
--- a/banyantiller/commands/explain_page.py
+++ b/banyantiller/commands/explain_page.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from banyantiller.commands import html_page
-from banyantiller.explain import story, timeline
+from banyantiller.explain import explanation, timeline
 from banyantiller.utils import plots
 
 SPAN_COLOUR = "#4a78b5"
@@ -13,7 +13,7 @@
 OBJECTIVE_COLOUR = "#5c6070"
 
 
-def build(request_id: str, found: story.Story) -> str:
+def build(request_id: str, found: explanation.Explanation) -> str:
     """Builds the page.
 
     Returns:
@@ -24,7 +24,7 @@
     """
     title = f"Request {request_id}"
     body = [f"<h1>{html.escape(title)}</h1>"]
-    for way in timeline.build(found):
+    for way in timeline.build_timelines(found):
         label = f"way through {way.daemon}, ms after arrival"
         body.append(html_page.image(_draw(way, label), label))
     body += [f"<p>{html.escape(text)}</p>" for text in found.sentences]
--- a/banyantiller/explain/story.py
+++ b/banyantiller/explain/explanation.py
@@ -2,16 +2,16 @@
 
 from typing import Any, NamedTuple
 
-from banyantiller.explain import reading
+from banyantiller.explain import log_reader
 from banyantiller.gateway import call_events, events
 from banyantiller.telemetry import events as log_events
 
 # Beliefs of the same daemon that are this old may have decided; a leaving or
 # silent server is forgotten within this time.
-BEFORE_S = 5.0
-ENDED = log_events.text_of(call_events.CallEnded)
-FAILED = log_events.text_of(call_events.AttemptFailed)
-BELIEFS = frozenset(
+LOOKBACK_S = 5.0
+CALL_ENDED_EVENT = log_events.text_of(call_events.CallEnded)
+ATTEMPT_FAILED_EVENT = log_events.text_of(call_events.AttemptFailed)
+CONTEXT_EVENTS = frozenset(
     log_events.text_of(kind)
     for kind in (
         events.ServerUnresponsive,
@@ -38,7 +38,7 @@
     )
 )
 # What a kind of failure means, in one clause.
-MEANINGS = {
+ERROR_DESCRIPTIONS = {
     "quarantined": "servers ended under the same request before, one after the"
     " other (see the lines with its fingerprint)",
     "no_server": "no server got free in the time that leaves enough for work",
@@ -55,10 +55,10 @@
     "caller_gone": "the caller left before the answer",
     "internal": "a fault of the daemon's own",
 }
-RAN = {True: "It may have run.", False: "It did not run."}
+RAN_SENTENCES = {True: "It may have run.", False: "It did not run."}
 
 
-class Story(NamedTuple):
+class Explanation(NamedTuple):
     """What is known of one request.
 
     Attributes:
@@ -70,33 +70,37 @@
 
     sentences: list[str]
     ran: str
-    lines: list[reading.Line]
+    lines: list[log_reader.LogLine]
     unknown: list[str]
 
 
-def tell(request_id: str, logs: reading.Logs) -> Story:
+def explain_request(
+    request_id: str, logs: log_reader.ParsedLogs
+) -> Explanation:
     """Explains one request from the lines of all daemons."""
-    own = [one for one in logs.lines if one.fields.get("id") == request_id]
-    unknown = _gaps(logs)
-    if not own:
+    request_lines = [
+        one for one in logs.lines if one.fields.get("id") == request_id
+    ]
+    unknown = _describe_gaps(logs)
+    if not request_lines:
         unknown.insert(
             0,
             "No line has this id: no daemon whose log was given read the whole"
             " request, or it was answered well and not sampled.",
         )
-        return Story([], "unknown", [], unknown)
-    beliefs = _beliefs(own, logs)
-    sentences = [_sentence(line) for line in [*beliefs, *own]]
-    ended = [line for line in own if line.event == ENDED]
+        return Explanation([], "unknown", [], unknown)
+    context = _find_context_lines(request_lines, logs)
+    sentences = [_describe_line(line) for line in [*context, *request_lines]]
+    ended = [line for line in request_lines if line.event == CALL_ENDED_EVENT]
     if not ended:
         unknown.insert(
             0, "No line tells how it ended: the daemon may have been killed."
         )
-    ran = _ran(ended)
-    return Story(sentences, ran, [*beliefs, *own], unknown)
+    ran = _execution_status(ended)
+    return Explanation(sentences, ran, [*context, *request_lines], unknown)
 
 
-def _gaps(logs: reading.Logs) -> list[str]:
+def _describe_gaps(logs: log_reader.ParsedLogs) -> list[str]:
     found = []
     if logs.lost:
         found.append(f"Daemons could not write {logs.lost} lines.")
@@ -105,41 +109,45 @@
     return found
 
 
-def _beliefs(own: list[reading.Line], logs: reading.Logs) -> list[reading.Line]:
+def _find_context_lines(
+    request_lines: list[log_reader.LogLine], logs: log_reader.ParsedLogs
+) -> list[log_reader.LogLine]:
     """Returns what the same daemons believed then, by their own clocks."""
     found = []
-    for daemon in dict.fromkeys(line.daemon for line in own):
-        mine = [line for line in own if line.daemon == daemon]
-        times = [line.at_s for line in mine]
-        touched = _Touched.by(mine)
+    for daemon in dict.fromkeys(line.daemon for line in request_lines):
+        daemon_lines = [line for line in request_lines if line.daemon == daemon]
+        times = [line.at_s for line in daemon_lines]
+        scope = _RequestScope.from_lines(daemon_lines)
         found += [
             line
             for line in logs.lines
             if line.daemon == daemon
-            and line not in mine
-            and min(times) - BEFORE_S <= line.at_s <= max(times)
-            and touched.concerns(line)
+            and line not in daemon_lines
+            and min(times) - LOOKBACK_S <= line.at_s <= max(times)
+            and scope.is_relevant(line)
         ]
     return found
 
 
-class _Touched(NamedTuple):
+class _RequestScope(NamedTuple):
     """What a request had to do with."""
 
     instances: frozenset[str]
     services: frozenset[str]
 
     @classmethod
-    def by(cls, lines: list[reading.Line]) -> "_Touched":
+    def from_lines(cls, lines: list[log_reader.LogLine]) -> "_RequestScope":
         """Collects it from the lines of the request."""
         return cls(
-            frozenset(i for line in lines for i in _instances(line.fields)),
+            frozenset(
+                i for line in lines for i in _named_instances(line.fields)
+            ),
             frozenset(line.fields.get("service", "") for line in lines),
         )
 
-    def concerns(self, line: reading.Line) -> bool:
+    def is_relevant(self, line: log_reader.LogLine) -> bool:
         """Tells whether a line says what could decide the request."""
-        if line.event not in BELIEFS:
+        if line.event not in CONTEXT_EVENTS:
             return False
         instance = line.fields.get("instance")
         if instance is not None:
@@ -148,13 +156,13 @@
         return service is None or service in self.services
 
 
-def _instances(fields: dict[str, Any]) -> list[str]:
+def _named_instances(fields: dict[str, Any]) -> list[str]:
     """Returns the servers that a line names."""
     one = fields.get("instance")
     return [*fields.get("instances", ()), *([one] if one else ())]
 
 
-def _ran(ended: list[reading.Line]) -> str:
+def _execution_status(ended: list[log_reader.LogLine]) -> str:
     if not ended:
         return "unknown"
     if any(line.fields.get("error") is None for line in ended):
@@ -163,15 +171,15 @@
     return "unknown" if maybe else "no"
 
 
-def _sentence(line: reading.Line) -> str:
+def _describe_line(line: log_reader.LogLine) -> str:
     fields = line.fields
-    if line.event == ENDED:
-        return f"{line.daemon}: {_end(fields)}"
-    if line.event == FAILED:
+    if line.event == CALL_ENDED_EVENT:
+        return f"{line.daemon}: {_describe_end(fields)}"
+    if line.event == ATTEMPT_FAILED_EVENT:
         reason = fields.get("reason") or "no reason given"
         return (
             f"{line.daemon}: server {fields.get('instance')} failed it"
-            f" ({fields.get('kind')}: {reason}); {_load(fields)}."
+            f" ({fields.get('kind')}: {reason}); {_describe_load(fields)}."
         )
     rest = ", ".join(
         f"{name} {fields[name]}"
@@ -182,31 +190,31 @@
     return f"{line.daemon}: {event}{f' ({rest})' if rest else ''}."
 
 
-def _end(fields: dict[str, Any]) -> str:
+def _describe_end(fields: dict[str, Any]) -> str:
     took = f"after {fields.get('took_ms')} ms"
     error = fields.get("error")
     where = f"route {fields.get('route') or 'none'}"
     where += f", document {fields.get('version')}"
     if error:
-        meaning = MEANINGS.get(error, error)
-        ran = RAN[bool(fields.get("maybe_ran"))]
+        meaning = ERROR_DESCRIPTIONS.get(error, error)
+        ran = RAN_SENTENCES[bool(fields.get("maybe_ran"))]
         return (
             f"ended with {fields.get('status')} {took} ({where}): {meaning}."
-            f" Sent to {_sent_to(fields)}. {ran}"
+            f" Sent to {_describe_servers(fields)}. {ran}"
         )
-    late = _late(fields)
+    late = _describe_lateness(fields)
     return (
         f"answered {fields.get('status')} {took} ({where}), sent to"
-        f" {_sent_to(fields)}, last after {fields.get('sent_ms')} ms;"
-        f" {_load(fields)}.{late}"
+        f" {_describe_servers(fields)}, last after {fields.get('sent_ms')} ms;"
+        f" {_describe_load(fields)}.{late}"
     )
 
 
-def _sent_to(fields: dict[str, Any]) -> str:
-    return ", then ".join(_instances(fields)) or "no server"
+def _describe_servers(fields: dict[str, Any]) -> str:
+    return ", then ".join(_named_instances(fields)) or "no server"
 
 
-def _late(fields: dict[str, Any]) -> str:
+def _describe_lateness(fields: dict[str, Any]) -> str:
     objective = fields.get("objective_ms")
     took = fields.get("took_ms")
     if objective is None or took is None or took <= objective:
@@ -219,7 +227,7 @@
     )
 
 
-def _load(fields: dict[str, Any]) -> str:
+def _describe_load(fields: dict[str, Any]) -> str:
     load = fields.get("load")
     if not load:
         return "its load was not known"
--- a/banyantiller/explain/reading.py
+++ b/banyantiller/explain/log_reader.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-LOST = "telemetry: lines were lost."
+LINES_LOST_EVENT = "telemetry: lines were lost."
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One event that a daemon logged.
 
     Attributes:
@@ -24,7 +24,7 @@
     fields: dict[str, Any]
 
 
-class Logs(NamedTuple):
+class ParsedLogs(NamedTuple):
     """What was read.
 
     Attributes:
@@ -33,45 +33,45 @@
         lost: Lines that daemons say they could not write.
     """
 
-    lines: list[Line]
+    lines: list[LogLine]
     unreadable: int
     lost: int
 
 
-def read(texts: Iterable[str]) -> Logs:
+def parse_lines(texts: Iterable[str]) -> ParsedLogs:
     """Reads lines; what stands before the first brace is passed over."""
-    lines: list[Line] = []
+    lines: list[LogLine] = []
     unreadable = 0
     lost = 0
     for text in texts:
         if not text.strip():
             continue
-        line = _parse(text)
+        line = _parse_line(text)
         if line is None:
             unreadable += 1
-        elif line.event == LOST:
+        elif line.event == LINES_LOST_EVENT:
             lost += int(line.fields.get("lines", 0))
         else:
             lines.append(line)
-    return Logs(lines, unreadable, lost)
+    return ParsedLogs(lines, unreadable, lost)
 
 
-def _parse(text: str) -> Line | None:
+def _parse_line(text: str) -> LogLine | None:
     begin = text.find("{")
     if begin < 0:
         return None
     try:
         fields = json.loads(text[begin:])
         stamp = fields.get("timestamp")
-        at_s = _seconds(stamp) if stamp else 0.0
-        return Line(
+        at_s = _parse_timestamp(stamp) if stamp else 0.0
+        return LogLine(
             str(fields.get("daemon", "")), at_s, fields["event"], fields
         )
     except (ValueError, KeyError, AttributeError, TypeError):
         return None
 
 
-def _seconds(stamp: str) -> float:
+def _parse_timestamp(stamp: str) -> float:
     return datetime.datetime.fromisoformat(
         stamp.replace("Z", "+00:00")
     ).timestamp()
--- a/banyantiller/explain/timeline.py
+++ b/banyantiller/explain/timeline.py
@@ -3,11 +3,11 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from banyantiller.explain import reading, story
+from banyantiller.explain import explanation, log_reader
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 # Row of what the daemon itself did.
-DAEMON = "daemon"
+DAEMON_ROW = "daemon"
 
 
 class Span(NamedTuple):
@@ -58,40 +58,42 @@
     def rows(self) -> list[str]:
         """Returns the rows in the order in which they appear."""
         named = [item.row for item in (*self.spans, *self.marks)]
-        return list(dict.fromkeys([DAEMON, *named]))
+        return list(dict.fromkeys([DAEMON_ROW, *named]))
 
 
-def build(found: story.Story) -> list[Timeline]:
+def build_timelines(found: explanation.Explanation) -> list[Timeline]:
     """Returns a timeline for each daemon that says how the request ended."""
     return [
-        _of_daemon(line, found.lines)
+        _build_timeline(line, found.lines)
         for line in found.lines
-        if line.event == story.ENDED
+        if line.event == explanation.CALL_ENDED_EVENT
     ]
 
 
-def _of_daemon(ended: reading.Line, lines: list[reading.Line]) -> Timeline:
+def _build_timeline(
+    ended: log_reader.LogLine, lines: list[log_reader.LogLine]
+) -> Timeline:
     fields = ended.fields
     took_ms = float(fields.get("took_ms") or 0.0)
-    arrived_ms = ended.at_s * MILLISECONDS - took_ms
+    arrived_ms = ended.at_s * MS_PER_S - took_ms
     marks = [
         Mark(
-            line.fields.get("instance") or DAEMON,
-            round(line.at_s * MILLISECONDS - arrived_ms, 1),
-            _label(line),
+            line.fields.get("instance") or DAEMON_ROW,
+            round(line.at_s * MS_PER_S - arrived_ms, 1),
+            _mark_label(line),
         )
         for line in lines
         if line.daemon == ended.daemon and line is not ended
     ]
     return Timeline(
         ended.daemon,
-        list(_spans(fields, took_ms)),
+        list(_request_spans(fields, took_ms)),
         marks,
         fields.get("objective_ms"),
     )
 
 
-def _spans(fields: dict[str, Any], took_ms: float) -> Iterator[Span]:
+def _request_spans(fields: dict[str, Any], took_ms: float) -> Iterator[Span]:
     """Yields what the last line of a request tells of its time.
 
     Of earlier servers it has no times; the lines on their failures do.
@@ -99,17 +101,17 @@
     instances = fields.get("instances") or []
     end = f"ended with {fields.get('status')}"
     if not instances:
-        yield Span(DAEMON, 0.0, took_ms, f"waits for a server, {end}")
+        yield Span(DAEMON_ROW, 0.0, took_ms, f"waits for a server, {end}")
         return
     sent_ms = float(fields.get("sent_ms") or 0.0)
     before = "chooses a server"
     if len(instances) > 1:
         before = f"tries {len(instances) - 1} before the last server"
-    yield Span(DAEMON, 0.0, sent_ms, before)
+    yield Span(DAEMON_ROW, 0.0, sent_ms, before)
     yield Span(instances[-1], sent_ms, took_ms, end)
 
 
-def _label(line: reading.Line) -> str:
+def _mark_label(line: log_reader.LogLine) -> str:
     event = line.event.partition(": ")[2].rstrip(".")
     reason = line.fields.get("reason") or line.fields.get("error")
     return f"{event} ({reason})" if reason else event
--- a/banyantiller/tests/explain/test_story.py
+++ b/banyantiller/tests/explain/test_explanation.py
@@ -7,7 +7,7 @@
 import tempfile
 
 from banyantiller.commands import cli
-from banyantiller.explain import reading, story
+from banyantiller.explain import explanation, log_reader
 from banyantiller.tests import base
 
 
@@ -43,19 +43,19 @@
     )
 
 
-class StoryTest(base.TestCase):
-    def tell(self, *texts):
-        return story.tell("a", reading.read(texts))
+class ExplanationTest(base.TestCase):
+    def explain(self, *texts):
+        return explanation.explain_request("a", log_reader.parse_lines(texts))
 
     def test_refused_request_did_not_run(self):
-        found = self.tell(
+        found = self.explain(
             ended(status=503, error="no_server", sends=0, instances=[])
         )
         self.assertEqual("no", found.ran)
         self.assertIn("no server got free", found.sentences[0])
 
     def test_request_that_broke_may_have_run(self):
-        found = self.tell(
+        found = self.explain(
             line("a try failed.", id="a", instance="s1", kind="x", load=None),
             ended(status=502, error="connection_lost", maybe_ran=True),
         )
@@ -63,13 +63,13 @@
         self.assertEqual(2, len(found.sentences))
 
     def test_late_answer_names_where_the_time_passed(self):
-        at_server = self.tell(ended(took_ms=300.0)).sentences[0]
-        before = self.tell(ended(took_ms=300.0, sent_ms=200.0)).sentences[0]
+        at_server = self.explain(ended(took_ms=300.0)).sentences[0]
+        before = self.explain(ended(took_ms=300.0, sent_ms=200.0)).sentences[0]
         self.assertIn("passed at the server", at_server)
         self.assertIn("passed before it was sent", before)
 
     def test_beliefs_of_the_same_daemon_at_that_time_are_shown(self):
-        found = self.tell(
+        found = self.explain(
             line("server gives no answer.", "00:00:07.000000", instance="s1"),
             line("server gives no answer.", "00:00:01.000000", instance="s1"),
             line("server gives no answer.", "00:00:09.000000", instance="s2"),
@@ -88,7 +88,7 @@
         )
 
     def test_limit_that_a_server_named_is_shown(self):
-        found = self.tell(
+        found = self.explain(
             line(
                 "server names a limit.",
                 at="00:00:09.000000",
@@ -110,7 +110,7 @@
 
     def test_clocks_that_differ_are_never_compared(self):
         """The second daemon's clock is an hour behind; it saw the same id."""
-        found = self.tell(
+        found = self.explain(
             line("store is lost.", "00:00:09.000000", reason="x"),
             line("store is lost.", "23:00:01.000000", daemon="d2", reason="y"),
             ended(),
@@ -122,14 +122,14 @@
             [
                 ("d1", "gateway: store is lost."),
                 ("d2", "gateway: store is lost."),
-                ("d1", story.ENDED),
-                ("d2", story.ENDED),
+                ("d1", explanation.CALL_ENDED_EVENT),
+                ("d2", explanation.CALL_ENDED_EVENT),
             ],
             shown,
         )
 
     def test_budget_of_the_same_service_is_shown_and_of_others_not(self):
-        found = self.tell(
+        found = self.explain(
             line("retry budget is spent.", id="b", service="s"),
             line("retry budget is spent.", id="c", service="other"),
             ended(service="s"),
@@ -138,18 +138,20 @@
         self.assertEqual(["b", "a"], ids)
 
     def test_lines_behind_a_prefix_are_read_and_cut_ones_counted(self):
-        logs = reading.read(
+        logs = log_reader.parse_lines(
             ["12.5 edge-1 " + ended(), ended()[:-9], "nothing", "\n"]
         )
         self.assertEqual((1, 2), (len(logs.lines), logs.unreadable))
 
     def test_lost_lines_are_told(self):
-        lost = json.dumps({"event": reading.LOST, "lines": 7})
-        found = self.tell(lost, ended())
+        lost = json.dumps({"event": log_reader.LINES_LOST_EVENT, "lines": 7})
+        found = self.explain(lost, ended())
         self.assertEqual(["Daemons could not write 7 lines."], found.unknown)
 
     def test_unknown_id_is_said_to_be_unknown(self):
-        found = story.tell("b", reading.read([ended()]))
+        found = explanation.explain_request(
+            "b", log_reader.parse_lines([ended()])
+        )
         self.assertEqual(("unknown", []), (found.ran, found.sentences))
         self.assertEqual(1, len(found.unknown))
 
--- a/banyantiller/tests/explain/test_timeline.py
+++ b/banyantiller/tests/explain/test_timeline.py
@@ -1,13 +1,15 @@
 """Tests of the timeline of one request."""
 
-from banyantiller.explain import reading, story, timeline
+from banyantiller.explain import explanation, log_reader, timeline
 from banyantiller.tests import base
-from banyantiller.tests.explain.test_story import ended, line
+from banyantiller.tests.explain.test_explanation import ended, line
 
 
 class TimelineTest(base.TestCase):
     def build(self, *texts):
-        (found,) = timeline.build(story.tell("a", reading.read(texts)))
+        (found,) = timeline.build_timelines(
+            explanation.explain_request("a", log_reader.parse_lines(texts))
+        )
         return found
 
     def test_times_count_from_the_arrival(self):
@@ -37,5 +39,7 @@
         self.assertEqual(("daemon", 0.0, 90.0), span[:3])
 
     def test_request_without_an_end_has_no_timeline(self):
-        told = story.tell("a", reading.read([line("no connection.", id="a")]))
-        self.assertEqual([], timeline.build(told))
+        told = explanation.explain_request(
+            "a", log_reader.parse_lines([line("no connection.", id="a")])
+        )
+        self.assertEqual([], timeline.build_timelines(told))
