--- a/banyantiller/explain/__init__.py
+++ b/banyantiller/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Tells from the logs of many daemons what became of a request."""
+"""Explains the outcome of a request from the logs of many daemons."""
--- a/banyantiller/explain/explanation.py
+++ b/banyantiller/explain/explanation.py
@@ -1,4 +1,4 @@
-"""Tells what became of a request, and which lines show it."""
+"""Explains the outcome of a request and lists the lines that show it."""
 
 from typing import Any, NamedTuple
 
@@ -6,8 +6,9 @@
 from banyantiller.gateway import call_events, events
 from banyantiller.telemetry import events as log_events
 
-# Beliefs of the same daemon that are this old may have decided; a leaving or
-# silent server is forgotten within this time.
+# Events that the same daemon logged up to this long before the request may
+# have influenced it: within this time, a daemon forgets a server that leaves
+# or is unresponsive.
 LOOKBACK_S = 5.0
 CALL_ENDED_EVENT = log_events.text_of(call_events.CallEnded)
 ATTEMPT_FAILED_EVENT = log_events.text_of(call_events.AttemptFailed)
@@ -37,35 +38,36 @@
         call_events.CallsNotLogged,
     )
 )
-# What a kind of failure means, in one clause.
+# Meaning of each error kind, in one clause.
 ERROR_DESCRIPTIONS = {
-    "quarantined": "servers ended under the same request before, one after the"
-    " other (see the lines with its fingerprint)",
-    "no_server": "no server got free in the time that leaves enough for work",
-    "backend_shed": "servers turned it away, and no further try was allowed",
-    "deadline_unreachable": "its time passed before it was sent",
-    "deadline_after_start": "its server had not answered when its time passed",
-    "connection_lost": "the connection to the server ended before the answer",
-    "backend_malformed": "what the server sent was not this request's answer",
-    "no_bundle": "the daemon had just started and knew no routes yet",
-    "unknown_service": "no route of the version in force has its host and path",
-    "fenced": "the document in force does not allow it (route or size), and a"
-    " newer one may: the store is lost or silent, or the newest document can't"
-    " be read",
-    "caller_gone": "the caller left before the answer",
-    "internal": "a fault of the daemon's own",
+    "quarantined": "servers crashed one after the other while they ran earlier"
+    " sends of the same request (see the lines with its fingerprint)",
+    "no_server": "no server became available early enough to finish it in time",
+    "backend_shed": "servers rejected it, and no further attempt was allowed",
+    "deadline_unreachable": "its deadline passed before it was sent",
+    "deadline_after_start": "the server had not responded by its deadline",
+    "connection_lost": "the server connection was lost before the response",
+    "backend_malformed": "the server sent no valid response to this request",
+    "no_bundle": "the daemon had just started and had no routes yet",
+    "unknown_service": "no route of the version in force matches its host"
+    " and path",
+    "fenced": "the document in force does not allow it (route or size), but a"
+    " newer one may: the store is lost or unresponsive, or the newest document"
+    " can't be read",
+    "caller_gone": "the caller disconnected before the response",
+    "internal": "an internal error of the daemon",
 }
 RAN_SENTENCES = {True: "It may have run.", False: "It did not run."}
 
 
 class Explanation(NamedTuple):
-    """What is known of one request.
+    """What the logs show of one request.
 
     Attributes:
         sentences: What happened, in order.
-        ran: "yes", "no" or "unknown".
-        lines: Lines that show it.
-        unknown: What the logs don't tell.
+        ran: Whether a server executed it: "yes", "no" or "unknown".
+        lines: Log lines behind the sentences, in the same order.
+        unknown: Sentences on what the logs do not show.
     """
 
     sentences: list[str]
@@ -85,8 +87,8 @@
     if not request_lines:
         unknown.insert(
             0,
-            "No line has this id: no daemon whose log was given read the whole"
-            " request, or it was answered well and not sampled.",
+            "No line has this id: none of the daemons whose logs were given"
+            " received the whole request, or it succeeded and was not sampled.",
         )
         return Explanation([], "unknown", [], unknown)
     context = _find_context_lines(request_lines, logs)
@@ -94,7 +96,7 @@
     ended = [line for line in request_lines if line.event == CALL_ENDED_EVENT]
     if not ended:
         unknown.insert(
-            0, "No line tells how it ended: the daemon may have been killed."
+            0, "No line shows how it ended: the daemon may have been killed."
         )
     ran = _execution_status(ended)
     return Explanation(sentences, ran, [*context, *request_lines], unknown)
@@ -103,16 +105,20 @@
 def _describe_gaps(logs: log_reader.ParsedLogs) -> list[str]:
     found = []
     if logs.lost:
-        found.append(f"Daemons could not write {logs.lost} lines.")
+        found.append(f"Daemons failed to write {logs.lost} log lines.")
     if logs.unreadable:
-        found.append(f"{logs.unreadable} lines can't be read.")
+        found.append(f"{logs.unreadable} lines could not be parsed.")
     return found
 
 
 def _find_context_lines(
     request_lines: list[log_reader.LogLine], logs: log_reader.ParsedLogs
 ) -> list[log_reader.LogLine]:
-    """Returns what the same daemons believed then, by their own clocks."""
+    """Returns the lines on state that may have influenced a request.
+
+    Times are compared within the log of one daemon only, because the clocks
+    of daemons may differ.
+    """
     found = []
     for daemon in dict.fromkeys(line.daemon for line in request_lines):
         daemon_lines = [line for line in request_lines if line.daemon == daemon]
@@ -130,14 +136,14 @@
 
 
 class _RequestScope(NamedTuple):
-    """What a request had to do with."""
+    """Servers and services that the lines of a request name."""
 
     instances: frozenset[str]
     services: frozenset[str]
 
     @classmethod
     def from_lines(cls, lines: list[log_reader.LogLine]) -> "_RequestScope":
-        """Collects it from the lines of the request."""
+        """Collects the servers and services from the lines of the request."""
         return cls(
             frozenset(
                 i for line in lines for i in _named_instances(line.fields)
@@ -146,7 +152,7 @@
         )
 
     def is_relevant(self, line: log_reader.LogLine) -> bool:
-        """Tells whether a line says what could decide the request."""
+        """Returns whether a line shows state that may have influenced it."""
         if line.event not in CONTEXT_EVENTS:
             return False
         instance = line.fields.get("instance")
@@ -157,7 +163,7 @@
 
 
 def _named_instances(fields: dict[str, Any]) -> list[str]:
-    """Returns the servers that a line names."""
+    """Returns the identities of the servers that a line names."""
     one = fields.get("instance")
     return [*fields.get("instances", ()), *([one] if one else ())]
 
@@ -178,7 +184,7 @@
     if line.event == ATTEMPT_FAILED_EVENT:
         reason = fields.get("reason") or "no reason given"
         return (
-            f"{line.daemon}: server {fields.get('instance')} failed it"
+            f"{line.daemon}: attempt at server {fields.get('instance')} failed"
             f" ({fields.get('kind')}: {reason}); {_describe_load(fields)}."
         )
     rest = ", ".join(
@@ -194,7 +200,7 @@
     took = f"after {fields.get('took_ms')} ms"
     error = fields.get("error")
     where = f"route {fields.get('route') or 'none'}"
-    where += f", document {fields.get('version')}"
+    where += f", document version {fields.get('version')}"
     if error:
         meaning = ERROR_DESCRIPTIONS.get(error, error)
         ran = RAN_SENTENCES[bool(fields.get("maybe_ran"))]
@@ -204,8 +210,9 @@
         )
     late = _describe_lateness(fields)
     return (
-        f"answered {fields.get('status')} {took} ({where}), sent to"
-        f" {_describe_servers(fields)}, last after {fields.get('sent_ms')} ms;"
+        f"answered with {fields.get('status')} {took} ({where}), sent to"
+        f" {_describe_servers(fields)}, the last time after"
+        f" {fields.get('sent_ms')} ms;"
         f" {_describe_load(fields)}.{late}"
     )
 
@@ -222,17 +229,17 @@
     waited = fields.get("sent_ms") or 0
     where = "at the server" if took - waited > waited else "before it was sent"
     return (
-        f" It was late: the objective is {objective} ms, and most of the time"
-        f" passed {where}."
+        f" It missed its latency objective of {objective} ms; most of the time"
+        f" was spent {where}."
     )
 
 
 def _describe_load(fields: dict[str, Any]) -> str:
     load = fields.get("load")
     if not load:
-        return "its load was not known"
+        return "the server's load was unknown"
     running, waiting, slots, slowness = load
     return (
-        f"it had said {running} of {slots} slots taken, {waiting} waiting,"
-        f" {slowness:g} times the usual duration"
+        f"the server had reported {running} of {slots} slots in use, {waiting}"
+        f" requests waiting, and {slowness:g} times the usual duration"
     )
--- a/banyantiller/explain/log_reader.py
+++ b/banyantiller/explain/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads log lines of daemons; what can't be read is counted."""
+"""Parses log lines of daemons and counts those that it cannot parse."""
 
 import datetime
 import json
@@ -12,9 +12,10 @@
     """One event that a daemon logged.
 
     Attributes:
-        daemon: Name of the daemon, or empty.
-        at_s: Its own wall clock, in seconds since 1970.
-        event: What happened.
+        daemon: Name of the daemon; empty if the line has none.
+        at_s: Wall clock of the daemon, in seconds since the epoch; 0 if the
+            line has no timestamp.
+        event: Text of the event.
         fields: All fields of the line.
     """
 
@@ -25,12 +26,13 @@
 
 
 class ParsedLogs(NamedTuple):
-    """What was read.
+    """Parsed log lines, with counts of the missing ones.
 
     Attributes:
-        lines: Lines in the order of each daemon's own output.
-        unreadable: Lines that are no event, cut ones among them.
-        lost: Lines that daemons say they could not write.
+        lines: Events, in the order in which each daemon wrote them.
+        unreadable: Number of lines that are not an event, including truncated
+            ones.
+        lost: Number of lines that daemons report as not written.
     """
 
     lines: list[LogLine]
@@ -39,7 +41,7 @@
 
 
 def parse_lines(texts: Iterable[str]) -> ParsedLogs:
-    """Reads lines; what stands before the first brace is passed over."""
+    """Parses lines; text before the first brace of a line is ignored."""
     lines: list[LogLine] = []
     unreadable = 0
     lost = 0
--- a/banyantiller/explain/timeline.py
+++ b/banyantiller/explain/timeline.py
@@ -1,4 +1,4 @@
-"""The way of one request over time, from the lines that show it."""
+"""Timeline of one request, built from the log lines that show it."""
 
 from collections.abc import Iterator
 from typing import Any, NamedTuple
@@ -6,18 +6,18 @@
 from banyantiller.explain import explanation, log_reader
 
 MS_PER_S = 1000
-# Row of what the daemon itself did.
+# Row of the time spent, and the events, inside the daemon.
 DAEMON_ROW = "daemon"
 
 
 class Span(NamedTuple):
-    """A time that the request spent somewhere.
+    """A period that the request spent in the daemon or at a server.
 
     Attributes:
-        row: `DAEMON`, or a server.
-        from_ms: Begin, in milliseconds after the request's arrival.
-        to_ms: End.
-        label: What it is.
+        row: `DAEMON_ROW`, or the identity of a server.
+        from_ms: Start, in milliseconds after the request's arrival.
+        to_ms: End, in milliseconds after the request's arrival.
+        label: Description of the period.
     """
 
     row: str
@@ -27,12 +27,12 @@
 
 
 class Mark(NamedTuple):
-    """One line of the log.
+    """A log line, placed on the timeline.
 
     Attributes:
-        row: `DAEMON`, or the server that it names.
+        row: `DAEMON_ROW`, or the server that the line names.
         at_ms: Its time, in milliseconds after the request's arrival.
-        label: What it says.
+        label: Text of its event, with the reason if it has one.
     """
 
     row: str
@@ -41,13 +41,13 @@
 
 
 class Timeline(NamedTuple):
-    """The way of a request through one daemon.
+    """Timeline of a request in one daemon.
 
     Attributes:
-        daemon: The daemon, by whose clock all times are.
-        spans: Where it spent its time.
-        marks: What happened.
-        objective_ms: Latency objective, or None.
+        daemon: Name of the daemon; all times are by its clock.
+        spans: Periods that the request spent in the daemon and at a server.
+        marks: Log lines of the daemon that concern the request.
+        objective_ms: Latency objective in milliseconds, or None.
     """
 
     daemon: str
@@ -56,13 +56,13 @@
     objective_ms: float | None
 
     def rows(self) -> list[str]:
-        """Returns the rows in the order in which they appear."""
+        """Returns the row names, the daemon's first, in order of appearance."""
         named = [item.row for item in (*self.spans, *self.marks)]
         return list(dict.fromkeys([DAEMON_ROW, *named]))
 
 
 def build_timelines(found: explanation.Explanation) -> list[Timeline]:
-    """Returns a timeline for each daemon that says how the request ended."""
+    """Returns a timeline for each daemon that logged the request's end."""
     return [
         _build_timeline(line, found.lines)
         for line in found.lines
@@ -94,9 +94,10 @@
 
 
 def _request_spans(fields: dict[str, Any], took_ms: float) -> Iterator[Span]:
-    """Yields what the last line of a request tells of its time.
+    """Yields the periods that the last line of a request shows.
 
-    Of earlier servers it has no times; the lines on their failures do.
+    That line has no times of earlier attempts; the lines on their failures
+    do.
     """
     instances = fields.get("instances") or []
     end = f"ended with {fields.get('status')}"
@@ -106,7 +107,7 @@
     sent_ms = float(fields.get("sent_ms") or 0.0)
     before = "chooses a server"
     if len(instances) > 1:
-        before = f"tries {len(instances) - 1} before the last server"
+        before = f"attempts before the last one: {len(instances) - 1}"
     yield Span(DAEMON_ROW, 0.0, sent_ms, before)
     yield Span(instances[-1], sent_ms, took_ms, end)
 
--- a/banyantiller/tests/explain/__init__.py
+++ b/banyantiller/tests/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of explanations from logs."""
+"""Tests of the explanation of requests from logs."""
--- a/banyantiller/tests/explain/test_explanation.py
+++ b/banyantiller/tests/explain/test_explanation.py
@@ -1,4 +1,4 @@
-"""Tests of the way from a request's identity to its cause."""
+"""Tests of the explanation of a request, found by its identity."""
 
 import contextlib
 import io
@@ -47,14 +47,14 @@
     def explain(self, *texts):
         return explanation.explain_request("a", log_reader.parse_lines(texts))
 
-    def test_refused_request_did_not_run(self):
+    def test_rejected_request_did_not_run(self):
         found = self.explain(
             ended(status=503, error="no_server", sends=0, instances=[])
         )
         self.assertEqual("no", found.ran)
-        self.assertIn("no server got free", found.sentences[0])
+        self.assertIn("no server became available", found.sentences[0])
 
-    def test_request_that_broke_may_have_run(self):
+    def test_request_whose_connection_was_lost_may_have_run(self):
         found = self.explain(
             line("a try failed.", id="a", instance="s1", kind="x", load=None),
             ended(status=502, error="connection_lost", maybe_ran=True),
@@ -62,13 +62,13 @@
         self.assertEqual("unknown", found.ran)
         self.assertEqual(2, len(found.sentences))
 
-    def test_late_answer_names_where_the_time_passed(self):
+    def test_late_response_names_where_the_time_was_spent(self):
         at_server = self.explain(ended(took_ms=300.0)).sentences[0]
         before = self.explain(ended(took_ms=300.0, sent_ms=200.0)).sentences[0]
-        self.assertIn("passed at the server", at_server)
-        self.assertIn("passed before it was sent", before)
+        self.assertIn("spent at the server", at_server)
+        self.assertIn("spent before it was sent", before)
 
-    def test_beliefs_of_the_same_daemon_at_that_time_are_shown(self):
+    def test_events_of_the_same_daemon_shortly_before_are_shown(self):
         found = self.explain(
             line("server gives no answer.", "00:00:07.000000", instance="s1"),
             line("server gives no answer.", "00:00:01.000000", instance="s1"),
@@ -108,8 +108,8 @@
         shown = [one.fields["event"] for one in found.lines]
         self.assertIn("gateway: server names a limit.", shown)
 
-    def test_clocks_that_differ_are_never_compared(self):
-        """The second daemon's clock is an hour behind; it saw the same id."""
+    def test_clocks_of_different_daemons_are_not_compared(self):
+        """The second daemon's clock is an hour behind; it logs the same id."""
         found = self.explain(
             line("store is lost.", "00:00:09.000000", reason="x"),
             line("store is lost.", "23:00:01.000000", daemon="d2", reason="y"),
@@ -128,7 +128,7 @@
             shown,
         )
 
-    def test_budget_of_the_same_service_is_shown_and_of_others_not(self):
+    def test_retry_budget_is_shown_for_the_same_service_only(self):
         found = self.explain(
             line("retry budget is spent.", id="b", service="s"),
             line("retry budget is spent.", id="c", service="other"),
@@ -137,18 +137,20 @@
         ids = [one.fields["id"] for one in found.lines]
         self.assertEqual(["b", "a"], ids)
 
-    def test_lines_behind_a_prefix_are_read_and_cut_ones_counted(self):
+    def test_prefixed_lines_are_parsed_and_truncated_ones_counted(self):
         logs = log_reader.parse_lines(
             ["12.5 edge-1 " + ended(), ended()[:-9], "nothing", "\n"]
         )
         self.assertEqual((1, 2), (len(logs.lines), logs.unreadable))
 
-    def test_lost_lines_are_told(self):
+    def test_lost_lines_are_reported(self):
         lost = json.dumps({"event": log_reader.LINES_LOST_EVENT, "lines": 7})
         found = self.explain(lost, ended())
-        self.assertEqual(["Daemons could not write 7 lines."], found.unknown)
+        self.assertEqual(
+            ["Daemons failed to write 7 log lines."], found.unknown
+        )
 
-    def test_unknown_id_is_said_to_be_unknown(self):
+    def test_unknown_id_is_reported_as_unknown(self):
         found = explanation.explain_request(
             "b", log_reader.parse_lines([ended()])
         )
@@ -180,7 +182,7 @@
         self.assertIn("&lt;no&gt;", text)
         self.assertNotIn("<no>", text)
 
-    def test_page_that_can_not_be_written_is_one_clear_error(self):
+    def test_page_that_cannot_be_written_is_one_error_line(self):
         printed = io.StringIO()
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "d1.log"
@@ -192,7 +194,7 @@
         self.assertNotEqual(0, status)
         self.assertEqual(1, len(printed.getvalue().splitlines()))
 
-    def test_missing_file_is_one_clear_error(self):
+    def test_missing_file_is_one_error_line(self):
         printed = io.StringIO()
         with contextlib.redirect_stderr(printed):
             status = cli.run(["explain", "a", "/nowhere/x.log"])
--- a/banyantiller/tests/explain/test_timeline.py
+++ b/banyantiller/tests/explain/test_timeline.py
@@ -12,7 +12,7 @@
         )
         return found
 
-    def test_times_count_from_the_arrival(self):
+    def test_times_are_relative_to_the_arrival(self):
         found = self.build(
             line("a try failed.", "00:00:09.950000", id="a", instance="s1",
                  kind="x", reason="reset", load=None),
@@ -20,7 +20,7 @@
         )  # fmt: skip
         self.assertEqual(
             [
-                ("daemon", 0.0, 45.0, "tries 1 before the last server"),
+                ("daemon", 0.0, 45.0, "attempts before the last one: 1"),
                 ("s2", 45.0, 90.0, "ended with 200"),
             ],
             [tuple(span) for span in found.spans],
@@ -31,7 +31,7 @@
         )
         self.assertEqual(["daemon", "s2", "s1"], found.rows())
 
-    def test_refused_request_only_waits(self):
+    def test_rejected_request_only_waits(self):
         found = self.build(
             ended(status=503, error="no_server", instances=[], sends=0)
         )
@@ -39,7 +39,7 @@
         self.assertEqual(("daemon", 0.0, 90.0), span[:3])
 
     def test_request_without_an_end_has_no_timeline(self):
-        told = explanation.explain_request(
+        found = explanation.explain_request(
             "a", log_reader.parse_lines([line("no connection.", id="a")])
         )
-        self.assertEqual([], timeline.build_timelines(told))
+        self.assertEqual([], timeline.build_timelines(found))
