--- a/banyantiller/claims/records.py
+++ b/banyantiller/claims/records.py
@@ -249,7 +249,7 @@
     """Returns whether a late release could still reverse an outcome."""
     is_unknown = (
         isinstance(outcome, types.Denied)
-        and outcome.failure.kind is ErrorKind.KEY_OUTCOME_UNKNOWN
+        and outcome.failure.error_kind is ErrorKind.KEY_OUTCOME_UNKNOWN
     )
     return is_unknown and record is not None and record.state == State.CLAIMED
 
--- a/banyantiller/commands/failures.py
+++ b/banyantiller/commands/failures.py
@@ -20,7 +20,7 @@
     Lost: exceptions.ConflictError,
     OutOfDate: exceptions.ConflictError,
     NotReached: exceptions.StoreError,
-    NotKnown: exceptions.NotKnownError,
+    NotKnown: exceptions.OutcomeUnknownError,
     NotFound: exceptions.BanyantillerError,
 }
 
--- a/banyantiller/commands/gone.py
+++ b/banyantiller/commands/gone.py
@@ -58,7 +58,7 @@
         session.wall,
     )
     if isinstance(outcome, NotKnown):
-        raise exceptions.NotKnownError(
+        raise exceptions.OutcomeUnknownError(
             f"It is not known whether the statement was written:"
             f" {outcome.reason}. Look at `banyantiller audit`."
         )
--- a/banyantiller/commands/roll.py
+++ b/banyantiller/commands/roll.py
@@ -100,7 +100,7 @@
         """Polls the daemons' statuses.
 
         Raises:
-            WaitError: The time was over before.
+            RollTimeoutError: The time was over before.
         """
         loop = asyncio.get_running_loop()
         ends = loop.time() + self.timeout_s
@@ -115,7 +115,7 @@
                 if not missing:
                     return found
             await asyncio.sleep(POLL_S)
-        raise exceptions.WaitError(
+        raise exceptions.RollTimeoutError(
             f"Version {self.version} is accepted, but after"
             f" {self.timeout_s:g} s it is not in force everywhere: {missing}."
         )
--- a/banyantiller/errors.py
+++ b/banyantiller/errors.py
@@ -1,7 +1,7 @@
 """The closed list of error kinds and the answer that each one gets.
 
-Every failure that a caller can see is one `ErrorKind`. `ANSWERS` maps each
-kind to its status code, its `Proxy-Status` error type (RFC 9209), whether
+Every failure that a caller can see is one `ErrorKind`. `ERROR_RESPONSES` maps
+each kind to its status code, its `Proxy-Status` error type (RFC 9209), whether
 the request was run, and whether the caller may send it again.
 """
 
@@ -61,7 +61,7 @@
     INTERNAL = "internal"
 
 
-class Answer(NamedTuple):
+class ErrorResponse(NamedTuple):
     """What a caller is told about one kind of failure.
 
     Attributes:
@@ -77,89 +77,121 @@
     retry: bool
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.MALFORMED_REQUEST: Answer(
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.MALFORMED_REQUEST: ErrorResponse(
         400, "http_request_error", Ran.NO, False
     ),
-    ErrorKind.HEAD_TOO_LARGE: Answer(431, "http_request_error", Ran.NO, False),
-    ErrorKind.AMBIGUOUS_LENGTH: Answer(
+    ErrorKind.HEAD_TOO_LARGE: ErrorResponse(
+        431, "http_request_error", Ran.NO, False
+    ),
+    ErrorKind.AMBIGUOUS_LENGTH: ErrorResponse(
         400, "http_request_error", Ran.NO, False
     ),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, "http_request_error", Ran.NO, False),
-    ErrorKind.BODY_MALFORMED: Answer(
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(
+        413, "http_request_error", Ran.NO, False
+    ),
+    ErrorKind.BODY_MALFORMED: ErrorResponse(
         400, "http_request_error", Ran.UNKNOWN, False
     ),
-    ErrorKind.HEAD_TIMEOUT: Answer(408, "http_request_error", Ran.NO, True),
-    ErrorKind.BODY_TIMEOUT: Answer(
+    ErrorKind.HEAD_TIMEOUT: ErrorResponse(
+        408, "http_request_error", Ran.NO, True
+    ),
+    ErrorKind.BODY_TIMEOUT: ErrorResponse(
         408, "http_request_error", Ran.UNKNOWN, False
     ),
-    ErrorKind.CALLER_GONE: Answer(
+    ErrorKind.CALLER_GONE: ErrorResponse(
         499, "connection_terminated", Ran.UNKNOWN, False
     ),
-    ErrorKind.EXPECTATION_UNSUPPORTED: Answer(
+    ErrorKind.EXPECTATION_UNSUPPORTED: ErrorResponse(
         417, "http_request_error", Ran.NO, False
     ),
-    ErrorKind.METHOD_UNSUPPORTED: Answer(
+    ErrorKind.METHOD_UNSUPPORTED: ErrorResponse(
         501, "http_request_error", Ran.NO, False
     ),
-    ErrorKind.VERSION_UNSUPPORTED: Answer(
+    ErrorKind.VERSION_UNSUPPORTED: ErrorResponse(
         505, "http_request_error", Ran.NO, False
     ),
-    ErrorKind.UNKNOWN_SERVICE: Answer(
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(
         404, "destination_not_found", Ran.NO, False
     ),
-    ErrorKind.NO_BUNDLE: Answer(503, "proxy_configuration_error", Ran.NO, True),
-    ErrorKind.FENCED: Answer(503, "proxy_configuration_error", Ran.NO, True),
-    ErrorKind.DRAINING: Answer(503, "proxy_internal_response", Ran.NO, True),
-    ErrorKind.QUEUE_FULL: Answer(503, "connection_limit_reached", Ran.NO, True),
-    ErrorKind.DEADLINE_UNREACHABLE: Answer(
+    ErrorKind.NO_BUNDLE: ErrorResponse(
+        503, "proxy_configuration_error", Ran.NO, True
+    ),
+    ErrorKind.FENCED: ErrorResponse(
+        503, "proxy_configuration_error", Ran.NO, True
+    ),
+    ErrorKind.DRAINING: ErrorResponse(
+        503, "proxy_internal_response", Ran.NO, True
+    ),
+    ErrorKind.QUEUE_FULL: ErrorResponse(
+        503, "connection_limit_reached", Ran.NO, True
+    ),
+    ErrorKind.DEADLINE_UNREACHABLE: ErrorResponse(
         503, "connection_limit_reached", Ran.NO, True
     ),
-    ErrorKind.DEADLINE_BEFORE_START: Answer(
+    ErrorKind.DEADLINE_BEFORE_START: ErrorResponse(
         504, "connection_limit_reached", Ran.NO, True
     ),
-    ErrorKind.DEADLINE_AFTER_START: Answer(
+    ErrorKind.DEADLINE_AFTER_START: ErrorResponse(
         504, "http_response_timeout", Ran.UNKNOWN, False
     ),
-    ErrorKind.QUARANTINED: Answer(503, "http_request_denied", Ran.NO, True),
-    ErrorKind.NO_SERVER: Answer(503, "destination_unavailable", Ran.NO, True),
-    ErrorKind.CONNECT_FAILED: Answer(502, "connection_refused", Ran.NO, True),
-    ErrorKind.CONNECT_TIMEOUT: Answer(504, "connection_timeout", Ran.NO, True),
-    ErrorKind.TLS_FAILED: Answer(502, "tls_protocol_error", Ran.NO, True),
-    ErrorKind.BACKEND_SHED: Answer(
+    ErrorKind.QUARANTINED: ErrorResponse(
+        503, "http_request_denied", Ran.NO, True
+    ),
+    ErrorKind.NO_SERVER: ErrorResponse(
         503, "destination_unavailable", Ran.NO, True
     ),
-    ErrorKind.CONNECTION_LOST: Answer(
+    ErrorKind.CONNECT_FAILED: ErrorResponse(
+        502, "connection_refused", Ran.NO, True
+    ),
+    ErrorKind.CONNECT_TIMEOUT: ErrorResponse(
+        504, "connection_timeout", Ran.NO, True
+    ),
+    ErrorKind.TLS_FAILED: ErrorResponse(
+        502, "tls_protocol_error", Ran.NO, True
+    ),
+    ErrorKind.BACKEND_SHED: ErrorResponse(
+        503, "destination_unavailable", Ran.NO, True
+    ),
+    ErrorKind.CONNECTION_LOST: ErrorResponse(
         502, "connection_terminated", Ran.UNKNOWN, False
     ),
-    ErrorKind.BACKEND_MALFORMED: Answer(
+    ErrorKind.BACKEND_MALFORMED: ErrorResponse(
         502, "http_protocol_error", Ran.UNKNOWN, False
     ),
-    ErrorKind.BACKEND_INCOMPLETE: Answer(
+    ErrorKind.BACKEND_INCOMPLETE: ErrorResponse(
         502, "http_response_incomplete", Ran.UNKNOWN, False
     ),
-    ErrorKind.BACKEND_HEAD_TOO_LARGE: Answer(
+    ErrorKind.BACKEND_HEAD_TOO_LARGE: ErrorResponse(
         502, "http_response_header_section_size", Ran.UNKNOWN, False
     ),
-    ErrorKind.BACKEND_TIMEOUT: Answer(
+    ErrorKind.BACKEND_TIMEOUT: ErrorResponse(
         504, "http_response_timeout", Ran.UNKNOWN, False
     ),
-    ErrorKind.KEY_MISSING: Answer(400, "http_request_denied", Ran.NO, False),
-    ErrorKind.KEY_MALFORMED: Answer(400, "http_request_denied", Ran.NO, False),
-    ErrorKind.KEY_REUSED: Answer(422, "http_request_denied", Ran.NO, False),
-    ErrorKind.KEY_IN_PROGRESS: Answer(
+    ErrorKind.KEY_MISSING: ErrorResponse(
+        400, "http_request_denied", Ran.NO, False
+    ),
+    ErrorKind.KEY_MALFORMED: ErrorResponse(
+        400, "http_request_denied", Ran.NO, False
+    ),
+    ErrorKind.KEY_REUSED: ErrorResponse(
+        422, "http_request_denied", Ran.NO, False
+    ),
+    ErrorKind.KEY_IN_PROGRESS: ErrorResponse(
         409, "http_request_denied", Ran.UNKNOWN, True
     ),
-    ErrorKind.KEY_ALREADY_RUN: Answer(
+    ErrorKind.KEY_ALREADY_RUN: ErrorResponse(
         409, "http_request_denied", Ran.YES, False
     ),
-    ErrorKind.KEY_OUTCOME_UNKNOWN: Answer(
+    ErrorKind.KEY_OUTCOME_UNKNOWN: ErrorResponse(
         409, "http_request_denied", Ran.UNKNOWN, False
     ),
-    ErrorKind.CLAIM_UNAVAILABLE: Answer(
+    ErrorKind.CLAIM_UNAVAILABLE: ErrorResponse(
         503, "proxy_internal_error", Ran.NO, True
     ),
-    ErrorKind.INTERNAL: Answer(500, "proxy_internal_error", Ran.UNKNOWN, False),
+    ErrorKind.INTERNAL: ErrorResponse(
+        500, "proxy_internal_error", Ran.UNKNOWN, False
+    ),
 }
 
 
@@ -168,16 +200,16 @@
     """The outcome of a call that gets no backend answer.
 
     Attributes:
-        kind: Which failure it was.
+        error_kind: Which failure it was.
         detail: One sentence for the caller and the log, without secrets.
         retry_after: Seconds after which a retry makes sense, or None.
     """
 
-    kind: ErrorKind
+    error_kind: ErrorKind
     detail: str = ""
     retry_after: float | None = None
 
     @property
-    def answer(self) -> Answer:
+    def response(self) -> ErrorResponse:
         """The row of the answer table for this kind."""
-        return ANSWERS[self.kind]
+        return ERROR_RESPONSES[self.error_kind]
--- a/banyantiller/evidence/rules.py
+++ b/banyantiller/evidence/rules.py
@@ -2,13 +2,13 @@
 
 from typing import NamedTuple
 
-from banyantiller.errors import ANSWERS, ErrorKind, Ran
+from banyantiller.errors import ERROR_RESPONSES, ErrorKind, Ran
 from banyantiller.evidence.promises import Promise
 from banyantiller.kernel.events import CallFinished
 
 CALLER_FAULTS = frozenset(
     kind
-    for kind, answer in ANSWERS.items()
+    for kind, answer in ERROR_RESPONSES.items()
     if answer.proxy_error == "http_request_error"
 ) | {ErrorKind.CALLER_GONE}
 
--- a/banyantiller/exceptions.py
+++ b/banyantiller/exceptions.py
@@ -53,13 +53,13 @@
     exit_code = 6
 
 
-class NotKnownError(BanyantillerError):
+class OutcomeUnknownError(BanyantillerError):
     """A write may have taken effect; its answer was lost."""
 
     exit_code = 7
 
 
-class WaitError(BanyantillerError):
+class RollTimeoutError(BanyantillerError):
     """The bundle is accepted, but not yet in force in every daemon."""
 
     exit_code = 8
--- a/banyantiller/gateway/call.py
+++ b/banyantiller/gateway/call.py
@@ -117,7 +117,7 @@
             failure = self.gateway.store_view.refusal_of(
                 ErrorKind.UNKNOWN_SERVICE
             )
-            return self._fail(failure.kind, failure.retry_after)
+            return self._fail(failure.error_kind, failure.retry_after)
         self.service = self.table.choose_service(self.route)
         self.gateway.budget_of(self.service).record_request(self.loop.time())
         try:
@@ -361,7 +361,7 @@
     ) -> replies.Reply:
         self.progress.error = kind
         failure = Failure(kind, retry_after=retry_after_s)
-        ran = Ran.UNKNOWN if self.progress.maybe_ran else failure.answer.ran
+        ran = Ran.UNKNOWN if self.progress.maybe_ran else failure.response.ran
         return replies.from_failure(failure, ran, self.gateway.settings.daemon)
 
     def _finish(self, status: int, error: ErrorKind | None) -> None:
--- a/banyantiller/gateway/caller.py
+++ b/banyantiller/gateway/caller.py
@@ -278,10 +278,10 @@
         self.rejected = True
         slot.body.clear()
         slot.reply = replies.from_failure(
-            failure, failure.answer.ran, self.gateway.settings.daemon
+            failure, failure.response.ran, self.gateway.settings.daemon
         )
         request_id = slot.request.request_id if slot.request else ""
-        events.emit(call_events.RequestRejected(request_id, failure.kind))
+        events.emit(call_events.RequestRejected(request_id, failure.error_kind))
 
     def _flush(self) -> None:
         """Writes the answers whose turn has come."""
--- a/banyantiller/gateway/replies.py
+++ b/banyantiller/gateway/replies.py
@@ -35,8 +35,10 @@
         ran: Whether the request was executed.
         daemon: Name of this daemon.
     """
-    row = failure.answer
-    status = f'{daemon}; error={row.proxy_error}; details="{failure.kind}"'
+    row = failure.response
+    status = (
+        f'{daemon}; error={row.proxy_error}; details="{failure.error_kind}"'
+    )
     headers = [
         ("content-type", "text/plain"),
         ("proxy-status", status),
@@ -45,4 +47,4 @@
     if failure.retry_after is not None:
         seconds = max(MIN_RETRY_AFTER_S, failure.retry_after)
         headers.append(("retry-after", f"{seconds:.3f}"))
-    return Reply(row.status, tuple(headers), f"{failure.kind}\n".encode())
+    return Reply(row.status, tuple(headers), f"{failure.error_kind}\n".encode())
--- a/banyantiller/plugins.py
+++ b/banyantiller/plugins.py
@@ -18,8 +18,8 @@
 from banyantiller import exceptions
 from banyantiller.kernel import core
 
-GROUP = "banyantiller.plugins"
-KINDS = ("object_api", "vm_list", "routing", "load_reader", "gateway")
+ENTRY_POINT_GROUP = "banyantiller.plugins"
+PLUGIN_KINDS = ("object_api", "vm_list", "routing", "load_reader", "gateway")
 
 Factory = Callable[..., Any]
 
@@ -42,8 +42,8 @@
         import importlib.metadata
 
         registry = cls()
-        found = importlib.metadata.entry_points(group=GROUP)
-        for entry in sorted(found, key=lambda item: item.name):
+        entry_points = importlib.metadata.entry_points(group=ENTRY_POINT_GROUP)
+        for entry in sorted(entry_points, key=lambda item: item.name):
             registry.load(entry)
         return registry
 
@@ -60,7 +60,7 @@
             try:
                 register = getattr(importlib.import_module(module), function)
             except (ImportError, AttributeError, ValueError) as error:
-                raise _not_loaded(name, error) from error
+                raise _load_error(name, error) from error
             register(registry)
         return registry
 
@@ -69,7 +69,7 @@
         try:
             register = entry.load()
         except (ImportError, AttributeError) as error:
-            raise _not_loaded(entry.name, error) from error
+            raise _load_error(entry.name, error) from error
         register(self)
 
     def add(self, kind: str, name: str, factory: Factory) -> None:
@@ -78,9 +78,10 @@
         Raises:
             PluginError: The kind is unknown or the name is taken.
         """
-        if kind not in KINDS:
+        if kind not in PLUGIN_KINDS:
             raise exceptions.PluginError(
-                f"Plug-in kind '{kind}' is not one of {', '.join(KINDS)}."
+                f"Plug-in kind '{kind}' is not one of"
+                f" {', '.join(PLUGIN_KINDS)}."
             )
         if (kind, name) in self.factories:
             raise exceptions.PluginError(
@@ -97,10 +98,10 @@
         try:
             return self.factories[kind, name]
         except KeyError:
-            known = sorted(n for k, n in self.factories if k == kind)
+            installed_names = sorted(n for k, n in self.factories if k == kind)
             raise exceptions.PluginError(
                 f"No plug-in of kind '{kind}' is named '{name}'; "
-                f"installed: {', '.join(known) or 'none'}."
+                f"installed: {', '.join(installed_names) or 'none'}."
             ) from None
 
     def on(self, event_type: type, handler: core.Handler) -> None:
@@ -113,7 +114,7 @@
             kernel.subscribe(event_type, handler)
 
 
-def _not_loaded(name: str, error: Exception) -> exceptions.PluginError:
+def _load_error(name: str, error: Exception) -> exceptions.PluginError:
     return exceptions.PluginError(
         f"Plug-in '{name}' could not be loaded: {error}."
     )
--- a/banyantiller/proxy/admission.py
+++ b/banyantiller/proxy/admission.py
@@ -75,7 +75,7 @@
 
 def _check_bundle(proxy: "proxies.Proxy", call: "calls.Call") -> Failure | None:
     failure = _match_service(proxy, call) or _check_key(call)
-    if failure is None or failure.kind not in BUNDLE_DEPENDENT_KINDS:
+    if failure is None or failure.error_kind not in BUNDLE_DEPENDENT_KINDS:
         return failure
     if proxy.is_outdated():
         # A final refusal would end a request that the accepted bundle
--- a/banyantiller/proxy/call.py
+++ b/banyantiller/proxy/call.py
@@ -124,7 +124,7 @@
         self._cancel_attempts()
         if self.status:
             self.caller.reset()
-            self._finish(failure.kind, cut=True)
+            self._finish(failure.error_kind, cut=True)
         else:
             self.refuse(failure)
 
@@ -258,14 +258,14 @@
         """Responds with a failure and ends the call."""
         if self.is_finished:
             return
-        ran = failure.answer.ran
+        ran = failure.response.ran
         if ran is Ran.NO and self.may_have_run:
             ran = Ran.UNKNOWN
         self.reported_ran = ran
         response = responses.from_failure(
             failure, ran, self.proxy.settings.daemon, self.request_id
         )
-        self.respond(response, failure.kind)
+        self.respond(response, failure.error_kind)
 
     def respond(
         self, response: responses.LocalResponse, error: ErrorKind | None
--- a/banyantiller/proxy/proxy.py
+++ b/banyantiller/proxy/proxy.py
@@ -288,7 +288,7 @@
         """Responds where no request head could be parsed, and closes."""
         request_id = self.new_request_id()
         response = responses.from_failure(
-            failure, failure.answer.ran, self.settings.daemon, request_id
+            failure, failure.response.ran, self.settings.daemon, request_id
         )
         connection.send_local_response(response, request_incomplete=True)
         connection.response_done()
@@ -299,12 +299,12 @@
             key="",
             server="",
             status=response.status,
-            error=failure.kind,
+            error=failure.error_kind,
             attempts=0,
             cut=False,
             duration_s=self.loop.time() - connection.head_started_at,
             bundle=self.version,
-            told=failure.answer.ran,
+            told=failure.response.ran,
         )
         self.in_flight += 1
         self.call_finished(event)
--- a/banyantiller/proxy/responses.py
+++ b/banyantiller/proxy/responses.py
@@ -39,17 +39,19 @@
         daemon: Name of this daemon.
         request_id: Identifier of the request.
     """
-    row = failure.answer
+    row = failure.response
     retry = row.retry and ran == row.ran
     content = {
-        "error": failure.kind,
+        "error": failure.error_kind,
         "ran": ran,
         "retry": retry,
         "detail": failure.detail,
         "request_id": request_id.decode("latin-1"),
     }
     body = msgspec.json.encode(content) + b"\n"
-    status = f'"{daemon}"; error={row.proxy_error}; details="{failure.kind}"'
+    status = (
+        f'"{daemon}"; error={row.proxy_error}; details="{failure.error_kind}"'
+    )
     fields = [
         (b"Content-Type", b"application/json"),
         (b"Content-Length", b"%d" % len(body)),
--- a/banyantiller/replay/claims_player.py
+++ b/banyantiller/replay/claims_player.py
@@ -226,8 +226,8 @@
         elif isinstance(outcome, types.Finished):
             self.log.told[request.call] = "finished"
         else:
-            self.log.told[request.call] = outcome.failure.kind
-            if outcome.failure.answer.ran is Ran.NO:
+            self.log.told[request.call] = outcome.failure.error_kind
+            if outcome.failure.response.ran is Ran.NO:
                 self.log.not_run.add(request.call)
         self.log.took[request.call] = self.loop.time() - begin
 
--- a/banyantiller/replay/dispatcher_expectations.py
+++ b/banyantiller/replay/dispatcher_expectations.py
@@ -57,7 +57,7 @@
         """Returns what is otherwise."""
         record = _record(log, self.call)
         failure = record.failure
-        if failure is None or failure.kind != self.kind:
+        if failure is None or failure.error_kind != self.kind:
             return f"its outcome is {_outcome(record)}"
         after = (record.refused_at or 0.0) - record.submitted_at
         if after > self.within_s:
@@ -145,7 +145,7 @@
             number
             for number, record in log.calls.items()
             if record.failure is not None
-            and record.failure.answer.ran is Ran.NO
+            and record.failure.response.ran is Ran.NO
             and record.runs
         ]
         return f"calls that may have run: {wrong}" if wrong else ""
@@ -311,7 +311,7 @@
 
 def _outcome(record: CallRecord) -> str:
     if record.failure is not None:
-        return record.failure.kind
+        return record.failure.error_kind
     if record.cancelled:
         return "cancelled"
     return "none" if record.answered_at is None else "an answer"
--- a/banyantiller/replay/dispatcher_inputs.py
+++ b/banyantiller/replay/dispatcher_inputs.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from banyantiller.bundle import options
-from banyantiller.errors import ANSWERS, ErrorKind, Ran
+from banyantiller.errors import ERROR_RESPONSES, ErrorKind, Ran
 from banyantiller.routing import types
 
 
@@ -205,7 +205,7 @@
         """Returns how a try ends."""
         if self.error:
             kind = ErrorKind(self.error)
-            ran = Ran(self.ran) if self.ran else ANSWERS[kind].ran
+            ran = Ran(self.ran) if self.ran else ERROR_RESPONSES[kind].ran
             return types.AttemptResult(
                 False, ran, kind, retry_after_s=self.retry_after_s
             )
--- a/banyantiller/routing/scheduling.py
+++ b/banyantiller/routing/scheduling.py
@@ -113,7 +113,7 @@
         self._finish_call(call)
         if (
             call.ambiguous_failure is not None
-            and Failure(kind).answer.ran is Ran.NO
+            and Failure(kind).response.ran is Ran.NO
         ):
             return Refuse(call.call_id, Failure(call.ambiguous_failure))
         if wait_s is None:
@@ -297,7 +297,7 @@
     ) -> float | None:
         if result.retry_after_s is not None:
             return result.retry_after_s
-        if Failure(kind).answer.retry:
+        if Failure(kind).response.retry:
             return self.state.averages.service_time_s
         return None
 
--- a/banyantiller/tests/certificates.py
+++ b/banyantiller/tests/certificates.py
@@ -15,7 +15,7 @@
 PEM = serialization.Encoding.PEM
 
 
-class Authority:
+class CertificateAuthority:
     """Issues certificates into a folder.
 
     Attributes:
@@ -26,8 +26,8 @@
         self.folder = pathlib.Path(folder)
         self.key = ec.generate_private_key(ec.SECP256R1())
         self.subject = _subject(name)
-        own = self._sign(self.subject, self.key, is_authority=True)
-        self.trust = self._write(f"{name}.pem", own.public_bytes(PEM))
+        certificate = self._sign(self.subject, self.key, is_authority=True)
+        self.trust = self._write(f"{name}.pem", certificate.public_bytes(PEM))
 
     def issue(
         self, name: str, server_name: str = "", address: str = LOOPBACK
--- a/banyantiller/tests/claims/test_arbiter.py
+++ b/banyantiller/tests/claims/test_arbiter.py
@@ -47,7 +47,7 @@
 
 def error_kind_of(outcome: types.ClaimOutcome) -> ErrorKind | None:
     if isinstance(outcome, types.Denied):
-        return outcome.failure.kind
+        return outcome.failure.error_kind
     return None
 
 
@@ -194,7 +194,7 @@
                 self.assertEqual(
                     ErrorKind.CLAIM_UNAVAILABLE, error_kind_of(denied)
                 )
-                self.assertEqual(Ran.NO, denied.failure.answer.ran)
+                self.assertEqual(Ran.NO, denied.failure.response.ran)
             self.assertTrue(sum(daemon.store.calls.values()) < 10)
             daemon.store.faults.down = False
             await asyncio.sleep(1)
--- a/banyantiller/tests/claims/test_at_most_once.py
+++ b/banyantiller/tests/claims/test_at_most_once.py
@@ -206,7 +206,7 @@
 def reports_ran(outcome: types.ClaimOutcome, ran: Ran) -> bool:
     """Returns whether an outcome reports this `ran` to the caller."""
     if isinstance(outcome, types.Denied):
-        return outcome.failure.answer.ran == ran
+        return outcome.failure.response.ran == ran
     return isinstance(outcome, types.Finished) and ran == Ran.YES
 
 
--- a/banyantiller/tests/claims/test_sweeping.py
+++ b/banyantiller/tests/claims/test_sweeping.py
@@ -59,7 +59,9 @@
             await sweep_often(sweeper)
             self.assertTrue(sweeper.retained > 0)
             denied = await fleet.daemon("d2").claim(request, TIMEOUT_S)
-            self.assertEqual(ErrorKind.KEY_OUTCOME_UNKNOWN, denied.failure.kind)
+            self.assertEqual(
+                ErrorKind.KEY_OUTCOME_UNKNOWN, denied.failure.error_kind
+            )
 
         self.run_paused(scenario())
 
--- a/banyantiller/tests/config/test_settings.py
+++ b/banyantiller/tests/config/test_settings.py
@@ -145,7 +145,7 @@
     def test_peers_need_a_trust_file_with_their_certificate(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        files = certificates.Authority(folder.name).issue("d0")
+        files = certificates.CertificateAuthority(folder.name).issue("d0")
         own = f"certificate: {files.certificate}, key: {files.key}"
         secret = "secret: 0123456789abcdef"
         (found,) = errors_of(GOOD.replace(secret, f"tls: {{{own}}}"))
--- a/banyantiller/tests/fuzz/test_proxy.py
+++ b/banyantiller/tests/fuzz/test_proxy.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from banyantiller.config import defaults
-from banyantiller.errors import ANSWERS, ErrorKind
+from banyantiller.errors import ERROR_RESPONSES, ErrorKind
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.faults import seeds
 from banyantiller.tests.fuzz import mutations
@@ -76,8 +76,8 @@
     b"X: " + b"a" * 5000 + b"\r\n",
     b"ffffffffffffffffff\r\n",
 )
-PROXY_ERRORS = {answer.proxy_error for answer in ANSWERS.values()}
-STATUSES = {answer.status for answer in ANSWERS.values()}
+PROXY_ERRORS = {answer.proxy_error for answer in ERROR_RESPONSES.values()}
+STATUSES = {answer.status for answer in ERROR_RESPONSES.values()}
 CUTS = st.lists(st.integers(0, 400), max_size=3)
 LONGEST_S = 300.0
 SMALL = {"max_head_bytes": 2048, "max_body_bytes": 4096, "head_timeout_s": 2.0}
@@ -295,4 +295,4 @@
                     self.assertIn(b"error=", head)
 
     def test_every_kind_has_a_row(self):
-        self.assertEqual(set(ErrorKind), set(ANSWERS))
+        self.assertEqual(set(ErrorKind), set(ERROR_RESPONSES))
--- a/banyantiller/tests/known_red.py
+++ b/banyantiller/tests/known_red.py
@@ -3,13 +3,13 @@
 import pathlib
 from typing import NamedTuple
 
-PATH = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
+LIST_PATH = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
 SEPARATOR = " | "
 COMMENT = "#"
-FIELDS = 4
+FIELD_COUNT = 4
 
 
-class KnownRed(NamedTuple):
+class KnownFailure(NamedTuple):
     """A test that fails for a fault that is not mended yet.
 
     Attributes:
@@ -22,11 +22,11 @@
 
     test: str
     command: str
-    seen: str
+    observed: str
     issue: str
 
 
-def read(path: pathlib.Path = PATH) -> list[KnownRed]:
+def read_entries(path: pathlib.Path = LIST_PATH) -> list[KnownFailure]:
     """Returns the entries of a list; none if there is no such file.
 
     Args:
@@ -39,20 +39,20 @@
     if not path.exists():
         return []
     lines = path.read_text(encoding="utf-8").splitlines()
-    return [_entry(text) for text in lines if _states(text)]
+    return [_parse_entry(text) for text in lines if _is_entry(text)]
 
 
-def line(entry: KnownRed) -> str:
+def format_entry(entry: KnownFailure) -> str:
     """Returns an entry as it stands in the list."""
     return SEPARATOR.join(entry)
 
 
-def _states(text: str) -> bool:
+def _is_entry(text: str) -> bool:
     return bool(text.strip()) and not text.startswith(COMMENT)
 
 
-def _entry(text: str) -> KnownRed:
+def _parse_entry(text: str) -> KnownFailure:
     fields = [field.strip() for field in text.split(SEPARATOR)]
-    if len(fields) != FIELDS or not all(fields):
+    if len(fields) != FIELD_COUNT or not all(fields):
         raise ValueError(f"KNOWN-RED.txt: not four fields: {text!r}")
-    return KnownRed(*fields)
+    return KnownFailure(*fields)
--- a/banyantiller/tests/membership/test_tls.py
+++ b/banyantiller/tests/membership/test_tls.py
@@ -8,7 +8,7 @@
 from banyantiller.kernel import core
 from banyantiller.membership import peers as peering
 from banyantiller.tests.base import TestCase
-from banyantiller.tests.certificates import LOOPBACK, Authority
+from banyantiller.tests.certificates import LOOPBACK, CertificateAuthority
 from banyantiller.tests.membership import support
 
 TIMEOUT_S = 10.0
@@ -55,8 +55,8 @@
 
     def test_certificates_of_both_sides_are_verified(self):
         with tempfile.TemporaryDirectory() as folder:
-            trusted = Authority(folder, "ours")
-            foreign = Authority(folder, "theirs")
+            trusted = CertificateAuthority(folder, "ours")
+            foreign = CertificateAuthority(folder, "theirs")
             certified = trusted.issue("d0", "peers")
             alive_counts = self.run_pair(
                 certified,
--- a/banyantiller/tests/proxy/test_error_kinds.py
+++ b/banyantiller/tests/proxy/test_error_kinds.py
@@ -5,7 +5,7 @@
 
 from banyantiller.claims.types import Denied
 from banyantiller.config.defaults import BackendSettings
-from banyantiller.errors import ANSWERS, ErrorKind, Failure, Ran
+from banyantiller.errors import ERROR_RESPONSES, ErrorKind, Failure, Ran
 from banyantiller.tests import base
 from banyantiller.tests.proxy import fakes
 
@@ -183,7 +183,7 @@
 
 class ErrorKindsTest(base.TestCase):
     def check(self, bench: fakes.Bench, response: bytes, case: Case) -> None:
-        row = ANSWERS[case.error_kind]
+        row = ERROR_RESPONSES[case.error_kind]
         context = f"{case.error_kind} {case.request[:70]!r}: {response!r}"
         head = response.partition(b"\r\n\r\n")[0].lower().decode()
         self.assertTrue(head.startswith(f"http/1.1 {row.status} "), context)
--- a/banyantiller/tests/proxy/test_tls.py
+++ b/banyantiller/tests/proxy/test_tls.py
@@ -6,7 +6,7 @@
 from banyantiller.bundle import options
 from banyantiller.config import defaults
 from banyantiller.tests import base
-from banyantiller.tests.certificates import LOOPBACK, Authority
+from banyantiller.tests.certificates import LOOPBACK, CertificateAuthority
 from banyantiller.tests.proxy import fakes
 from banyantiller.utils import tls
 
@@ -47,14 +47,14 @@
 
     def test_both_sides(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            files = Authority(folder).issue("server")
+            files = CertificateAuthority(folder).issue("server")
             response, _ = asyncio.run(self.exchange(files, files.trust))
         self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
         self.assertTrue(response.endswith(b"\r\n\r\nok"), response)
 
     def test_untrusted_server(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            files = Authority(folder).issue("server")
+            files = CertificateAuthority(folder).issue("server")
             response, bench = asyncio.run(self.exchange(files, ""))
         self.assertIn(b"error=tls_protocol_error", response)
         self.assertIn(b"request-ran: no", response)
--- a/banyantiller/tests/routing/test_basics.py
+++ b/banyantiller/tests/routing/test_basics.py
@@ -55,7 +55,7 @@
         driver.fill_servers(2)
         self.assertEqual([], driver.submit() + driver.submit())
         (refusal,) = driver.submit()
-        self.assertEqual(ErrorKind.QUEUE_FULL, refusal.failure.kind)
+        self.assertEqual(ErrorKind.QUEUE_FULL, refusal.failure.error_kind)
         self.assertGreater(refusal.failure.retry_after, 0)
 
     def test_cancelled_call_is_dropped(self):
--- a/banyantiller/tests/routing/test_ejection.py
+++ b/banyantiller/tests/routing/test_ejection.py
@@ -199,5 +199,5 @@
         (refusal,) = driver.dispatcher.configure(
             driver.service, leaving, driver.now
         )
-        self.assertEqual(ErrorKind.NO_SERVER, refusal.failure.kind)
+        self.assertEqual(ErrorKind.NO_SERVER, refusal.failure.error_kind)
         self.assertIsNotNone(refusal.failure.retry_after)
--- a/banyantiller/tests/routing/test_retries.py
+++ b/banyantiller/tests/routing/test_retries.py
@@ -47,7 +47,7 @@
         fill_budget(driver)
         (first,) = driver.submit(idempotent=False)
         (refusal,) = driver.receive_head(first.attempt_id, failure())
-        self.assertEqual(ErrorKind.CONNECTION_LOST, refusal.failure.kind)
+        self.assertEqual(ErrorKind.CONNECTION_LOST, refusal.failure.error_kind)
 
     def test_call_known_not_run_is_retried(self):
         driver = Driver(server_states(3))
@@ -72,8 +72,8 @@
         (second,) = driver.receive_head(first.attempt_id, failure())
         (third,) = driver.receive_head(second.attempt_id, REFUSED)
         (refusal,) = driver.receive_head(third.attempt_id, REFUSED)
-        self.assertEqual(ErrorKind.CONNECTION_LOST, refusal.failure.kind)
-        self.assertEqual(Ran.UNKNOWN, refusal.failure.answer.ran)
+        self.assertEqual(ErrorKind.CONNECTION_LOST, refusal.failure.error_kind)
+        self.assertEqual(Ran.UNKNOWN, refusal.failure.response.ran)
 
     def test_retries_stay_in_budget_when_all_attempts_fail(self):
         for result in (failure(), REFUSED, SHED):
@@ -205,7 +205,7 @@
                 elif isinstance(action, types.Cancel):
                     running.pop(action.attempt_id, None)
                 elif isinstance(action, types.Refuse):
-                    ran = action.failure.answer.ran
+                    ran = action.failure.response.ran
                     if may_have_run.get(action.call_id):
                         self.assertIsNot(Ran.NO, ran)
 
--- a/banyantiller/tests/routing/test_waiting.py
+++ b/banyantiller/tests/routing/test_waiting.py
@@ -27,8 +27,10 @@
     def test_deadline_that_cannot_be_met_is_refused_at_once(self):
         driver, _ = full_server(waiting=20)
         (refusal,) = driver.submit(timeout_s=0.05)
-        self.assertEqual(ErrorKind.DEADLINE_UNREACHABLE, refusal.failure.kind)
-        self.assertEqual(Ran.NO, refusal.failure.answer.ran)
+        self.assertEqual(
+            ErrorKind.DEADLINE_UNREACHABLE, refusal.failure.error_kind
+        )
+        self.assertEqual(Ran.NO, refusal.failure.response.ran)
         self.assertGreater(refusal.failure.retry_after, 0.2)
 
     def test_waiting_call_that_cannot_meet_its_deadline_is_refused_early(
@@ -41,7 +43,7 @@
         refusals = of_type(actions, types.Refuse)
         self.assertEqual(
             [ErrorKind.DEADLINE_UNREACHABLE],
-            [refusal.failure.kind for refusal in refusals],
+            [refusal.failure.error_kind for refusal in refusals],
         )
 
     def test_longest_wait_ends_in_a_refusal(self):
@@ -51,7 +53,7 @@
         started = driver.now
         refusals = of_type(driver.run_due(started + 4.0), types.Refuse)
         self.assertEqual(
-            [ErrorKind.QUEUE_FULL], [r.failure.kind for r in refusals]
+            [ErrorKind.QUEUE_FULL], [r.failure.error_kind for r in refusals]
         )
 
     def test_deadline_of_a_running_call_cancels_it(self):
@@ -59,14 +61,17 @@
         actions = driver.run_due(driver.now + 6.0)
         self.assertIn(types.Cancel(running.attempt_id), actions)
         kinds = {
-            refusal.failure.kind for refusal in of_type(actions, types.Refuse)
+            refusal.failure.error_kind
+            for refusal in of_type(actions, types.Refuse)
         }
         self.assertEqual({ErrorKind.DEADLINE_AFTER_START}, kinds)
 
     def test_deadline_already_over(self):
         driver = Driver(server_states(1))
         (refusal,) = driver.submit(timeout_s=0.0)
-        self.assertEqual(ErrorKind.DEADLINE_BEFORE_START, refusal.failure.kind)
+        self.assertEqual(
+            ErrorKind.DEADLINE_BEFORE_START, refusal.failure.error_kind
+        )
 
 
 class WindowTest(TestCase):
--- a/banyantiller/tests/spec/test_claims_conformance.py
+++ b/banyantiller/tests/spec/test_claims_conformance.py
@@ -122,9 +122,9 @@
     """Returns the step by which a caller without a grant is told."""
     if not isinstance(outcome, types.Denied):
         return "tell_repeated"
-    if outcome.failure.answer.ran is Ran.NO:
+    if outcome.failure.response.ran is Ran.NO:
         return "tell_not_run"
-    if outcome.failure.kind is ErrorKind.KEY_OUTCOME_UNKNOWN:
+    if outcome.failure.error_kind is ErrorKind.KEY_OUTCOME_UNKNOWN:
         return "tell_unknown"
     return "tell_repeated"
 
--- a/banyantiller/tests/store/test_tls.py
+++ b/banyantiller/tests/store/test_tls.py
@@ -7,7 +7,7 @@
 from banyantiller.http import server
 from banyantiller.store import interface, kubernetes
 from banyantiller.tests import base
-from banyantiller.tests.certificates import LOOPBACK, Authority
+from banyantiller.tests.certificates import LOOPBACK, CertificateAuthority
 from banyantiller.utils import tls
 from standins import object_api
 
@@ -37,8 +37,8 @@
             tempfile.TemporaryDirectory() as one,
             tempfile.TemporaryDirectory() as two,
         ):
-            mine = Authority(one).issue("server")
-            other = Authority(two).issue("server")
+            mine = CertificateAuthority(one).issue("server")
+            other = CertificateAuthority(two).issue("server")
             used = self.create_over(mine, mine.trust)
             refused = self.create_over(mine, other.trust)
         self.assertIsInstance(used, interface.Found)
--- a/banyantiller/tests/test_architecture.py
+++ b/banyantiller/tests/test_architecture.py
@@ -7,35 +7,37 @@
 from banyantiller.tests import base
 
 PACKAGE = pathlib.Path(__file__).parents[1]
-PAGE = PACKAGE.parent / "docs" / "developer-guide" / "architecture.md"
-ROW = re.compile(r"^\| (`[^|]*) \| [^|]* \| ([^|]*) \|$", re.MULTILINE)
-NAME = re.compile(r"`(\w+)`")
-BASIC = {"errors", "exceptions", "config"}
-OUTSIDE = {"__init__", "__main__", "tests"}
+ARCHITECTURE_PAGE = (
+    PACKAGE.parent / "docs" / "developer-guide" / "architecture.md"
+)
+TABLE_ROW = re.compile(r"^\| (`[^|]*) \| [^|]* \| ([^|]*) \|$", re.MULTILINE)
+QUOTED_NAME = re.compile(r"`(\w+)`")
+BASE_PARTS = {"errors", "exceptions", "config"}
+EXCLUDED_PARTS = {"__init__", "__main__", "tests"}
 
 
 def parts() -> set[str]:
     """Returns the names of packages and modules right below the root."""
     found = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
     found |= {path.stem for path in PACKAGE.glob("*.py")}
-    return found - OUTSIDE
+    return found - EXCLUDED_PARTS
 
 
-def allowed(everything: set[str]) -> dict[str, set[str]]:
+def allowed_imports(all_parts: set[str]) -> dict[str, set[str]]:
     """Reads which other parts each part may import."""
     found = {}
-    for names, imports in ROW.findall(PAGE.read_text()):
-        listed = set(NAME.findall(imports))
+    for names, imports in TABLE_ROW.findall(ARCHITECTURE_PAGE.read_text()):
+        listed = set(QUOTED_NAME.findall(imports))
         if imports.startswith("all but"):
-            listed = everything - listed
-        for name in NAME.findall(names):
-            found[name] = listed | BASIC
-            if name not in BASIC | {"kernel"}:
+            listed = all_parts - listed
+        for name in QUOTED_NAME.findall(names):
+            found[name] = listed | BASE_PARTS
+            if name not in BASE_PARTS | {"kernel"}:
                 found[name].add("plugins")
     return found
 
 
-def imported(path: pathlib.Path) -> set[str]:
+def imported_parts(path: pathlib.Path) -> set[str]:
     """Returns the parts that a module imports."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
@@ -49,20 +51,22 @@
 
 class ArchitectureTest(base.TestCase):
     def test_each_part_has_a_row(self):
-        self.assertEqual(parts(), set(allowed(parts())))
+        self.assertEqual(parts(), set(allowed_imports(parts())))
 
     def test_parts_import_only_what_the_table_allows(self):
-        table = allowed(parts())
+        table = allowed_imports(parts())
         for path in PACKAGE.rglob("*.py"):
             part = path.relative_to(PACKAGE).with_suffix("").parts[0]
-            if part not in OUTSIDE:
-                others = imported(path) & parts() - {part}
+            if part not in EXCLUDED_PARTS:
+                others = imported_parts(path) & parts() - {part}
                 self.assertEqual(set(), others - table[part], path)
 
-    def test_basic_parts_import_only_each_other(self):
+    def test_base_parts_import_only_each_other(self):
         for path in [
             *(PACKAGE / "config").rglob("*.py"),
             PACKAGE / "errors.py",
             PACKAGE / "exceptions.py",
         ]:
-            self.assertEqual(set(), (imported(path) & parts()) - BASIC, path)
+            self.assertEqual(
+                set(), (imported_parts(path) & parts()) - BASE_PARTS, path
+            )
--- a/banyantiller/tests/test_docs.py
+++ b/banyantiller/tests/test_docs.py
@@ -10,39 +10,46 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 PACKAGE = ROOT / "banyantiller"
-CODE = re.compile(r"`([^`]+)`")
-FENCE = re.compile(r"^```[^\n]*\n(.*?)^```", re.MULTILINE | re.DOTALL)
+INLINE_CODE = re.compile(r"`([^`]+)`")
+CODE_BLOCK = re.compile(r"^```[^\n]*\n(.*?)^```", re.MULTILINE | re.DOTALL)
 LINK = re.compile(r"\]\(([\w./-]+\.md)(?:#[^)]*)?\)")
 PATH = re.compile(r"(?:[\w.-]+/)+[\w.-]*|[\w-]+\.(?:py|md)")
-DOTTED = re.compile(r"(?:banyantiller|bench|standins|spec)(?:\.\w+)+")
+MODULE_NAME = re.compile(r"(?:banyantiller|bench|standins|spec)(?:\.\w+)+")
 MODULE_RUN = re.compile(r"python -m ((?:\w+\.)*\w+)")
-TOOL = re.compile(r"^(?:\S*/|\$ )?banyantiller ([a-z]+)((?: +\S+)*)")
+COMMAND_LINE = re.compile(r"^(?:\S*/|\$ )?banyantiller ([a-z]+)((?: +\S+)*)")
 OPTION = re.compile(r"--([a-z-]+)")
-CODE_ROOTS = ("banyantiller", "bench", "docs", "scripts", "spec", "standins")
+REPOSITORY_FOLDERS = (
+    "banyantiller",
+    "bench",
+    "docs",
+    "scripts",
+    "spec",
+    "standins",
+)
 
 
-def pages() -> list[pathlib.Path]:
+def documentation_pages() -> list[pathlib.Path]:
     """Returns every page of the documentation."""
     return [ROOT / "README.md", *sorted((ROOT / "docs").rglob("*.md"))]
 
 
-def snippets(text: str) -> Iterator[str]:
+def code_snippets(text: str) -> Iterator[str]:
     """Yields inline code, and lines of code blocks."""
-    for block in FENCE.findall(text):
+    for block in CODE_BLOCK.findall(text):
         yield from block.splitlines()
-    yield from map(_one_line, CODE.findall(FENCE.sub("", text)))
+    yield from map(_join_lines, INLINE_CODE.findall(CODE_BLOCK.sub("", text)))
 
 
-def _one_line(text: str) -> str:
+def _join_lines(text: str) -> str:
     return " ".join(text.split())
 
 
-def code_path(text: str) -> bool:
+def is_repository_path(text: str) -> bool:
     """Tells whether a text looks like a path into the repository."""
     if not PATH.fullmatch(text):
         return False
     first = text.split("/")[0]
-    if first in CODE_ROOTS:
+    if first in REPOSITORY_FOLDERS:
         return True
     return "/" in text and (PACKAGE / first).is_dir()
 
@@ -65,16 +72,16 @@
 
 
 class DocsTest(base.TestCase):
-    def each(self) -> Iterator[tuple[str, str]]:
-        for page in pages():
+    def page_snippets(self) -> Iterator[tuple[str, str]]:
+        for page in documentation_pages():
             name = str(page.relative_to(ROOT))
-            for snippet in snippets(page.read_text()):
+            for snippet in code_snippets(page.read_text()):
                 yield name, snippet
 
     def test_paths_exist(self) -> None:
         seen = 0
-        for page, snippet in self.each():
-            if not code_path(snippet):
+        for page, snippet in self.page_snippets():
+            if not is_repository_path(snippet):
                 continue
             seen += 1
             found = (ROOT / snippet).exists() or (PACKAGE / snippet).exists()
@@ -82,19 +89,19 @@
         self.assertTrue(seen > 20, seen)
 
     def test_modules_exist(self) -> None:
-        for page, snippet in self.each():
-            wanted = MODULE_RUN.findall(snippet)
-            if DOTTED.fullmatch(snippet):
-                wanted.append(snippet)
-            for dotted in wanted:
-                if dotted.split(".")[0] in CODE_ROOTS:
+        for page, snippet in self.page_snippets():
+            module_names = MODULE_RUN.findall(snippet)
+            if MODULE_NAME.fullmatch(snippet):
+                module_names.append(snippet)
+            for dotted in module_names:
+                if dotted.split(".")[0] in REPOSITORY_FOLDERS:
                     found = module_exists(dotted)
                     self.assertTrue(found, f"{page} names {dotted}")
 
     def test_commands_and_their_options_exist(self) -> None:
         seen = set()
-        for page, snippet in self.each():
-            for command, rest in TOOL.findall(snippet):
+        for page, snippet in self.page_snippets():
+            for command, rest in COMMAND_LINE.findall(snippet):
                 self.assertIn(command, cli.COMMANDS, f"{page}: {snippet}")
                 seen.add(command)
                 source = (PACKAGE / "commands" / f"{command}.py").read_text()
@@ -105,8 +112,8 @@
         self.assertEqual(set(), {"held", "audit", "propose"} - seen)
 
     def test_links_lead_to_pages(self) -> None:
-        for page in pages():
-            for target in LINK.findall(FENCE.sub("", page.read_text())):
+        for page in documentation_pages():
+            for target in LINK.findall(CODE_BLOCK.sub("", page.read_text())):
                 if "://" not in target:
                     found = (page.parent / target).exists()
                     self.assertTrue(found, f"{page.name} links {target}")
@@ -114,22 +121,22 @@
     def test_every_page_can_be_reached_from_the_index(self) -> None:
         index = ROOT / "docs" / "index.md"
         reached = {index}
-        waiting = [index]
-        while waiting:
-            page = waiting.pop()
+        unvisited = [index]
+        while unvisited:
+            page = unvisited.pop()
             for target in LINK.findall(page.read_text()):
                 path = (page.parent / target).resolve()
                 if path.suffix == ".md" and path.exists():
-                    waiting += [path] if path not in reached else []
+                    unvisited += [path] if path not in reached else []
                     reached.add(path)
-        every = {page.resolve() for page in pages()[1:]}
-        self.assertEqual(set(), every - reached)
+        all_pages = {page.resolve() for page in documentation_pages()[1:]}
+        self.assertEqual(set(), all_pages - reached)
 
     def test_every_command_is_documented(self) -> None:
         named = {
             command
-            for _, snippet in self.each()
-            for command, _ in TOOL.findall(snippet)
+            for _, snippet in self.page_snippets()
+            for command, _ in COMMAND_LINE.findall(snippet)
         }
         self.assertEqual(set(), set(cli.COMMANDS) - named)
 
@@ -139,14 +146,14 @@
             self.assertTrue(hasattr(events, name), name)
 
 
-class DocsTestTest(base.TestCase):
+class DocsChecksTest(base.TestCase):
     """The checks above do find what is missing."""
 
     def test_missing_things_are_recognised(self) -> None:
-        self.assertTrue(code_path("proxy/nothing.py"))
-        self.assertTrue(code_path("bench/nothing.py"))
-        self.assertFalse(code_path("application/json"))
+        self.assertTrue(is_repository_path("proxy/nothing.py"))
+        self.assertTrue(is_repository_path("bench/nothing.py"))
+        self.assertFalse(is_repository_path("application/json"))
         self.assertFalse(module_exists("banyantiller.evidence.nothing"))
         self.assertTrue(module_exists("banyantiller.errors.ErrorKind"))
-        found = TOOL.findall("banyantiller held --since 7d")
+        found = COMMAND_LINE.findall("banyantiller held --since 7d")
         self.assertEqual([("held", " --since 7d")], found)
--- a/banyantiller/tests/utils/test_tls.py
+++ b/banyantiller/tests/utils/test_tls.py
@@ -9,7 +9,7 @@
 from banyantiller import exceptions
 from banyantiller.config import defaults
 from banyantiller.tests import base
-from banyantiller.tests.certificates import LOOPBACK, Authority
+from banyantiller.tests.certificates import LOOPBACK, CertificateAuthority
 from banyantiller.utils import tls
 
 
@@ -41,8 +41,8 @@
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.authority = Authority(folder.name, "ours")
-        self.other = Authority(folder.name, "theirs")
+        self.authority = CertificateAuthority(folder.name, "ours")
+        self.other = CertificateAuthority(folder.name, "theirs")
 
     def meet(self, served, used, check_address=True):
         """Lets a side that listens and one that connects talk."""
--- a/bench/decisions_world.py
+++ b/bench/decisions_world.py
@@ -278,7 +278,7 @@
     def refused(self, user, failure):
         """Notes a failure; the caller may send again when told to."""
         self.refusals += 1
-        if not (self.resend and failure.answer.retry and user.sends < SENDS):
+        if not (self.resend and failure.response.retry and user.sends < SENDS):
             self.ended(user, False)
             return
         wait = 0.05 * 2**user.sends
--- a/conftest.py
+++ b/conftest.py
@@ -18,10 +18,12 @@
     """
     collected = {item.nodeid: item for item in items}
     modules = {name.partition("::")[0] for name in collected}
-    for entry in known_red.read():
+    for entry in known_red.read_entries():
         item = collected.get(entry.test)
         if item is not None:
-            item.add_marker(pytest.mark.xfail(reason=entry.seen, strict=True))
+            item.add_marker(
+                pytest.mark.xfail(reason=entry.observed, strict=True)
+            )
         elif entry.test.partition("::")[0] in modules:
             raise pytest.UsageError(f"KNOWN-RED.txt: no test {entry.test}")
 
@@ -30,5 +32,7 @@
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
     """Prints the list."""
-    for entry in known_red.read():
-        terminalreporter.write_line(f"KNOWN RED: {known_red.line(entry)}")
+    for entry in known_red.read_entries():
+        terminalreporter.write_line(
+            f"KNOWN RED: {known_red.format_entry(entry)}"
+        )
