--- a/banyantiller/__init__.py
+++ b/banyantiller/__init__.py
@@ -1,6 +1,6 @@
-"""A load balancer for servers whose load shifts in milliseconds.
+"""A load balancer for servers whose load changes within milliseconds.
 
-The package holds the daemon, the command-line tool and the coordination
+The package contains the daemon, the command-line tool and the coordination
 parts that other programs can embed: `banyantiller.replica`,
 `banyantiller.membership`, `banyantiller.claims`, `banyantiller.measuring`
 and `banyantiller.routing`.
--- a/banyantiller/__main__.py
+++ b/banyantiller/__main__.py
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Runs the command line and exits with its status."""
+    """Runs the command-line tool and exits with its status."""
     sys.exit(cli.run(sys.argv[1:]))
 
 
--- a/banyantiller/errors.py
+++ b/banyantiller/errors.py
@@ -1,8 +1,9 @@
-"""The closed list of error kinds and the answer that each one gets.
+"""Error kinds and the response that a caller gets for each.
 
-Every failure that a caller can see is one `ErrorKind`. `ERROR_RESPONSES` maps
-each kind to its status code, its `Proxy-Status` error type (RFC 9209), whether
-the request was run, and whether the caller may send it again.
+Every failure that a caller can see is an `ErrorKind`; the list is closed.
+`ERROR_RESPONSES` maps each kind to its status code, its `Proxy-Status` error
+type (RFC 9209), whether a backend server executed the request, and whether
+the caller may send it again.
 """
 
 import dataclasses
@@ -19,7 +20,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Every kind of failure that the daemon reports to a caller."""
+    """Kinds of failure that the daemon reports to a caller."""
 
     MALFORMED_REQUEST = "malformed_request"
     HEAD_TOO_LARGE = "head_too_large"
@@ -62,12 +63,12 @@
 
 
 class ErrorResponse(NamedTuple):
-    """What a caller is told about one kind of failure.
+    """Response to the caller for one kind of failure.
 
     Attributes:
         status: HTTP status code.
-        proxy_error: Error type of `Proxy-Status`, from RFC 9209 section 2.3.
-        ran: Whether the request was executed by a backend server.
+        proxy_error: Error type for `Proxy-Status`, from RFC 9209 section 2.3.
+        ran: Whether a backend server executed the request.
         retry: Whether the caller may send the same request again.
     """
 
@@ -197,12 +198,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """The outcome of a call that gets no backend answer.
+    """Outcome of a call that gets no response of a backend server.
 
     Attributes:
-        error_kind: Which failure it was.
-        detail: One sentence for the caller and the log, without secrets.
-        retry_after: Seconds after which a retry makes sense, or None.
+        error_kind: Kind of the failure.
+        detail: One sentence for the caller and the log; contains no secrets.
+        retry_after: Time in seconds after which a retry is useful, or None.
     """
 
     error_kind: ErrorKind
@@ -211,5 +212,5 @@
 
     @property
     def response(self) -> ErrorResponse:
-        """The row of the answer table for this kind."""
+        """Response to the caller for this kind of failure."""
         return ERROR_RESPONSES[self.error_kind]
--- a/banyantiller/exceptions.py
+++ b/banyantiller/exceptions.py
@@ -1,25 +1,26 @@
-"""Exceptions whose messages are meant for the user.
+"""Exceptions whose messages are shown to the user.
 
-The command line prints the message of a `BanyantillerError` without a
+The command-line tool prints the message of a `BanyantillerError` without a
 traceback and exits with its `exit_code`.
 """
 
 
 class BanyantillerError(Exception):
-    """Base of every error that is shown to the user.
+    """Base class of the errors that are shown to the user.
 
     Attributes:
-        exit_code: Exit status of the command line for this error.
+        exit_code: Exit status of the command-line tool for this error.
     """
 
     exit_code = 1
 
 
 class ConfigError(BanyantillerError):
-    """Settings or a bundle are not valid.
+    """Settings or a bundle are invalid.
 
     Attributes:
-        problems: Every `config.problems.Problem` found, where known.
+        problems: The `config.problems.Problem` objects that were found; empty
+            if they are not known.
     """
 
     exit_code = 2
@@ -30,7 +31,7 @@
 
 
 class SignatureError(BanyantillerError):
-    """A bundle is refused: unsigned, wrongly signed, altered or too large."""
+    """A bundle is rejected: unsigned, wrongly signed, altered or too large."""
 
     exit_code = 3
 
@@ -42,24 +43,24 @@
 
 
 class StoreError(BanyantillerError):
-    """The object API gave no usable answer."""
+    """The object API returned no usable response."""
 
     exit_code = 5
 
 
 class PluginError(BanyantillerError):
-    """A plug-in is missing, or two have the same name."""
+    """A plug-in is missing or cannot be loaded, or two have the same name."""
 
     exit_code = 6
 
 
 class OutcomeUnknownError(BanyantillerError):
-    """A write may have taken effect; its answer was lost."""
+    """A write may have taken effect; its response was lost."""
 
     exit_code = 7
 
 
 class RollTimeoutError(BanyantillerError):
-    """The bundle is accepted, but not yet in force in every daemon."""
+    """A bundle is accepted, but was not in force in every daemon in time."""
 
     exit_code = 8
--- a/banyantiller/plugins.py
+++ b/banyantiller/plugins.py
@@ -1,8 +1,8 @@
-"""Plug-ins: found by entry point, registered by kind and name.
+"""Registry of plug-ins, which are found through entry points.
 
-A plug-in is a function named by an entry point of the group
-`banyantiller.plugins`. It is called once with the `Registry` and adds its
-factories and its event handlers to it:
+A plug-in is a function that an entry point of the group
+`banyantiller.plugins` names. It is called once with the `Registry`, and adds
+its factories and event handlers to it:
 
     def register(registry: Registry) -> None:
         registry.add("object_api", "kubernetes", KubernetesStore.from_settings)
@@ -25,7 +25,12 @@
 
 
 class Registry:
-    """Factories by kind and name, and handlers by event type."""
+    """Holds the factories and event handlers of plug-ins.
+
+    Attributes:
+        factories: Factories by plug-in kind and name.
+        handlers: Pairs of event type and handler, in order of registration.
+    """
 
     def __init__(self) -> None:
         self.factories: dict[tuple[str, str], Factory] = {}
@@ -36,9 +41,11 @@
         """Loads every installed plug-in.
 
         Raises:
-            PluginError: A plug-in could not be loaded or clashes.
+            PluginError: A plug-in could not be loaded, is of an unknown kind,
+                or has the name of another one of its kind.
         """
-        # Loaded late: it takes 30 ms that a named plug-in does not need.
+        # Imported here because the import takes 30 ms, which loading plug-ins
+        # by name does not need.
         import importlib.metadata
 
         registry = cls()
@@ -49,10 +56,11 @@
 
     @classmethod
     def from_names(cls, names: Iterable[str]) -> "Registry":
-        """Loads plug-ins by name, such as `package.module:register`.
+        """Loads plug-ins by function name, such as `package.module:register`.
 
         Raises:
-            PluginError: A plug-in could not be loaded or clashes.
+            PluginError: A plug-in could not be loaded, is of an unknown kind,
+                or has the name of another one of its kind.
         """
         registry = cls()
         for name in names:
@@ -65,7 +73,11 @@
         return registry
 
     def load(self, entry: "importlib.metadata.EntryPoint") -> None:
-        """Imports one plug-in and lets it register itself."""
+        """Imports one plug-in and calls it with this registry.
+
+        Raises:
+            PluginError: The plug-in could not be loaded.
+        """
         try:
             register = entry.load()
         except (ImportError, AttributeError) as error:
@@ -73,7 +85,7 @@
         register(self)
 
     def add(self, kind: str, name: str, factory: Factory) -> None:
-        """Adds a factory.
+        """Registers a factory under a plug-in kind and a name.
 
         Raises:
             PluginError: The kind is unknown or the name is taken.
@@ -90,10 +102,10 @@
         self.factories[kind, name] = factory
 
     def get(self, kind: str, name: str) -> Factory:
-        """Returns a factory.
+        """Returns the factory of a plug-in kind and a name.
 
         Raises:
-            PluginError: None of that kind has the name.
+            PluginError: No plug-in of that kind has the name.
         """
         try:
             return self.factories[kind, name]
@@ -105,11 +117,11 @@
             ) from None
 
     def on(self, event_type: type, handler: core.Handler) -> None:
-        """Adds a handler of a kernel event."""
+        """Registers a handler for a type of kernel event."""
         self.handlers.append((event_type, handler))
 
     def connect(self, kernel: core.Kernel) -> None:
-        """Subscribes every plug-in's handlers to the kernel's events."""
+        """Subscribes the registered handlers to the events of a kernel."""
         for event_type, handler in self.handlers:
             kernel.subscribe(event_type, handler)
 
--- a/banyantiller/tests/__init__.py
+++ b/banyantiller/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, laid out like the package."""
+"""Tests, in the same layout as the package."""
--- a/banyantiller/tests/certificates.py
+++ b/banyantiller/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests of TLS, valid for the loopback address."""
+"""Certificates for TLS tests, valid for the loopback address by default."""
 
 import datetime
 import ipaddress
@@ -16,10 +16,10 @@
 
 
 class CertificateAuthority:
-    """Issues certificates into a folder.
+    """Issues certificates and writes them to a folder.
 
     Attributes:
-        trust: Path of the authority's own certificate.
+        trust: Path of the certificate of the authority.
     """
 
     def __init__(self, folder: str, name: str = "authority") -> None:
@@ -32,7 +32,7 @@
     def issue(
         self, name: str, server_name: str = "", address: str = LOOPBACK
     ) -> defaults.TlsFiles:
-        """Issues a certificate for an IP number and, if given, a name."""
+        """Issues a certificate for an IP address and, if given, a DNS name."""
         key = ec.generate_private_key(ec.SECP256R1())
         names: list[x509.GeneralName] = [
             x509.IPAddress(ipaddress.ip_address(address))
--- a/banyantiller/tests/known_red.py
+++ b/banyantiller/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Reads the list of tests that fail for a known fault."""
+"""Reads the list of tests that fail because of a known fault."""
 
 import pathlib
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class KnownFailure(NamedTuple):
-    """A test that fails for a fault that is not mended yet.
+    """A test that fails because of a fault that is not fixed yet.
 
     Attributes:
-        test: Identity of the test, as pytest prints it, or `soak seed N`, which
-            is only printed here.
-        command: Command that runs it, with its seed if it has one.
-        seen: What was seen.
-        issue: Issue in which the fault is open.
+        test: Node ID of the test in pytest; or a description of another run,
+            such as `soak seed N`, which is only printed.
+        command: Command that runs the test, with its seed if it has one.
+        observed: What was observed when it failed.
+        issue: Open issue for the fault.
     """
 
     test: str
@@ -27,14 +27,14 @@
 
 
 def read_entries(path: pathlib.Path = LIST_PATH) -> list[KnownFailure]:
-    """Returns the entries of a list; none if there is no such file.
+    """Returns the entries of a list; no entries if the file does not exist.
 
     Args:
-        path: File with one entry a line, its fields separated by " | ".
-            Empty lines and lines that begin with "#" are left out.
+        path: File with one entry per line, with fields separated by " | ".
+            Empty lines and lines that begin with "#" are ignored.
 
     Raises:
-        ValueError: A line has not all four fields.
+        ValueError: A line does not have exactly four non-empty fields.
     """
     if not path.exists():
         return []
@@ -43,7 +43,7 @@
 
 
 def format_entry(entry: KnownFailure) -> str:
-    """Returns an entry as it stands in the list."""
+    """Returns an entry in the format of the list."""
     return SEPARATOR.join(entry)
 
 
@@ -54,5 +54,7 @@
 def _parse_entry(text: str) -> KnownFailure:
     fields = [field.strip() for field in text.split(SEPARATOR)]
     if len(fields) != FIELD_COUNT or not all(fields):
-        raise ValueError(f"KNOWN-RED.txt: not four fields: {text!r}")
+        raise ValueError(
+            f"KNOWN-RED.txt: line does not have four fields: {text!r}"
+        )
     return KnownFailure(*fields)
--- a/banyantiller/tests/test_architecture.py
+++ b/banyantiller/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Tests that packages import what the page on the architecture says."""
+"""Tests that packages import only what the architecture page allows."""
 
 import ast
 import pathlib
@@ -17,14 +17,14 @@
 
 
 def parts() -> set[str]:
-    """Returns the names of packages and modules right below the root."""
+    """Returns the names of the packages and modules at the top level."""
     found = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
     found |= {path.stem for path in PACKAGE.glob("*.py")}
     return found - EXCLUDED_PARTS
 
 
 def allowed_imports(all_parts: set[str]) -> dict[str, set[str]]:
-    """Reads which other parts each part may import."""
+    """Returns the parts that each part may import, from the page's table."""
     found = {}
     for names, imports in TABLE_ROW.findall(ARCHITECTURE_PAGE.read_text()):
         listed = set(QUOTED_NAME.findall(imports))
--- a/banyantiller/tests/test_docs.py
+++ b/banyantiller/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that what the documentation names exists."""
+"""Tests that the paths, modules and commands in the documentation exist."""
 
 import pathlib
 import re
@@ -34,7 +34,7 @@
 
 
 def code_snippets(text: str) -> Iterator[str]:
-    """Yields inline code, and lines of code blocks."""
+    """Yields the lines of code blocks, then inline code."""
     for block in CODE_BLOCK.findall(text):
         yield from block.splitlines()
     yield from map(_join_lines, INLINE_CODE.findall(CODE_BLOCK.sub("", text)))
@@ -45,7 +45,7 @@
 
 
 def is_repository_path(text: str) -> bool:
-    """Tells whether a text looks like a path into the repository."""
+    """Returns whether a text looks like a path in the repository."""
     if not PATH.fullmatch(text):
         return False
     first = text.split("/")[0]
@@ -55,7 +55,7 @@
 
 
 def module_exists(dotted: str) -> bool:
-    """Tells whether a dotted name is a module, or a name in one."""
+    """Returns whether a dotted name is a module, or a name in one."""
     parts = dotted.split(".")
     for length in range(len(parts), 0, -1):
         path = ROOT.joinpath(*parts[:length])
@@ -111,14 +111,14 @@
                     self.assertTrue(known, f"{page}: {snippet}")
         self.assertEqual(set(), {"held", "audit", "propose"} - seen)
 
-    def test_links_lead_to_pages(self) -> None:
+    def test_link_targets_exist(self) -> None:
         for page in documentation_pages():
             for target in LINK.findall(CODE_BLOCK.sub("", page.read_text())):
                 if "://" not in target:
                     found = (page.parent / target).exists()
                     self.assertTrue(found, f"{page.name} links {target}")
 
-    def test_every_page_can_be_reached_from_the_index(self) -> None:
+    def test_every_page_is_reachable_from_the_index(self) -> None:
         index = ROOT / "docs" / "index.md"
         reached = {index}
         unvisited = [index]
@@ -147,9 +147,9 @@
 
 
 class DocsChecksTest(base.TestCase):
-    """The checks above do find what is missing."""
+    """The helper functions detect missing paths, modules and commands."""
 
-    def test_missing_things_are_recognised(self) -> None:
+    def test_missing_paths_and_modules_are_detected(self) -> None:
         self.assertTrue(is_repository_path("proxy/nothing.py"))
         self.assertTrue(is_repository_path("bench/nothing.py"))
         self.assertFalse(is_repository_path("application/json"))
--- a/banyantiller/tests/test_errors.py
+++ b/banyantiller/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Tests of the table of error kinds."""
+"""Tests of the responses to error kinds."""
 
 from banyantiller import errors
 from banyantiller.tests import base
--- a/banyantiller/tests/test_known_red.py
+++ b/banyantiller/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of tests that fail for a known fault."""
+"""Tests of reading the list of tests that fail because of a known fault."""
 
 import pathlib
 import tempfile
@@ -10,7 +10,7 @@
 
 class KnownRedTest(base.TestCase):
     def read(self, text):
-        """Reads a list with this text."""
+        """Reads a list that consists of a text."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "list.txt"
             path.write_text(text, encoding="utf-8")
--- a/banyantiller/tests/test_plugins.py
+++ b/banyantiller/tests/test_plugins.py
@@ -1,4 +1,4 @@
-"""Tests of finding, registering and connecting plug-ins."""
+"""Tests of loading, registering and connecting plug-ins."""
 
 import importlib.metadata
 
@@ -15,7 +15,7 @@
 
 
 def unused_factory() -> None:
-    """Stands for a factory."""
+    """Stands in for a factory; tests never call it."""
 
 
 class RegistryTest(base.TestCase):
