--- a/banyantiller/tests/examples/__init__.py
+++ b/banyantiller/tests/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that run the examples."""
+"""Tests of the examples."""
--- a/examples/replica.py
+++ b/examples/replica.py
@@ -1,4 +1,4 @@
-"""Follows the accepted bundles: `python examples/replica.py SETTINGS.yaml`."""
+"""Prints each bundle in force: `python examples/replica.py SETTINGS.yaml`."""
 
 import asyncio
 import sys
@@ -14,17 +14,17 @@
 
 
 async def follow(
-    chosen: defaults.Settings,
+    options: defaults.Settings,
     store: ObjectStore,
-    show: Callable[[InForceBundle], None],
+    on_bundle: Callable[[InForceBundle], None],
 ) -> None:
-    """Calls `show` for each bundle in force, until cancelled."""
+    """Calls `on_bundle` for each bundle in force, until cancelled."""
     kernel = Kernel()
-    peers = Peers.from_settings(chosen, kernel, time.time, seed=1)
+    peers = Peers.from_settings(options, kernel, time.time, seed=1)
     replicator = BundleReplicator.from_settings(
-        chosen, store, peers, kernel, time.time, seed=1
+        options, store, peers, kernel, time.time, seed=1
     )
-    replicator.subscribe(show)
+    replicator.subscribe(on_bundle)
     await peers.start()
     try:
         await replicator.run()
--- a/examples/routing.py
+++ b/examples/routing.py
@@ -1,4 +1,4 @@
-"""Drives the routing decisions by hand: `python examples/routing.py`."""
+"""Calls the routing decisions directly: `python examples/routing.py`."""
 
 import itertools
 import time
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Sends calls until one waits, then ends the first."""
+    """Submits calls until one has to wait, then completes the first."""
     now, desk = time.monotonic(), Service("desk", ())
     dispatcher = adaptive.create(
         desk,
@@ -23,14 +23,14 @@
         now=now,
         charge=lambda _: False,
     )
-    numbers = itertools.count(1)
+    call_ids = itertools.count(1)
     while started := dispatcher.submit(
-        Call(next(numbers), idempotent=True, deadline=now + 1), now
+        Call(next(call_ids), idempotent=True, deadline=now + 1), now
     ):
         print(started)
-    print("every slot is taken, so this call waits")
-    head = AttemptResult(ok=True, ran=Ran.YES, status=200)
-    print(dispatcher.attempt_head(1, head, now + 0.01))
+    print("all slots are in use, so this call waits")
+    result = AttemptResult(ok=True, ran=Ran.YES, status=200)
+    print(dispatcher.attempt_head(1, result, now + 0.01))
     print(dispatcher.attempt_done(1, now + 0.01))
 
 
