--- a/banyantiller/gateway/requests.py
+++ b/banyantiller/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Reads a request head into what the gateway needs of it."""
+"""Parses request heads of callers."""
 
 from typing import NamedTuple
 
@@ -12,23 +12,24 @@
 
 
 class AmbiguousLengthError(Exception):
-    """A head states its body's length in two ways."""
+    """A head has both a content length and a transfer coding."""
 
 
 class Request(NamedTuple):
-    """One request as a caller sent it.
+    """A request of a caller.
 
     Attributes:
         method: HTTP method.
         target: Path and query.
-        host: Value of Host.
-        headers: Fields to forward, names in lower case.
-        body: The whole body.
+        host: Value of the Host header.
+        headers: Header fields to forward, names in lower case.
+        body: The complete body.
         has_body: Whether the head announces a body.
-        request_id: Identity of this sending, or empty.
-        remaining_s: Time that the caller waits, in seconds, or None.
-        received: Loop time of the end of its head.
-        fingerprint: Digest that tells the same request, sent again.
+        request_id: ID that the caller gave this attempt, or empty.
+        remaining_s: How long the caller waits for a reply, in seconds, or None.
+        received: Loop time of the end of the head, or of the whole request once
+            it was read.
+        fingerprint: Digest that is the same for each repetition of a request.
     """
 
     method: str
@@ -42,24 +43,26 @@
     received: float
     fingerprint: str = ""
 
-    def outgoing(self, wire: types.WireNames) -> exchange.Outgoing:
+    def outgoing(self, wire: types.WireNames) -> exchange.OutgoingRequest:
         """Returns the request as it is sent to servers."""
-        set_here = {wire.deadline_ms.decode(), wire.expected_instance.decode()}
-        return exchange.Outgoing(
+        replaced = {wire.deadline_ms.decode(), wire.expected_instance.decode()}
+        return exchange.OutgoingRequest(
             self.method,
             self.target,
-            tuple(item for item in self.headers if item[0] not in set_here),
+            tuple(item for item in self.headers if item[0] not in replaced),
             self.body,
             self.has_body,
             self.request_id,
         )
 
 
-def read(event: h11.Request, wire: types.WireNames, received: float) -> Request:
-    """Reads a request head.
+def parse(
+    event: h11.Request, wire: types.WireNames, received: float
+) -> Request:
+    """Parses a request head.
 
     Raises:
-        AmbiguousLengthError: It has both a length and a transfer coding.
+        AmbiguousLengthError: It has a content length and a transfer coding.
     """
     headers = messages.decode_headers(event.headers)
     names = [name for name, _ in headers]
@@ -71,7 +74,7 @@
         method=event.method.decode("ascii"),
         target=event.target.decode("latin-1"),
         host=messages.find_header(headers, "host"),
-        headers=exchange.forwarded(headers),
+        headers=exchange.forwardable_headers(headers),
         body=b"",
         has_body=chunked or "content-length" in names,
         request_id=messages.find_header(headers, wire.request_id.decode()),
@@ -80,10 +83,10 @@
     )
 
 
-def fingerprint_of(
+def start_fingerprint(
     request: Request, wire: types.WireNames
 ) -> fingerprint.Fingerprint:
-    """Begins the fingerprint of a request whose head was read."""
+    """Returns the fingerprint of a request before its body was added."""
     caller = messages.find_header(request.headers, wire.caller.decode())
     return fingerprint.Fingerprint(
         request.method.encode("ascii"),
--- a/banyantiller/tests/gateway/test_mirror.py
+++ b/banyantiller/tests/gateway/test_mirror.py
@@ -162,7 +162,7 @@
             previous_subscriber = env.gateway
             await env.start_gateway(seeds=(relay_address,))
             await asyncio.sleep(1)
-            ready = env.gateway.not_ready()
+            ready = env.gateway.not_ready_reason()
             status = (await env.request("a")).status
             store_lost = env.gateway.store_view.store_health.lost_at is not None
             env.store.faults.down = False
