--- a/banyantiller/plugins.py
+++ b/banyantiller/plugins.py
@@ -1,8 +1,8 @@
-"""Plug-ins: found by entry point, registered by kind and name.
+"""Registry of plug-ins, which are found through entry points.
 
-A plug-in is a function named by an entry point of the group
-`banyantiller.plugins`. It is called once with the `Registry` and adds its
-factories and its event handlers to it:
+A plug-in is a function that an entry point of the group
+`banyantiller.plugins` names. It is called once with the `Registry`, and adds
+its factories and event handlers to it:
 
     def register(registry: Registry) -> None:
         registry.add("object_api", "kubernetes", KubernetesStore.from_settings)
@@ -18,14 +18,19 @@
 from banyantiller import exceptions
 from banyantiller.kernel import core
 
-GROUP = "banyantiller.plugins"
-KINDS = ("object_api", "vm_list", "routing", "load_reader", "gateway")
+ENTRY_POINT_GROUP = "banyantiller.plugins"
+PLUGIN_KINDS = ("object_api", "vm_list", "routing", "load_reader", "gateway")
 
 Factory = Callable[..., Any]
 
 
 class Registry:
-    """Factories by kind and name, and handlers by event type."""
+    """Holds the factories and event handlers of plug-ins.
+
+    Attributes:
+        factories: Factories by plug-in kind and name.
+        handlers: Pairs of event type and handler, in order of registration.
+    """
 
     def __init__(self) -> None:
         self.factories: dict[tuple[str, str], Factory] = {}
@@ -36,23 +41,26 @@
         """Loads every installed plug-in.
 
         Raises:
-            PluginError: A plug-in could not be loaded or clashes.
+            PluginError: A plug-in could not be loaded, is of an unknown kind,
+                or has the name of another one of its kind.
         """
-        # Loaded late: it takes 30 ms that a named plug-in does not need.
+        # Imported here because the import takes 30 ms, which loading plug-ins
+        # by name does not need.
         import importlib.metadata
 
         registry = cls()
-        found = importlib.metadata.entry_points(group=GROUP)
-        for entry in sorted(found, key=lambda item: item.name):
+        entry_points = importlib.metadata.entry_points(group=ENTRY_POINT_GROUP)
+        for entry in sorted(entry_points, key=lambda item: item.name):
             registry.load(entry)
         return registry
 
     @classmethod
     def from_names(cls, names: Iterable[str]) -> "Registry":
-        """Loads plug-ins by name, such as `package.module:register`.
+        """Loads plug-ins by function name, such as `package.module:register`.
 
         Raises:
-            PluginError: A plug-in could not be loaded or clashes.
+            PluginError: A plug-in could not be loaded, is of an unknown kind,
+                or has the name of another one of its kind.
         """
         registry = cls()
         for name in names:
@@ -60,27 +68,32 @@
             try:
                 register = getattr(importlib.import_module(module), function)
             except (ImportError, AttributeError, ValueError) as error:
-                raise _not_loaded(name, error) from error
+                raise _load_error(name, error) from error
             register(registry)
         return registry
 
     def load(self, entry: "importlib.metadata.EntryPoint") -> None:
-        """Imports one plug-in and lets it register itself."""
+        """Imports one plug-in and calls it with this registry.
+
+        Raises:
+            PluginError: The plug-in could not be loaded.
+        """
         try:
             register = entry.load()
         except (ImportError, AttributeError) as error:
-            raise _not_loaded(entry.name, error) from error
+            raise _load_error(entry.name, error) from error
         register(self)
 
     def add(self, kind: str, name: str, factory: Factory) -> None:
-        """Adds a factory.
+        """Registers a factory under a plug-in kind and a name.
 
         Raises:
             PluginError: The kind is unknown or the name is taken.
         """
-        if kind not in KINDS:
+        if kind not in PLUGIN_KINDS:
             raise exceptions.PluginError(
-                f"Plug-in kind '{kind}' is not one of {', '.join(KINDS)}."
+                f"Plug-in kind '{kind}' is not one of"
+                f" {', '.join(PLUGIN_KINDS)}."
             )
         if (kind, name) in self.factories:
             raise exceptions.PluginError(
@@ -89,31 +102,31 @@
         self.factories[kind, name] = factory
 
     def get(self, kind: str, name: str) -> Factory:
-        """Returns a factory.
+        """Returns the factory of a plug-in kind and a name.
 
         Raises:
-            PluginError: None of that kind has the name.
+            PluginError: No plug-in of that kind has the name.
         """
         try:
             return self.factories[kind, name]
         except KeyError:
-            known = sorted(n for k, n in self.factories if k == kind)
+            installed_names = sorted(n for k, n in self.factories if k == kind)
             raise exceptions.PluginError(
                 f"No plug-in of kind '{kind}' is named '{name}'; "
-                f"installed: {', '.join(known) or 'none'}."
+                f"installed: {', '.join(installed_names) or 'none'}."
             ) from None
 
     def on(self, event_type: type, handler: core.Handler) -> None:
-        """Adds a handler of a kernel event."""
+        """Registers a handler for a type of kernel event."""
         self.handlers.append((event_type, handler))
 
     def connect(self, kernel: core.Kernel) -> None:
-        """Subscribes every plug-in's handlers to the kernel's events."""
+        """Subscribes the registered handlers to the events of a kernel."""
         for event_type, handler in self.handlers:
             kernel.subscribe(event_type, handler)
 
 
-def _not_loaded(name: str, error: Exception) -> exceptions.PluginError:
+def _load_error(name: str, error: Exception) -> exceptions.PluginError:
     return exceptions.PluginError(
         f"Plug-in '{name}' could not be loaded: {error}."
     )
--- a/banyantiller/tests/utils/test_tls.py
+++ b/banyantiller/tests/utils/test_tls.py
@@ -9,7 +9,7 @@
 from banyantiller import exceptions
 from banyantiller.config import defaults
 from banyantiller.tests import base
-from banyantiller.tests.certificates import LOOPBACK, Authority
+from banyantiller.tests.certificates import LOOPBACK, CertificateAuthority
 from banyantiller.utils import tls
 
 
@@ -43,8 +43,8 @@
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.authority = Authority(folder.name, "ours")
-        self.other_authority = Authority(folder.name, "theirs")
+        self.authority = CertificateAuthority(folder.name, "ours")
+        self.other_authority = CertificateAuthority(folder.name, "theirs")
 
     def connect(self, server_files, client_files, check_address=True):
         """Returns the greeting that a client with these files receives."""
