--- a/banyantiller/gateway/caller.py
+++ b/banyantiller/gateway/caller.py
@@ -283,10 +283,10 @@
         self.rejected = True
         pending.body.clear()
         pending.reply = replies.from_failure(
-            failure, failure.answer.ran, self.gateway.settings.daemon
+            failure, failure.response.ran, self.gateway.settings.daemon
         )
         request_id = pending.request.request_id if pending.request else ""
-        events.emit(call_events.RequestRejected(request_id, failure.kind))
+        events.emit(call_events.RequestRejected(request_id, failure.error_kind))
 
     def _write_due_replies(self) -> None:
         """Writes the replies that are ready, in the order of requests."""
--- a/banyantiller/tests/known_red.py
+++ b/banyantiller/tests/known_red.py
@@ -1,58 +1,60 @@
-"""Reads the list of tests that fail for a known fault."""
+"""Reads the list of tests that fail because of a known fault."""
 
 import pathlib
 from typing import NamedTuple
 
-PATH = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
+LIST_PATH = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
 SEPARATOR = " | "
 COMMENT = "#"
-FIELDS = 4
+FIELD_COUNT = 4
 
 
-class KnownRed(NamedTuple):
-    """A test that fails for a fault that is not mended yet.
+class KnownFailure(NamedTuple):
+    """A test that fails because of a fault that is not fixed yet.
 
     Attributes:
-        test: Identity of the test, as pytest prints it, or `soak seed N`, which
-            is only printed here.
-        command: Command that runs it, with its seed if it has one.
-        seen: What was seen.
-        issue: Issue in which the fault is open.
+        test: Node ID of the test in pytest; or a description of another run,
+            such as `soak seed N`, which is only printed.
+        command: Command that runs the test, with its seed if it has one.
+        observed: What was observed when it failed.
+        issue: Open issue for the fault.
     """
 
     test: str
     command: str
-    seen: str
+    observed: str
     issue: str
 
 
-def read(path: pathlib.Path = PATH) -> list[KnownRed]:
-    """Returns the entries of a list; none if there is no such file.
+def read_entries(path: pathlib.Path = LIST_PATH) -> list[KnownFailure]:
+    """Returns the entries of a list; no entries if the file does not exist.
 
     Args:
-        path: File with one entry a line, its fields separated by " | ".
-            Empty lines and lines that begin with "#" are left out.
+        path: File with one entry per line, with fields separated by " | ".
+            Empty lines and lines that begin with "#" are ignored.
 
     Raises:
-        ValueError: A line has not all four fields.
+        ValueError: A line does not have exactly four non-empty fields.
     """
     if not path.exists():
         return []
     lines = path.read_text(encoding="utf-8").splitlines()
-    return [_entry(text) for text in lines if _states(text)]
+    return [_parse_entry(text) for text in lines if _is_entry(text)]
 
 
-def line(entry: KnownRed) -> str:
-    """Returns an entry as it stands in the list."""
+def format_entry(entry: KnownFailure) -> str:
+    """Returns an entry in the format of the list."""
     return SEPARATOR.join(entry)
 
 
-def _states(text: str) -> bool:
+def _is_entry(text: str) -> bool:
     return bool(text.strip()) and not text.startswith(COMMENT)
 
 
-def _entry(text: str) -> KnownRed:
+def _parse_entry(text: str) -> KnownFailure:
     fields = [field.strip() for field in text.split(SEPARATOR)]
-    if len(fields) != FIELDS or not all(fields):
-        raise ValueError(f"KNOWN-RED.txt: not four fields: {text!r}")
-    return KnownRed(*fields)
+    if len(fields) != FIELD_COUNT or not all(fields):
+        raise ValueError(
+            f"KNOWN-RED.txt: line does not have four fields: {text!r}"
+        )
+    return KnownFailure(*fields)
--- a/banyantiller/tests/store/test_tls.py
+++ b/banyantiller/tests/store/test_tls.py
@@ -7,7 +7,7 @@
 from banyantiller.http import server
 from banyantiller.store import interface, kubernetes
 from banyantiller.tests import base
-from banyantiller.tests.certificates import LOOPBACK, Authority
+from banyantiller.tests.certificates import LOOPBACK, CertificateAuthority
 from banyantiller.utils import tls
 from standins import object_api
 
@@ -42,8 +42,8 @@
             tempfile.TemporaryDirectory() as one,
             tempfile.TemporaryDirectory() as two,
         ):
-            files = Authority(one).issue("server")
-            other_files = Authority(two).issue("server")
+            files = CertificateAuthority(one).issue("server")
+            other_files = CertificateAuthority(two).issue("server")
             used = self.create_over(files, files.trust)
             refused = self.create_over(files, other_files.trust)
         self.assertIsInstance(used, interface.Found)
