--- a/banyantiller/tests/gateway/test_quarantine_sync.py
+++ b/banyantiller/tests/gateway/test_quarantine_sync.py
@@ -138,7 +138,7 @@
                     received.append(mark)
                 )
                 headers = ((mirror.MARK_FIELD, mark),)
-                other_peer._note_mark(messages.Response(200, headers))
+                other_peer._record_mark(messages.Response(200, headers))
                 self.assertEqual([""], received)
 
         self.run_paused(body())
