--- a/banyantiller/tests/gateway/test_evacuations.py
+++ b/banyantiller/tests/gateway/test_evacuations.py
@@ -248,7 +248,7 @@
             await env.start_gateway(name="d2")
             before = count_traffic(env)
             answer = await env.request("r", "/file/x", "POST")
-            ready = env.gateway.not_ready()
+            ready = env.gateway.not_ready_reason()
             return answer.status, count_traffic(env) == before, ready
 
         status, untouched, reason = self.play(body)
@@ -322,7 +322,7 @@
             await asyncio.sleep(2)
             return (
                 late_daemon.store_view.evacuations.evacuated,
-                late_daemon.not_ready(),
+                late_daemon.not_ready_reason(),
             )
 
         self.assertEqual((frozenset({"zone-a"}), ""), self.play(body))
--- a/banyantiller/tests/gateway/test_store_calls.py
+++ b/banyantiller/tests/gateway/test_store_calls.py
@@ -126,7 +126,7 @@
             await env.start_gateway((*SEEDS, local_address), "seed", 7101)
             relays.append(env.gateway)
             await asyncio.sleep(0.1)
-            return env.gateway.not_ready()
+            return env.gateway.not_ready_reason()
 
         self.assertEqual("", self.play(body))
 
@@ -184,7 +184,7 @@
             restarted = env.gateway
             relays.append(restarted)
             await asyncio.sleep(0.1)
-            return count_calls([restarted]), restarted.not_ready()
+            return count_calls([restarted]), restarted.not_ready_reason()
 
         self.assertEqual(([0], ""), self.play(body))
 
