--- a/banyantiller/bundle/canonical.py
+++ b/banyantiller/bundle/canonical.py
@@ -1,8 +1,8 @@
 """Canonical JSON of parts, manifests and accepted bundles.
 
-Canonical means: UTF-8, keys sorted, no spaces, fields at their default left
-out. Decoding is strict: bytes that a decoded value would not be encoded to
-again are refused, so a value has exactly one digest.
+Canonical JSON is UTF-8 with sorted keys and no spaces, and leaves out fields
+that have their default value. Decoding is strict: it rejects bytes that differ
+from the encoding of the decoded value, so each value has exactly one digest.
 """
 
 import hashlib
@@ -12,7 +12,7 @@
 import msgspec
 
 from banyantiller.bundle import plain
-from banyantiller.bundle.manifest import Accepted, Manifest, Part
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Part
 from banyantiller.bundle.options import Bundle, Service
 
 MAX_BUNDLE_BYTES = 1_000_000
@@ -23,7 +23,7 @@
 
 
 class CanonicalError(ValueError):
-    """Bytes are not the canonical form of the expected value."""
+    """The bytes are not the canonical JSON of the expected type."""
 
 
 def encode(value: Any) -> bytes:
@@ -38,13 +38,13 @@
     return text.encode("utf-8")
 
 
-def decode(data: bytes, kind: type[T], limit: int) -> T:
+def decode(data: bytes, value_type: type[T], limit: int) -> T:
     """Decodes canonical JSON.
 
     Args:
         data: Canonical JSON.
-        kind: `NamedTuple` type.
-        limit: Most bytes.
+        value_type: `NamedTuple` type.
+        limit: Maximum length in bytes.
 
     Raises:
         CanonicalError: The bytes are too long, not valid or not canonical.
@@ -52,12 +52,16 @@
     if len(data) > limit:
         raise CanonicalError(f"{len(data)} bytes are more than {limit}")
     try:
-        value = plain.from_plain(msgspec.json.decode(data), kind)
-        again = encode(value)
+        value = plain.from_plain(msgspec.json.decode(data), value_type)
+        reencoded = encode(value)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise CanonicalError(f"not a valid {kind.__name__}: {error}") from error
-    if again != data:
-        raise CanonicalError(f"not the canonical form of a {kind.__name__}")
+        raise CanonicalError(
+            f"not a valid {value_type.__name__}: {error}"
+        ) from error
+    if reencoded != data:
+        raise CanonicalError(
+            f"not the canonical form of a {value_type.__name__}"
+        )
     return value
 
 
@@ -72,16 +76,16 @@
 
 
 def decode_part(data: bytes, part: Part) -> Service:
-    """Decodes one part and checks it against the manifest's reference.
+    """Decodes one part and checks it against its reference in the manifest.
 
     Raises:
-        CanonicalError: The bytes do not belong to the reference.
+        CanonicalError: The bytes do not match the reference.
     """
     if len(data) != part.size or digest(data) != part.digest:
         raise CanonicalError(f"the part of '{part.service}' was altered")
     service = decode(data, Service, MAX_BUNDLE_BYTES)
     if service.name != part.service:
-        raise CanonicalError(f"the part of '{part.service}' names another")
+        raise CanonicalError(f"the part of '{part.service}' has another name")
     return service
 
 
@@ -115,19 +119,19 @@
 
 
 def manifest_digest(manifest: Manifest) -> str:
-    """Returns the hex SHA-256 by which a manifest is named."""
+    """Returns the hex SHA-256 that identifies a manifest."""
     return digest(encode_manifest(manifest))
 
 
-def encode_accepted(accepted: Accepted) -> bytes:
+def encode_accepted(accepted: AcceptedBundle) -> bytes:
     """Encodes an accepted bundle as daemons and the object API hold it."""
     return encode(accepted)
 
 
-def decode_accepted(data: bytes) -> Accepted:
+def decode_accepted(data: bytes) -> AcceptedBundle:
     """Decodes an accepted bundle; its signatures are not verified here.
 
     Raises:
         CanonicalError: The bytes are not a canonical accepted bundle.
     """
-    return decode(data, Accepted, MAX_ACCEPTED_BYTES)
+    return decode(data, AcceptedBundle, MAX_ACCEPTED_BYTES)
--- a/banyantiller/bundle/difference.py
+++ b/banyantiller/bundle/difference.py
@@ -9,7 +9,7 @@
 
 
 class Difference(NamedTuple):
-    """One value that differs.
+    """One value that differs between two bundles.
 
     Attributes:
         path: Path of the value, such as "services[desk].slots".
@@ -32,42 +32,44 @@
 def compare(before: Any, after: Any) -> tuple[Difference, ...]:
     """Compares two typed values of the same type.
 
-    Items of a list that have a name are matched by name, others by place.
-    Unlike in canonical form, values at their default are compared too.
+    List items with a name or group are matched by it, others by index. Unlike
+    canonical JSON, the comparison includes fields at their default value.
     """
-    return tuple(_walk("", before, after))
+    return tuple(_compare_values("", before, after))
 
 
-def _walk(path: str, before: Any, after: Any) -> Iterator[Difference]:
+def _compare_values(path: str, before: Any, after: Any) -> Iterator[Difference]:
     if before == after:
         return
     if hasattr(before, "_fields") and type(before) is type(after):
         for name in before._fields:
             where = f"{path}.{name}" if path else name
-            yield from _walk(where, getattr(before, name), getattr(after, name))
+            yield from _compare_values(
+                where, getattr(before, name), getattr(after, name)
+            )
     elif isinstance(before, tuple) and isinstance(after, tuple):
-        yield from _walk_items(path, _keyed(before), _keyed(after))
+        yield from _compare_items(path, _by_key(before), _by_key(after))
     else:
         yield Difference(path, plain.to_plain(before), plain.to_plain(after))
 
 
-def _walk_items(
+def _compare_items(
     path: str, before: dict[str, Any], after: dict[str, Any]
 ) -> Iterator[Difference]:
     for key in before | after:
         where = f"{path}[{key}]"
-        yield from _walk(where, before.get(key), after.get(key))
-    kept = [key for key in before if key in after]
-    moved = [key for key in after if key in before]
-    if kept != moved:
-        yield Difference(path, kept, moved)
+        yield from _compare_values(where, before.get(key), after.get(key))
+    order_before = [key for key in before if key in after]
+    order_after = [key for key in after if key in before]
+    if order_before != order_after:
+        yield Difference(path, order_before, order_after)
 
 
-def _keyed(items: tuple[Any, ...]) -> dict[str, Any]:
-    return {_key(index, item): item for index, item in enumerate(items)}
+def _by_key(items: tuple[Any, ...]) -> dict[str, Any]:
+    return {_item_key(index, item): item for index, item in enumerate(items)}
 
 
-def _key(index: int, item: Any) -> str:
+def _item_key(index: int, item: Any) -> str:
     for field in KEY_FIELDS:
         if field in getattr(item, "_fields", ()):
             return str(getattr(item, field))
--- a/banyantiller/bundle/retention.py
+++ b/banyantiller/bundle/retention.py
@@ -1,9 +1,9 @@
-"""Deletes proposals and parts that nothing needs any more.
+"""Deletes proposals and parts that are no longer needed.
 
-Parts are listed before proposals. A part that a proposal uses anew is written
-again when it is old, so its resource version changes and a delete that was
-decided before fails. A part is therefore never deleted under a proposal that
-was made within `MIN_AGE_S` of storing its parts.
+Parts are listed before proposals. A proposal that reuses an old part writes it
+again, which changes its resource version, so a delete that was decided before
+fails. A part is therefore never deleted while a proposal needs it that was
+stored within `MIN_AGE_S` of its parts.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 from banyantiller.bundle.manifest import Manifest
 from banyantiller.bundle.operators import Operator
 from banyantiller.bundle.outcomes import (
-    Damaged,
+    DamagedObject,
     HeadFound,
     NoHead,
     NotReached,
@@ -23,17 +23,17 @@
 from banyantiller.store import interface
 
 MIN_AGE_S = 86400.0
-LEAST_VERSIONS = 2
+MIN_VERSIONS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pruned:
-    """What was deleted, or would be.
+class PruneResult:
+    """Objects that were deleted, or would be in a dry run.
 
     Attributes:
         proposals: Names of proposals.
         parts: Names of parts.
-        failed: Deletes that the object API did not confirm.
+        failed: Number of deletes that the object API did not confirm.
     """
 
     proposals: tuple[str, ...]
@@ -41,7 +41,7 @@
     failed: int = 0
 
 
-PruneOutcome = Pruned | Refused | NotReached
+PruneOutcome = PruneResult | Refused | NotReached
 
 
 async def prune(
@@ -51,23 +51,23 @@
     operator: Operator,
     dry_run: bool = False,
 ) -> PruneOutcome:
-    """Deletes what neither the kept versions nor young proposals need.
+    """Deletes objects that neither kept versions nor recent proposals need.
 
     Args:
         store: The object API of the deployment.
         deployment: Fleet whose bundles are pruned.
         versions: Accepted versions to keep, the one in force included.
-        operator: Who prunes.
-        dry_run: Only tell what would be deleted.
+        operator: Operator that prunes.
+        dry_run: Only return what would be deleted.
     """
-    if versions < LEAST_VERSIONS:
-        return Refused((f"Keep at least {LEAST_VERSIONS} versions.",))
+    if versions < MIN_VERSIONS:
+        return Refused((f"Keep at least {MIN_VERSIONS} versions.",))
     head = await reading.read_head(store, deployment)
     if isinstance(head, NotReached):
         return head
     if isinstance(head, NoHead):
         return Refused(("No bundle was accepted yet.",))
-    if isinstance(head, Damaged):
+    if isinstance(head, DamagedObject):
         return Refused((head.reason,))
     parts = await store.list(reading.PARTS)
     proposals = await store.list(reading.PROPOSALS, {"deployment": deployment})
@@ -75,21 +75,23 @@
         if isinstance(listed, interface.Unavailable):
             return NotReached(listed.reason)
     before = operator.wall() - MIN_AGE_S
-    unneeded = _choose(head, proposals.items, parts.items, versions, before)
+    unneeded = _select_unneeded(
+        head, proposals.items, parts.items, versions, before
+    )
     return await _delete(store, unneeded, operator, dry_run)
 
 
-def _choose(
+def _select_unneeded(
     head: HeadFound,
     proposals: tuple[interface.StoredObject, ...],
     parts: tuple[interface.StoredObject, ...],
     versions: int,
     before: float,
 ) -> list[interface.StoredObject]:
-    """Returns what is older than `before` and not needed any more."""
+    """Returns objects older than `before` that are no longer needed."""
     decoded = [reading.decode_proposal(item) for item in proposals]
     found = [item for item in decoded if isinstance(item, ProposalFound)]
-    kept = _accepted(head, found, versions)
+    kept = _latest_accepted(head, found, versions)
     for item in found:
         if item.manifest.parent == head.digest or item.proposed_at > before:
             kept[item.digest] = item.manifest
@@ -104,7 +106,7 @@
     ]
 
 
-def _accepted(
+def _latest_accepted(
     head: HeadFound, found: list[ProposalFound], versions: int
 ) -> dict[str, Manifest]:
     """Returns the latest accepted manifests by digest."""
@@ -131,12 +133,12 @@
         kind: tuple(item.name for item in unneeded if item.kind == kind)
         for kind in (reading.PROPOSALS, reading.PARTS)
     }
-    chosen = Pruned(names[reading.PROPOSALS], names[reading.PARTS])
+    result = PruneResult(names[reading.PROPOSALS], names[reading.PARTS])
     if dry_run or not unneeded:
-        return chosen
+        return result
     detail: dict[str, Any] = {
-        "proposals": len(chosen.proposals),
-        "parts": len(chosen.parts),
+        "proposals": len(result.proposals),
+        "parts": len(result.parts),
     }
     failure = await operator.audit("prune", detail)
     if failure:
@@ -146,4 +148,4 @@
         outcome = await store.delete(item)
         done = isinstance(outcome, interface.Found | interface.Missing)
         failed += 0 if done else 1
-    return dataclasses.replace(chosen, failed=failed)
+    return dataclasses.replace(result, failed=failed)
--- a/banyantiller/evidence/audit.py
+++ b/banyantiller/evidence/audit.py
@@ -1,8 +1,9 @@
 """Appends to the audit trail of changes in the object API.
 
-An entry is created only if no object of its number exists, and it carries
-the digest of the entry before it, so racing writers can't fork the trail. A
-lost answer is settled by reading the entry's nonce back.
+An entry is created only if no object with its sequence number exists, and it
+contains the digest of the entry before it, so concurrent writers can't fork
+the trail. After a lost response, the stored entry's nonce shows whether the
+write succeeded.
 """
 
 import asyncio
@@ -19,10 +20,10 @@
 
 __all__ = [
     "AppendOutcome",
+    "AppendUnknown",
     "Appended",
     "AuditReport",
     "NotAppended",
-    "NotKnown",
     "append",
     "verify",
 ]
@@ -30,10 +31,10 @@
 log = structlog.get_logger("banyantiller.evidence")
 
 MAX_DETAIL_BYTES = 65_536
-MOST_CONFLICTS = 40
-MOST_FAILURES = 6
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.8
+MAX_CONFLICTS = 40
+MAX_FAILURES = 6
+INITIAL_PAUSE_S = 0.05
+MAX_PAUSE_S = 0.8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -46,19 +47,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotAppended:
-    """The entry is certainly not part of the trail."""
+    """The entry is definitely not part of the trail."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotKnown:
-    """Nobody can tell yet whether the entry is part of the trail."""
+class AppendUnknown:
+    """It is undetermined whether the entry is part of the trail."""
 
     reason: str
 
 
-AppendOutcome = Appended | NotAppended | NotKnown
+AppendOutcome = Appended | NotAppended | AppendUnknown
 
 
 async def append(
@@ -73,14 +74,14 @@
 
     Args:
         store: The object API.
-        deployment: Fleet whose trail it is.
-        action: What was done, such as "propose".
-        operator: Who did it.
-        detail: JSON-compatible particulars, at most 64 KB encoded.
+        deployment: Name of the fleet.
+        action: Action that was performed, such as "propose".
+        operator: Name of the operator who performed it.
+        detail: JSON-compatible details, at most 64 KB encoded.
         wall: Returns wall-clock seconds.
 
     Returns:
-        `Appended` only after the object API has shown the entry.
+        `Appended` only after the object API has confirmed the entry.
     """
     if len(chain.canonical(detail)) > MAX_DETAIL_BYTES:
         return NotAppended(f"The detail exceeds {MAX_DETAIL_BYTES} bytes.")
@@ -92,7 +93,7 @@
         "at_ms": round(wall() * 1000),
         "nonce": secrets.token_hex(16),
     }
-    for attempt in range(MOST_CONFLICTS):
+    for attempt in range(MAX_CONFLICTS):
         try:
             tip = await trail.read_tip(store, deployment)
         except trail.UnreadableError as error:
@@ -103,45 +104,47 @@
         if outcome is not None:
             return outcome
         await asyncio.sleep(_pause(attempt))
-    return NotAppended("Other writers were first each time.")
+    return NotAppended("Each attempt lost to another writer.")
 
 
 async def _append_after(
     store: interface.ObjectStore, tip: chain.Tip, content: dict[str, Any]
 ) -> AppendOutcome | None:
-    """Creates the entry after `tip`; None if another writer was first."""
+    """Creates the entry after `tip`; None if another writer took its place."""
     entry = chain.sealed(
         {**content, "sequence": tip.sequence + 1, "previous": tip.digest}
     )
     name = trail.entry_name(entry["deployment"], entry["sequence"])
     labels = {"deployment": entry["deployment"]}
     pending = False
-    for attempt in range(MOST_FAILURES):
+    for attempt in range(MAX_FAILURES):
         outcome = await store.create(trail.ENTRY_KIND, name, entry, labels)
         if isinstance(outcome, interface.Found):
             return Appended(entry["sequence"], entry["digest"])
         if isinstance(outcome, interface.Conflict):
-            held = await _holds(store, name, entry) if pending else False
-            if held is not None:
-                return _appended(entry) if held else None
+            is_stored = (
+                await _is_stored(store, name, entry) if pending else False
+            )
+            if is_stored is not None:
+                return _appended(entry) if is_stored else None
         pending = pending or isinstance(outcome, interface.Unknown)
         await asyncio.sleep(_pause(attempt))
     reason = getattr(outcome, "reason", "The object API did not answer.")
-    return NotKnown(reason) if pending else NotAppended(reason)
+    return AppendUnknown(reason) if pending else NotAppended(reason)
 
 
 def _pause(attempt: int) -> float:
-    return min(FIRST_PAUSE_S * 2.0**attempt, LONGEST_PAUSE_S)
+    return min(INITIAL_PAUSE_S * 2.0**attempt, MAX_PAUSE_S)
 
 
 def _appended(entry: dict[str, Any]) -> Appended:
     return Appended(entry["sequence"], entry["digest"])
 
 
-async def _holds(
+async def _is_stored(
     store: interface.ObjectStore, name: str, entry: dict[str, Any]
 ) -> bool | None:
-    """Tells whether the stored entry is ours; None if it can't be read."""
+    """Returns whether this writer's entry is stored; None if unreadable."""
     outcome = await store.get(trail.ENTRY_KIND, name)
     if isinstance(outcome, interface.Found):
         return bool(outcome.item.value.get("nonce") == entry["nonce"])
@@ -151,21 +154,21 @@
 async def _record_tip(
     store: interface.ObjectStore, deployment: str, appended: Appended
 ) -> None:
-    """Raises the recorded tip; a failure only costs a longer search."""
+    """Advances the recorded tip; a failure only makes later searches longer."""
     value = {"sequence": appended.sequence, "digest": appended.digest}
     labels = {"deployment": deployment}
-    for _ in range(MOST_FAILURES):
+    for _ in range(MAX_FAILURES):
         found = await store.get(trail.TIP_KIND, deployment)
         if isinstance(found, interface.Missing):
             outcome = await store.create(
                 trail.TIP_KIND, deployment, value, labels
             )
         elif isinstance(found, interface.Found):
-            if trail.tip_from(found.item.value).sequence >= appended.sequence:
+            if trail.parse_tip(found.item.value).sequence >= appended.sequence:
                 return
             outcome = await store.update(found.item, value)
         else:
             break
         if isinstance(outcome, interface.Found):
             return
-    log.warning("evidence: the recorded tip of the audit trail is behind.")
+    log.warning("evidence: the recorded audit trail tip could not be updated.")
--- a/banyantiller/evidence/backlog.py
+++ b/banyantiller/evidence/backlog.py
@@ -1,40 +1,43 @@
-"""A bounded queue of summaries that could not be written yet."""
+"""A bounded queue of summaries that are not written yet."""
 
 from banyantiller.evidence import summary as summaries
 
-MOST_PENDING = 20
+MAX_PENDING = 20
 
 
 class Backlog:
-    """Keeps summaries in order; joins neighbours when there are too many.
+    """Queues summaries in order and merges neighbours when it is full.
 
-    Counts stay exact. What is lost is resolution in time and, in the
-    summary, the items counted in `omitted`.
+    Merging keeps counts exact. It loses time resolution and the list items
+    that the merged summary counts in `omitted`.
 
     Attributes:
         pending: Summaries, oldest first.
-        most_requests: Most breaches that one summary lists.
+        most_requests: Maximum number of breaches that one summary lists.
+        max_pending: Maximum number of queued summaries.
     """
 
-    def __init__(self, most_requests: int, most: int = MOST_PENDING) -> None:
+    def __init__(
+        self, most_requests: int, max_pending: int = MAX_PENDING
+    ) -> None:
         self.pending: list[summaries.Summary] = []
         self.most_requests = most_requests
-        self.most = most
+        self.max_pending = max_pending
 
-    def add(self, summary: summaries.Summary) -> None:
-        """Adds the latest summary."""
+    def add_summary(self, summary: summaries.Summary) -> None:
+        """Appends a summary; merges two others if the queue is full."""
         self.pending.append(summary)
-        if len(self.pending) > self.most:
+        if len(self.pending) > self.max_pending:
             self._join()
 
-    def take(self) -> list[summaries.Summary]:
+    def take_all(self) -> list[summaries.Summary]:
         """Removes and returns all summaries, oldest first."""
         taken = self.pending
         self.pending = []
         return taken
 
     def _join(self) -> None:
-        """Joins the neighbours that cover the fewest periods together."""
+        """Merges the two neighbours that together cover the fewest periods."""
         pairs = range(len(self.pending) - 1)
         at = min(pairs, key=self._periods)
         joined = summaries.merge(
--- a/banyantiller/evidence/charts.py
+++ b/banyantiller/evidence/charts.py
@@ -1,4 +1,4 @@
-"""Plots for the report, as SVG; needs the optional extra `report`."""
+"""Charts for the report, as SVG; needs the optional extra `report`."""
 
 import datetime
 from collections.abc import Callable, Sequence
@@ -20,11 +20,11 @@
     Broken: BROKEN_COLOUR,
     NotKnown: NOT_KNOWN_COLOUR,
 }
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 
 
-def answers(found: Assessment) -> str:
-    """Draws when each promise held, was broken or is not known."""
+def draw_verdicts(found: Assessment) -> str:
+    """Draws the verdict for each promise over time."""
 
     def draw(axes: Any) -> None:
         names = list(Promise)
@@ -40,24 +40,29 @@
         axes.set_yticks(range(len(names)), [str(name) for name in names])
         axes.invert_yaxis()
 
-    return _draw(found, draw, "held (green), broken (red), not known (grey)")
+    return _render_chart(
+        found, draw, "held (green), broken (red), not known (grey)"
+    )
 
 
-def calls(found: Assessment) -> str:
-    """Draws calls and failed calls a second over time."""
+def draw_calls(found: Assessment) -> str:
+    """Draws the rates of calls and failed calls over time."""
 
     def draw(axes: Any) -> None:
-        for label, count in (("calls", _calls), ("failed", _failed)):
+        for label, count in (
+            ("calls", _call_count),
+            ("failed", _failed_call_count),
+        ):
             points = _rates(found.histories, count)
             axes.step(*points, where="post", label=label)
         axes.set_ylabel("1/s")
         axes.legend(loc="upper left", frameon=False)
 
-    return _draw(found, draw, "calls a second over all daemons")
+    return _render_chart(found, draw, "calls a second over all daemons")
 
 
-def latencies(found: Assessment) -> str:
-    """Draws the median and the 99th percentile over time."""
+def draw_latencies(found: Assessment) -> str:
+    """Draws the 50th and 99th percentiles of call durations over time."""
 
     def draw(axes: Any) -> None:
         periods = _merged_latency(found.histories)
@@ -65,7 +70,7 @@
             times = [_time(start) for start in sorted(periods)]
             values = [
                 (latency.percentile_s(periods[start], percent) or 0)
-                * MILLISECONDS
+                * MS_PER_SECOND
                 for start in sorted(periods)
             ]
             axes.plot(times, values, marker=".", label=f"p{percent}")
@@ -73,57 +78,68 @@
         axes.set_ylabel("ms")
         axes.legend(loc="upper left", frameon=False)
 
-    return _draw(found, draw, "time from request head to end of answer")
+    return _render_chart(found, draw, "time from request head to end of answer")
 
 
-def bundles(found: Assessment) -> str:
-    """Draws the delay from acceptance to force at each daemon."""
+def draw_bundle_delays(found: Assessment) -> str:
+    """Draws each daemon's delay from acceptance to coming into force."""
 
     def draw(axes: Any) -> None:
-        seen = [
+        applied = [
             bundle
             for history in found.histories
             for summary in history.summaries
             for bundle in summary.bundles
         ]
         axes.plot(
-            [_time(item.accepted_ms) for item in seen],
-            [(item.at_ms - item.accepted_ms) / MILLISECONDS for item in seen],
+            [_time(item.accepted_ms) for item in applied],
+            [
+                (item.at_ms - item.accepted_ms) / MS_PER_SECOND
+                for item in applied
+            ],
             "o",
             markersize=3,
         )
         axes.set_ylabel("s")
 
-    return _draw(found, draw, "delay from acceptance of a bundle to force")
+    return _render_chart(
+        found, draw, "delay from acceptance of a bundle to force"
+    )
 
 
-def coverage(found: Assessment) -> str:
-    """Draws the times for which each daemon's evidence is sound."""
+def draw_coverage(found: Assessment) -> str:
+    """Draws the spans for which each daemon's evidence is sound."""
 
     def draw(axes: Any) -> None:
         names = sorted({item.run.daemon for item in found.histories})
         for history in found.histories:
             row = names.index(history.run.daemon)
             for summary in history.summaries:
-                _bar(axes, row, summary.from_ms, summary.to_ms, HELD_COLOUR)
+                _draw_bar(
+                    axes, row, summary.from_ms, summary.to_ms, HELD_COLOUR
+                )
             for gap in history.unknown:
-                _bar(axes, row, gap.from_ms, gap.to_ms, NOT_KNOWN_COLOUR)
+                _draw_bar(axes, row, gap.from_ms, gap.to_ms, NOT_KNOWN_COLOUR)
         axes.set_yticks(range(len(names)), names)
 
-    return _draw(found, draw, "sound evidence by daemon (green), none (grey)")
+    return _render_chart(
+        found, draw, "sound evidence by daemon (green), none (grey)"
+    )
 
 
-def _bar(axes: Any, row: int, from_ms: int, to_ms: int, colour: str) -> None:
+def _draw_bar(
+    axes: Any, row: int, from_ms: int, to_ms: int, colour: str
+) -> None:
     start, end = _time(from_ms), _time(to_ms)
     axes.barh(row, end - start, left=start, color=colour)
 
 
-def _draw(found: Assessment, draw: plots.Draw, title: str) -> str:
-    """Draws one plot over the whole period."""
+def _render_chart(found: Assessment, draw: plots.Draw, title: str) -> str:
+    """Renders one chart over the whole period as a data URI."""
 
     def over_period(axes: Any) -> None:
         draw(axes)
-        period = found.question.period
+        period = found.request.period
         axes.set_xlim(_time(period.from_ms), _time(period.to_ms))
         axes.figure.autofmt_xdate()
 
@@ -131,25 +147,25 @@
 
 
 def _time(at_ms: int) -> datetime.datetime:
-    return datetime.datetime.fromtimestamp(at_ms / MILLISECONDS, datetime.UTC)
+    return datetime.datetime.fromtimestamp(at_ms / MS_PER_SECOND, datetime.UTC)
 
 
-def _calls(summary: Summary) -> int:
+def _call_count(summary: Summary) -> int:
     return sum(summary.calls.values())
 
 
-def _failed(summary: Summary) -> int:
+def _failed_call_count(summary: Summary) -> int:
     return sum(summary.errors.values())
 
 
 def _rates(
     histories: Sequence[RunHistory], count: Callable[[Summary], int]
 ) -> tuple[list[datetime.datetime], list[float]]:
-    """Adds up the daemons' rates; each is constant within a summary."""
+    """Sums the daemons' rates, each taken as constant within a summary."""
     steps: dict[int, float] = {}
     for history in histories:
         for summary in history.summaries:
-            span_s = (summary.to_ms - summary.from_ms) / MILLISECONDS
+            span_s = (summary.to_ms - summary.from_ms) / MS_PER_SECOND
             if span_s > 0:
                 rate = count(summary) / span_s
                 steps[summary.from_ms] = steps.get(summary.from_ms, 0) + rate
@@ -167,7 +183,7 @@
 def _merged_latency(
     histories: Sequence[RunHistory],
 ) -> dict[int, dict[str, int]]:
-    """Adds up the daemons' durations by end of period."""
+    """Sums the daemons' duration counts by period."""
     merged: dict[int, dict[str, int]] = {}
     for history in histories:
         for summary in history.summaries:
--- a/banyantiller/evidence/cleanup.py
+++ b/banyantiller/evidence/cleanup.py
@@ -1,8 +1,8 @@
-"""Removes evidence that is older than its retention, a little at a time.
+"""Removes expired evidence in small passes.
 
-Every writer does this now and then, so that the evidence of daemons that no
-longer exist goes too. Each pass is bounded; passes over the fleet remove
-more than the fleet writes.
+Every writer runs a pass from time to time, so the evidence of daemons that no
+longer exist is removed as well. Each pass is bounded; all passes of a fleet
+together remove more than the fleet writes.
 """
 
 import random
@@ -16,8 +16,8 @@
 log = structlog.get_logger("banyantiller.evidence")
 
 DAY_MS = 86_400_000
-MOST_DAYS_LATE = 3
-MOST_DELETED = 50
+MAX_DAYS_LATE = 3
+MAX_DELETED = 50
 
 
 async def remove_expired(
@@ -27,19 +27,19 @@
     retention_days: int,
     rng: random.Random,
 ) -> int:
-    """Removes some blocks, and some ended runs, past their retention.
+    """Removes some blocks and ended runs that exceed their retention.
 
     Args:
         store: The object API.
-        deployment: Fleet.
+        deployment: Name of the fleet.
         now_ms: Wall-clock milliseconds.
         retention_days: Days for which evidence is kept.
-        rng: Chooses the day and the order.
+        rng: Random source that selects the day and the order of removal.
 
     Returns:
         Number of objects removed.
     """
-    late_days = rng.randint(1, MOST_DAYS_LATE)
+    late_days = rng.randint(1, MAX_DAYS_LATE)
     limit_ms = now_ms - retention_days * DAY_MS
     day = layout.day_of(limit_ms - late_days * DAY_MS)
     labels = {"deployment": deployment, "day": day}
@@ -48,13 +48,13 @@
     expired += [item for item in runs if _ended_before(item, limit_ms)]
     rng.shuffle(expired)
     removed = 0
-    for item in expired[:MOST_DELETED]:
+    for item in expired[:MAX_DELETED]:
         outcome = await store.delete(item)
         if isinstance(outcome, interface.Unavailable | interface.Unknown):
             break
         removed += isinstance(outcome, interface.Found)
     if removed:
-        log.info("evidence: expired objects were removed.", removed=removed)
+        log.info("evidence: removed expired objects.", removed=removed)
     return removed
 
 
@@ -69,7 +69,7 @@
 
 def _ended_before(item: interface.StoredObject, limit_ms: int) -> bool:
     try:
-        run = layout.run_from(item.value)
+        run = layout.parse_run(item.value)
     except msgspec.ValidationError:
         return False
     return 0 < run.ended_ms < limit_ms
--- a/banyantiller/evidence/summary.py
+++ b/banyantiller/evidence/summary.py
@@ -1,8 +1,8 @@
-"""Summaries: what one daemon saw in one period, in a bounded form.
+"""Bounded summaries of what one daemon observed in one period.
 
-Times are whole wall-clock milliseconds so that they pass unchanged through
-any JSON library. Lists are bounded; what did not fit is counted in
-`omitted`, so that nobody takes a part for the whole.
+Times are integer wall-clock milliseconds, which every JSON library preserves
+exactly. Lists are bounded; `omitted` counts the items beyond the bound, so
+that a partial list is never mistaken for a complete one.
 """
 
 import typing
@@ -12,16 +12,16 @@
 
 import msgspec
 
-MOST_BUNDLES = 50
-MOST_REFUSALS = 10
-MOST_MEMBERS = 100
-MOST_LEAVING = 50
-MOST_SERVICES = 200
-MAX_TEXT = 120
+MAX_BUNDLES = 50
+MAX_REFUSALS = 10
+MAX_MEMBERS = 100
+MAX_LEAVING = 50
+MAX_SERVICES = 200
+MAX_TEXT_CHARS = 120
 UNKNOWN_RATE = -1.0
 
 
-class BundleSeen(NamedTuple):
+class AppliedBundle(NamedTuple):
     """A bundle that came into force at this daemon."""
 
     version: int
@@ -31,7 +31,7 @@
     source: str
 
 
-class RefusalSeen(NamedTuple):
+class BundleRefusal(NamedTuple):
     """A bundle that this daemon refused."""
 
     version: int
@@ -40,7 +40,7 @@
     at_ms: int
 
 
-class MemberSeen(NamedTuple):
+class MemberChange(NamedTuple):
     """A change in this daemon's view of a peer."""
 
     daemon: str
@@ -49,8 +49,8 @@
     at_ms: int
 
 
-class LeavingSeen(NamedTuple):
-    """A server that this daemon learned to be leaving."""
+class ServerDeparture(NamedTuple):
+    """A server that this daemon found leaving."""
 
     service: str
     server: str
@@ -58,8 +58,8 @@
     at_ms: int
 
 
-class BreachSeen(NamedTuple):
-    """A promise that this daemon saw broken."""
+class ObservedBreach(NamedTuple):
+    """A breach of a promise that this daemon observed."""
 
     promise: str
     request_id: str
@@ -67,13 +67,14 @@
     at_ms: int
 
 
-class ProbesSpent(NamedTuple):
+class ProbeUsage(NamedTuple):
     """Probes that this daemon sent to one service.
 
     Attributes:
         sent: Probes in the period.
-        rate: Most probes a second by all daemons together, as this daemon
-            knew it; the least if it changed; `UNKNOWN_RATE` if it did not.
+        rate: Budget of all daemons together in probes per second, as this
+            daemon knew it; the smallest one if it changed; `UNKNOWN_RATE` if
+            the daemon did not know it.
     """
 
     sent: int
@@ -81,33 +82,34 @@
 
 
 class Summary(NamedTuple):
-    """What one daemon saw in one period.
+    """Observations of one daemon in one period.
 
     Attributes:
         from_ms: Start of the period.
         to_ms: End of the period.
-        started: Whether it is the first of its daemon's run.
-        final: Whether the daemon ended gracefully after it.
-        merged: Number of periods that were joined in it.
+        started: Whether this is the first summary of a run.
+        final: Whether the daemon shut down gracefully after it.
+        merged: Number of periods that were merged into it.
         calls: Finished calls by service.
         errors: Failed calls by error kind.
         cut: Answers that ended early.
-        runs: Non-idempotent calls of which bytes went to a server.
-        attempts: Tries that wrote at least one byte.
-        retries: Tries beyond the first of each call.
+        runs: Non-idempotent calls of which bytes were sent to a server.
+        attempts: Attempts that wrote at least one byte.
+        retries: Attempts beyond the first of each call.
         latency: Calls by bucket of duration; see `bucket_of`.
         bundles: Bundles that came into force.
         version: Version in force at the end, 0 for none.
         refused: Bundles refused.
         probes: Probes by service.
-        store_down_ms: Time for which the object API did not answer.
+        store_down_ms: Milliseconds for which the object API did not answer.
         members: Changes in the view of peers.
-        leaving: Servers learned to be leaving.
-        breaches: Broken promises, with the requests.
-        breach_counts: All breaches by promise, also those not listed.
-        omitted: Items left out of a bounded list, by name of the list.
-        audit_sequence: Last audit entry seen, 0 for none.
-        audit_digest: Its digest.
+        leaving: Servers found leaving.
+        breaches: Breaches of promises, with the request IDs.
+        breach_counts: Number of breaches by promise, unlisted ones included.
+        omitted: Number of items omitted from each bounded list, by name.
+        audit_sequence: Sequence number of the last audit entry seen, 0 for
+            none.
+        audit_digest: Digest of that entry.
     """
 
     from_ms: int
@@ -122,14 +124,14 @@
     attempts: int = 0
     retries: int = 0
     latency: dict[str, int] = {}  # noqa: RUF012
-    bundles: tuple[BundleSeen, ...] = ()
+    bundles: tuple[AppliedBundle, ...] = ()
     version: int = 0
-    refused: tuple[RefusalSeen, ...] = ()
-    probes: dict[str, ProbesSpent] = {}  # noqa: RUF012
+    refused: tuple[BundleRefusal, ...] = ()
+    probes: dict[str, ProbeUsage] = {}  # noqa: RUF012
     store_down_ms: int = 0
-    members: tuple[MemberSeen, ...] = ()
-    leaving: tuple[LeavingSeen, ...] = ()
-    breaches: tuple[BreachSeen, ...] = ()
+    members: tuple[MemberChange, ...] = ()
+    leaving: tuple[ServerDeparture, ...] = ()
+    breaches: tuple[ObservedBreach, ...] = ()
     breach_counts: dict[str, int] = {}  # noqa: RUF012
     omitted: dict[str, int] = {}  # noqa: RUF012
     audit_sequence: int = 0
@@ -139,15 +141,15 @@
 FIELD_TYPES = typing.get_type_hints(Summary)
 
 LISTS: dict[str, int] = {
-    "bundles": MOST_BUNDLES,
-    "refused": MOST_REFUSALS,
-    "members": MOST_MEMBERS,
-    "leaving": MOST_LEAVING,
+    "bundles": MAX_BUNDLES,
+    "refused": MAX_REFUSALS,
+    "members": MAX_MEMBERS,
+    "leaving": MAX_LEAVING,
 }
 
 
 def encode(summary: Summary) -> dict[str, Any]:
-    """Returns the JSON form: fields by name, without empty ones."""
+    """Returns the JSON form: fields by name, without default values."""
     defaults = Summary._field_defaults
     return {
         name: msgspec.to_builtins(value)
@@ -157,14 +159,14 @@
 
 
 def decode(record: Mapping[str, Any]) -> Summary:
-    """Reads the JSON form; unknown fields are ignored.
+    """Parses the JSON form; unknown fields are ignored.
 
     Raises:
         msgspec.ValidationError: A field has the wrong type or is missing.
     """
     known = {
-        name: msgspec.convert(record[name], kind)
-        for name, kind in FIELD_TYPES.items()
+        name: msgspec.convert(record[name], field_type)
+        for name, field_type in FIELD_TYPES.items()
         if name in record
     }
     try:
@@ -174,12 +176,12 @@
 
 
 def merge(first: Summary, second: Summary, most_requests: int) -> Summary:
-    """Joins two neighbouring summaries into one over both periods.
+    """Merges two neighbouring summaries into one over both periods.
 
     Args:
-        first: The earlier one.
-        second: The later one.
-        most_requests: Most breaches that are listed.
+        first: The earlier summary.
+        second: The later summary.
+        most_requests: Maximum number of breaches that are listed.
 
     Returns:
         A summary whose counts are exact and whose lists are bounded.
@@ -187,27 +189,27 @@
     omitted = Counter(first.omitted)
     omitted.update(second.omitted)
     lists: dict[str, Any] = {}
-    for name, most in {**LISTS, "breaches": most_requests}.items():
+    for name, limit in {**LISTS, "breaches": most_requests}.items():
         items = getattr(first, name) + getattr(second, name)
-        lists[name] = items[:most]
-        omitted[name] += max(0, len(items) - most)
+        lists[name] = items[:limit]
+        omitted[name] += max(0, len(items) - limit)
     return Summary(
         from_ms=first.from_ms,
         to_ms=second.to_ms,
         started=first.started,
         final=second.final,
         merged=first.merged + second.merged,
-        calls=added(first.calls, second.calls),
-        errors=added(first.errors, second.errors),
+        calls=add_counts(first.calls, second.calls),
+        errors=add_counts(first.errors, second.errors),
         cut=first.cut + second.cut,
         runs=first.runs + second.runs,
         attempts=first.attempts + second.attempts,
         retries=first.retries + second.retries,
-        latency=added(first.latency, second.latency),
+        latency=add_counts(first.latency, second.latency),
         version=second.version,
         probes=_merged_probes(first.probes, second.probes),
         store_down_ms=first.store_down_ms + second.store_down_ms,
-        breach_counts=added(first.breach_counts, second.breach_counts),
+        breach_counts=add_counts(first.breach_counts, second.breach_counts),
         omitted={name: count for name, count in omitted.items() if count},
         audit_sequence=second.audit_sequence or first.audit_sequence,
         audit_digest=second.audit_digest or first.audit_digest,
@@ -215,7 +217,7 @@
     )
 
 
-def added(
+def add_counts(
     first: Mapping[str, int], second: Mapping[str, int]
 ) -> dict[str, int]:
     """Adds two tables of counts."""
@@ -225,12 +227,12 @@
 
 
 def _merged_probes(
-    first: Mapping[str, ProbesSpent], second: Mapping[str, ProbesSpent]
-) -> dict[str, ProbesSpent]:
+    first: Mapping[str, ProbeUsage], second: Mapping[str, ProbeUsage]
+) -> dict[str, ProbeUsage]:
     probes = dict(first)
     for service, spent in second.items():
-        before = probes.get(service, ProbesSpent(0, spent.rate))
-        probes[service] = ProbesSpent(
+        before = probes.get(service, ProbeUsage(0, spent.rate))
+        probes[service] = ProbeUsage(
             before.sent + spent.sent, min(before.rate, spent.rate)
         )
     return probes
--- a/banyantiller/evidence/writer.py
+++ b/banyantiller/evidence/writer.py
@@ -1,8 +1,7 @@
 """The task that writes a daemon's summaries to the object API.
 
-Each period costs one write. Records of a period stay as they were first
-sent until it is known whether they were stored, so a lost answer can't make
-two chains.
+Each period takes one write. Records are resent unchanged until it is known
+whether they were stored, so a lost response can't fork the chain.
 """
 
 import asyncio
@@ -20,24 +19,24 @@
 
 log = structlog.get_logger("banyantiller.evidence")
 
-MOST_DELAY_S = 10.0
+MAX_DELAY_S = 10.0
 PERIODS_PER_TIP = 10
 BLOCKS_PER_CLEANUP = 12
-FINISH_S = 5.0
+FINISH_TIMEOUT_S = 5.0
 FINISH_PAUSE_S = 0.25
 
 
 class Writer:
-    """Writes summaries in blocks and keeps a bounded backlog.
+    """Writes summaries in blocks and queues unwritten ones in a backlog.
 
     Attributes:
-        run_info: This life of the daemon, as announced.
-        tip: Last record known to be stored, or sealed.
-        sealed: Records that were sent or are about to be.
-        block: Number of the present block.
-        item: The present block as last stored, or None.
-        records: Records known to be in the present block.
-        announced: Whether the run's object is stored.
+        run_info: This run of the daemon, as announced.
+        tip: Last sealed record, stored or not.
+        sealed: Sealed records that are not known to be stored.
+        block: Number of the current block.
+        item: The current block as last stored, or None.
+        records: Records known to be in the current block.
+        announced: Whether the run object is stored.
     """
 
     def __init__(
@@ -58,7 +57,7 @@
             settings.daemon,
             settings.zone,
             recorder.from_ms,
-            round(self.period_s * layout.MILLISECONDS),
+            round(self.period_s * layout.MS_PER_SECOND),
         )
         self.retention_days = settings.evidence.retention_days
         self.backlog = backlog.Backlog(settings.evidence.most_requests)
@@ -79,19 +78,19 @@
         wall: Callable[[], float],
         seed: int,
     ) -> "Writer":
-        """Builds a writer; `run` starts it."""
+        """Builds a writer, which `run` starts."""
         return cls(settings, store, recorder, wall, seed)
 
     async def run(self) -> None:
-        """Announces the daemon, then writes one summary a period."""
+        """Announces the run, then writes one summary for each period."""
         if not self.started:
             self.started = True
-            self.backlog.add(self.recorder.close_period(started=True))
+            self.backlog.add_summary(self.recorder.close_period(started=True))
             await self.flush()
         periods = 0
         while True:
             await asyncio.sleep(self._until_boundary())
-            self.backlog.add(self.recorder.close_period())
+            self.backlog.add_summary(self.recorder.close_period())
             await asyncio.sleep(self._delay())
             if periods % PERIODS_PER_TIP == 0:
                 await self._read_audit_tip()
@@ -99,14 +98,14 @@
             await self.flush()
 
     async def finish(self) -> None:
-        """Writes the last summary; gives up after a few seconds.
+        """Writes the final summary; gives up after `FINISH_TIMEOUT_S` seconds.
 
-        A daemon whose last summary is not stored is judged as one that
-        ended without a word.
+        A daemon whose final summary is not stored is judged like one that
+        crashed.
         """
         loop = asyncio.get_running_loop()
-        limit = loop.time() + FINISH_S
-        self.backlog.add(
+        limit = loop.time() + FINISH_TIMEOUT_S
+        self.backlog.add_summary(
             self.recorder.close_period(started=not self.started, final=True)
         )
         self.started = True
@@ -116,46 +115,46 @@
                 await _until_done(self.flush)
                 await _until_done(lambda: self._close_run(ended))
         except TimeoutError:
-            log.warning("evidence: the last summary was not stored.")
+            log.warning("evidence: the final summary was not stored.")
 
     async def flush(self) -> bool:
-        """Writes what is pending.
+        """Writes all pending summaries.
 
         Returns:
             Whether everything is known to be stored.
         """
-        if not self.announced and not await self._announce():
+        if not self.announced and not await self._announce_run():
             return False
         while True:
             if not self.sealed:
-                self._seal()
+                self._seal_pending()
             if not self.sealed:
                 return True
             if not await self._store_sealed():
                 log.warning(
-                    "evidence: a summary could not be stored yet.",
+                    "evidence: summaries could not be stored yet.",
                     pending=len(self.backlog.pending) + len(self.sealed),
                 )
                 return False
 
-    def _seal(self) -> None:
-        for summary in self.backlog.take():
-            record = layout.seal(summary, self.tip)
+    def _seal_pending(self) -> None:
+        for summary in self.backlog.take_all():
+            record = layout.seal_summary(summary, self.tip)
             self.tip = chain.Tip(record["sequence"], record["digest"])
             self.sealed.append(record)
 
     async def _store_sealed(self) -> bool:
-        """Stores the first sealed records that fit into a block."""
+        """Stores as many sealed records as fit into the current block."""
         if self._block_is_full():
-            await self._next_block()
-        count = self._fitting()
-        fresh = self.sealed[:count]
-        value = layout.block_value(self.run_info, self.records + fresh)
+            await self._begin_next_block()
+        count = self._count_fitting()
+        added_records = self.sealed[:count]
+        value = layout.block_value(self.run_info, self.records + added_records)
         stored = await self._write_block(value)
         if stored is None:
             return False
         self.item = stored
-        self.records = self.records + fresh
+        self.records = self.records + added_records
         self.sealed = self.sealed[count:]
         return True
 
@@ -168,8 +167,8 @@
             layout.MAX_BLOCK_BYTES
         )
 
-    def _fitting(self) -> int:
-        """Returns how many sealed records go into the present block."""
+    def _count_fitting(self) -> int:
+        """Returns how many sealed records fit into the current block."""
         room = layout.RECORDS_PER_BLOCK - len(self.records)
         count = min(room, len(self.sealed))
         while count > 1 and self._size(self.records + self.sealed[:count]) > (
@@ -181,8 +180,8 @@
     def _size(self, records: list[dict[str, Any]]) -> int:
         return len(chain.canonical(records))
 
-    async def _next_block(self) -> None:
-        self._leave_block()
+    async def _begin_next_block(self) -> None:
+        self._advance_block()
         if self.block % BLOCKS_PER_CLEANUP == self.random.randrange(
             BLOCKS_PER_CLEANUP
         ):
@@ -194,7 +193,7 @@
                 self.random,
             )
 
-    def _leave_block(self) -> None:
+    def _advance_block(self) -> None:
         self.block += 1
         self.item = None
         self.records = []
@@ -202,7 +201,7 @@
     async def _write_block(
         self, value: dict[str, Any]
     ) -> interface.StoredObject | None:
-        """Writes the present block; None if that is not known to be done."""
+        """Writes the current block; None if it is not known to be stored."""
         name = self.run_info.block_name(self.block)
         if self.item is None:
             labels = layout.block_labels(self.run_info, self.recorder.from_ms)
@@ -220,13 +219,17 @@
     async def _read_back(
         self, name: str, value: dict[str, Any]
     ) -> interface.StoredObject | None:
-        """Settles a conflict or a lost answer."""
+        """Reads a block after a conflict or a lost response to a write.
+
+        Returns:
+            The stored block if it has the new records, otherwise None.
+        """
         found = await self.store.get(layout.BLOCK_KIND, name)
         if isinstance(found, interface.Unavailable):
             return None
         if isinstance(found, interface.Missing):
             if self.item is not None:
-                self._altered(name)
+                self._abandon_altered_block(name)
             return None
         stored = found.item.value.get("records")
         if stored == value["records"]:
@@ -234,21 +237,24 @@
         if stored == self.records:
             self.item = found.item
         elif not self._is_older(stored):
-            self._altered(name)
+            self._abandon_altered_block(name)
         return None
 
     def _is_older(self, stored: Any) -> bool:
-        """Whether a stale read may have shown an earlier state."""
+        """Returns whether a stale read may have returned an earlier state."""
         if not isinstance(stored, list):
             return False
         return stored == self.records[: len(stored)]
 
-    def _altered(self, name: str) -> None:
-        """Goes on in a new block; the chain shows what was altered."""
-        log.error("evidence: a stored block was altered.", name=name)
-        self._leave_block()
+    def _abandon_altered_block(self, name: str) -> None:
+        """Continues in a new block; the chain reveals the alteration."""
+        log.error(
+            "evidence: a stored block was altered; continuing in a new one.",
+            name=name,
+        )
+        self._advance_block()
 
-    async def _announce(self) -> bool:
+    async def _announce_run(self) -> bool:
         run = self.run_info
         outcome = await self.store.create(
             layout.RUN_KIND,
@@ -271,9 +277,11 @@
         return isinstance(outcome, interface.Found)
 
     async def _read_audit_tip(self) -> None:
-        tip = await trail.present_tip(self.store, self.run_info.deployment)
+        tip = await trail.read_recorded_tip(
+            self.store, self.run_info.deployment
+        )
         if tip is not None:
-            self.recorder.audit_tip(tip.sequence, tip.digest)
+            self.recorder.record_audit_tip(tip.sequence, tip.digest)
 
     def _until_boundary(self) -> float:
         now = self.wall()
@@ -281,8 +289,8 @@
         return boundary - now
 
     def _delay(self) -> float:
-        """Spreads the writes of the fleet over part of the period."""
-        return self.random.uniform(0, min(self.period_s / 2, MOST_DELAY_S))
+        """Returns a random delay in seconds that spreads the fleet's writes."""
+        return self.random.uniform(0, min(self.period_s / 2, MAX_DELAY_S))
 
 
 async def _until_done(step: Callable[[], Awaitable[bool]]) -> None:
--- a/banyantiller/gateway/peers.py
+++ b/banyantiller/gateway/peers.py
@@ -156,7 +156,7 @@
         changes = tuple(
             _decode_change(object_kind, item) for item in fields["events"]
         )
-        return interface.Changes(changes, fields["version"], second_hand=True)
+        return interface.Changes(changes, fields["version"], relayed=True)
 
     def position(self, relay_count: int) -> turns.FleetPosition:
         """Returns this daemon's position in the relay's group.
@@ -210,7 +210,7 @@
             _decode_object(object_kind, item) for item in reply.fields["items"]
         )
         version = reply.fields["version"]
-        listed = interface.Listed(items, version, second_hand=True)
+        listed = interface.Listed(items, version, relayed=True)
         return PeerList(listed, sent_at - int(age) / 1000, self.address)
 
     async def _query(
--- a/banyantiller/gateway/store_watching.py
+++ b/banyantiller/gateway/store_watching.py
@@ -180,7 +180,7 @@
             self.version = outcome.version
             for event in outcome.events:
                 self._dispatch_change(event)
-            if outcome.events and not outcome.second_hand:
+            if outcome.events and not outcome.relayed:
                 await asyncio.sleep(
                     started_at + self.timing.period_s - self.loop.time()
                 )
@@ -190,7 +190,7 @@
         if isinstance(outcome, interface.Unavailable):
             await self._handle_outage(outcome)
             return False
-        if not outcome.second_hand:
+        if not outcome.relayed:
             self._record_response()
         self.handlers.on_listed(outcome.items)
         self.version = outcome.version
@@ -214,6 +214,6 @@
         )
         pause_s = self.pause_s * self.random.uniform(0.5, 1.0)
         self.pause_s = min(self.pause_s * 2, MAX_PAUSE_S)
-        await asyncio.sleep(min(pause_s, outcome.again_s))
+        await asyncio.sleep(min(pause_s, outcome.retry_within_s))
         if not self.retries_lost_store:
             await self.store_health.available.wait()
--- a/banyantiller/leaving/tracker.py
+++ b/banyantiller/leaving/tracker.py
@@ -163,7 +163,7 @@
     ) -> list[Action]:
         """Applies the changes in a newer VM list; there may be none."""
         self.vm_list_read_at = now
-        leaving_changes = (vm_tracker.Change.LEAVING, vm_tracker.Change.GONE)
+        leaving_changes = (vm_tracker.Change.LEAVING, vm_tracker.Change.REMOVED)
         for change in changes:
             if change.change in leaving_changes:
                 self.vms_leaving.add(change.vm.name)
--- a/banyantiller/measuring/budget.py
+++ b/banyantiller/measuring/budget.py
@@ -1,8 +1,8 @@
-"""The fleet's budget for probes, kept in the object API.
+"""The fleet's budget for probes, stored in the object API.
 
-The task here reads and takes permits for services that want probes; the
-decisions are in `banyantiller.measuring.permits`. Without the object API
-nothing is taken, so no probes are sent. See docs/design/measuring-budget.md.
+The task here reads and acquires permits for services that want to send probes;
+`banyantiller.measuring.permits` decides. Without the object API no permits are
+acquired, so no probes are sent. See docs/design/measuring-budget.md.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 
 log = structlog.get_logger("banyantiller.measuring")
 
-KIND = "probebudgets"
-PACE_S = 0.25
+OBJECT_KIND = "probebudgets"
+FETCH_PAUSE_S = 0.25
 
 Charger = Callable[[float], bool]
 
 
 class Budget:
-    """One daemon's part in the budgets of all services.
+    """One daemon's view of the probe budgets of all services.
 
     Attributes:
-        ledgers: Permits known and held, by service.
-        wished: Set when a probe was wanted and none was left.
+        ledgers: Permits observed and held, by service.
+        permits_wanted: Set when a probe was denied for lack of a permit.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         deployment: str,
         wall: Callable[[], float],
         rng: random.Random,
-        nonce: nonces.NonceSource = nonces.of_64_bits,
+        nonce: nonces.NonceSource = nonces.random_64_bits,
     ) -> None:
         self.store = store
         self.deployment = deployment
@@ -45,7 +45,7 @@
         self.random = rng
         self.nonce = nonce
         self.ledgers: dict[str, permits.Ledger] = {}
-        self.wished = asyncio.Event()
+        self.permits_wanted = asyncio.Event()
 
     @classmethod
     def from_settings(
@@ -54,21 +54,21 @@
         deployment: str,
         daemon: str,
         wall: Callable[[], float],
-        nonce: nonces.NonceSource = nonces.of_64_bits,
+        nonce: nonces.NonceSource = nonces.random_64_bits,
     ) -> "Budget":
-        """Constructs the budgets of one daemon.
+        """Builds the budgets of one daemon.
 
         Args:
             store: The object API.
             deployment: Name of the fleet.
-            daemon: Name of this daemon; seeds its waiting times.
-            wall: Returns wall-clock seconds.
-            nonce: Returns a text that no other call of it anywhere returns.
+            daemon: Name of this daemon; seeds its random pauses.
+            wall: Returns wall-clock time in seconds.
+            nonce: Returns a text that is unique over all daemons and calls.
         """
         return cls(store, deployment, wall, random.Random(daemon), nonce)
 
     def configure(self, services: Iterable[options.Service]) -> None:
-        """Takes the budgets of the bundle in force."""
+        """Applies the budgets of the bundle in force."""
         before = self.ledgers
         self.ledgers = {}
         for service in services:
@@ -83,10 +83,9 @@
     def charger(self, service: str) -> Charger:
         """Returns the function that charges a service's probes.
 
-        It is called with the loop's time, and answers whether one probe may
-        be sent at once. A refusal is noted as a wish, and permits are then
-        taken within seconds, so a caller that still wants the probe asks
-        again about once a second.
+        The function takes the loop time and returns whether one probe may be
+        sent now. After a denial, permits are acquired within seconds, so a
+        prober that still wants to probe calls it again about once a second.
         """
 
         def charge(now: float) -> bool:
@@ -95,55 +94,55 @@
                 return False
             if ledger.charge(now, self.wall()):
                 return True
-            self.wished.set()
+            self.permits_wanted.set()
             return False
 
         return charge
 
     async def run(self) -> None:
-        """Takes permits for services that want probes, one call at a time."""
+        """Acquires permits for services that want probes, one after another."""
         while True:
-            await self.wished.wait()
-            await asyncio.sleep(PACE_S * self.random.uniform(0.5, 1.5))
+            await self.permits_wanted.wait()
+            await asyncio.sleep(FETCH_PAUSE_S * self.random.uniform(0.5, 1.5))
             now = asyncio.get_running_loop().time()
-            wishing = [
+            wanting = [
                 name
                 for name, ledger in self.ledgers.items()
-                if ledger.wishes(now)
+                if ledger.wants_permits(now)
             ]
-            if not wishing:
-                self.wished.clear()
+            if not wanting:
+                self.permits_wanted.clear()
                 continue
-            due = [n for n in wishing if self.ledgers[n].due <= now]
+            due = [n for n in wanting if self.ledgers[n].next_read_at <= now]
             if due:
-                name = min(due, key=lambda n: self.ledgers[n].due)
-                await self.fetch(name)
+                name = min(due, key=lambda n: self.ledgers[n].next_read_at)
+                await self.fetch_permits(name)
 
-    async def fetch(self, service: str) -> None:
-        """Reads a service's permits and takes some if any are free."""
+    async def fetch_permits(self, service: str) -> None:
+        """Reads a service's permits and acquires free ones, if any."""
         ledger = self.ledgers[service]
         loop = asyncio.get_running_loop()
         name = f"{self.deployment}-{service}"
-        got = await self.store.get(KIND, name)
+        got = await self.store.get(OBJECT_KIND, name)
         if isinstance(got, interface.Missing):
-            begin = ledger.begin(self.nonce())
-            await self.store.create(KIND, name, begin.value)
-            ledger.lost(loop.time())
+            reset = ledger.plan_reset(self.nonce())
+            await self.store.create(OBJECT_KIND, name, reset.value)
+            ledger.record_failure(loop.time())
             return
         if isinstance(got, interface.Unavailable):
-            ledger.lost(loop.time())
+            ledger.record_failure(loop.time())
             return
         ledger.observe(got.item.value, loop.time())
         sent_at = loop.time()
         wall = self.wall()
-        write = ledger.plan(sent_at, self.nonce())
+        write = ledger.plan_write(sent_at, self.nonce())
         if write is None:
             return
         written = await self.store.update(got.item, write.value)
         is_taken = isinstance(written, interface.Found)
-        if isinstance(write, objects.Ask):
+        if isinstance(write, objects.YieldRequest):
             return
-        if is_taken and isinstance(write, objects.Take):
-            ledger.took(write, sent_at, wall)
+        if is_taken and isinstance(write, objects.TakeWrite):
+            ledger.record_take(write, sent_at, wall)
         else:
-            ledger.lost(loop.time())
+            ledger.record_failure(loop.time())
--- a/banyantiller/store/table.py
+++ b/banyantiller/store/table.py
@@ -1,7 +1,7 @@
 """A table of versioned objects in memory, with a history for watches.
 
-It is the state behind `MemoryStore` and behind the object-API stand-in. It
-has no faults and no waiting of its own beyond waking watchers.
+It is the state of `MemoryStore` and of the object API stand-in. It injects no
+faults and adds no delays; it only wakes watchers.
 """
 
 import asyncio
@@ -13,13 +13,13 @@
 
 from banyantiller.store import interface
 
-HISTORY = 4096
+MAX_HISTORY_ENTRIES = 4096
 
-View = Mapping[tuple[str, str], "Record"]
+Snapshot = Mapping[tuple[str, str], "Record"]
 
 
 class Record(NamedTuple):
-    """One object at rest.
+    """One stored object.
 
     Attributes:
         version: Revision of the last write.
@@ -33,10 +33,10 @@
 
 
 class HistoryEntry(NamedTuple):
-    """One write, for watches.
+    """One write in the history that watches read.
 
     Attributes:
-        revision: Revision that the write made.
+        revision: Revision that the write created.
         event: What a watch of `event.item.kind` delivers.
         created: Whether the object did not exist before.
     """
@@ -47,32 +47,36 @@
 
 
 class ObjectTable:
-    """Objects by kind and name; each write raises one common revision.
+    """Objects by kind and name; each write increases a common revision.
 
     Attributes:
         revision: Revision of the last write.
         records: Objects by kind and name.
         history: Latest writes, oldest first.
-        oldest: A watch has to start at this revision or later.
+        oldest_revision: First revision at which a watch may start.
     """
 
-    def __init__(self, history: int = HISTORY, revision: int = 1) -> None:
+    def __init__(
+        self, history: int = MAX_HISTORY_ENTRIES, revision: int = 1
+    ) -> None:
         self.revision = revision
-        self.oldest = revision
+        self.oldest_revision = revision
         self.records: dict[tuple[str, str], Record] = {}
         self.history: collections.deque[HistoryEntry] = collections.deque()
-        self.longest = history
+        self.max_history = history
         self.waiters: set[asyncio.Future[None]] = set()
 
-    def snapshot(self) -> View:
-        """Copies the present objects, to serve stale reads from."""
+    def snapshot(self) -> Snapshot:
+        """Copies the current objects, to serve stale reads from."""
         return dict(self.records)
 
     def get(
-        self, kind: str, name: str, view: View | None = None
+        self, kind: str, name: str, snapshot: Snapshot | None = None
     ) -> interface.Found | interface.Missing:
-        """Reads one object from the table or from an older view of it."""
-        record = (self.records if view is None else view).get((kind, name))
+        """Reads one object from the table or from a snapshot of it."""
+        record = (self.records if snapshot is None else snapshot).get(
+            (kind, name)
+        )
         if record is None:
             return interface.Missing()
         return interface.Found(to_item(kind, name, record))
@@ -81,10 +85,10 @@
         self,
         kind: str,
         labels: dict[str, str] | None = None,
-        view: View | None = None,
+        snapshot: Snapshot | None = None,
     ) -> interface.Listed:
         """Reads the objects of a kind that carry all the labels, by name."""
-        records = self.records if view is None else view
+        records = self.records if snapshot is None else snapshot
         wanted = set((labels or {}).items())
         items = tuple(
             to_item(kind, name, record)
@@ -95,8 +99,8 @@
             )
         )
         revision = self.revision
-        if view is not None:
-            revision = max((r.version for r in view.values()), default=1)
+        if snapshot is not None:
+            revision = max((r.version for r in snapshot.values()), default=1)
         return interface.Listed(items, str(revision))
 
     def create(
@@ -136,19 +140,19 @@
         last = to_item(
             item.kind, item.name, record._replace(version=self.revision)
         )
-        self._remember(interface.Deleted(last), created=False)
+        self._append_history(interface.Deleted(last), created=False)
         return interface.Found(last)
 
-    def since(
+    def writes_since(
         self, kind: str, revision: int
     ) -> tuple[HistoryEntry, ...] | None:
         """Returns the writes to a kind after a revision.
 
         Returns:
-            None if the history doesn't reach back that far, or the revision
-            has not been made yet.
+            None if the revision is older than the history, or has not been
+            created yet.
         """
-        if revision < self.oldest or revision > self.revision:
+        if revision < self.oldest_revision or revision > self.revision:
             return None
         newer = itertools.takewhile(
             lambda entry: entry.revision > revision, reversed(self.history)
@@ -157,12 +161,12 @@
         return tuple(reversed(found))
 
     def compact(self) -> None:
-        """Forgets the history, so that older watches get `Gone`."""
+        """Drops the history, so that older watches get `Gone`."""
         self.history.clear()
-        self.oldest = self.revision
+        self.oldest_revision = self.revision
 
     async def wait(self, timeout_s: float) -> None:
-        """Waits for the next write, at most the given time."""
+        """Waits for the next write or until the timeout."""
         future = asyncio.get_running_loop().create_future()
         self.waiters.add(future)
         try:
@@ -197,20 +201,20 @@
         record = Record(self.revision, data, tuple(sorted(labels.items())))
         self.records[kind, name] = record
         item = to_item(kind, name, record)
-        self._remember(interface.Changed(item), created)
+        self._append_history(interface.Changed(item), created)
         return interface.Found(to_item(kind, name, record))
 
-    def _remember(
+    def _append_history(
         self, event: interface.Changed | interface.Deleted, created: bool
     ) -> None:
         self.history.append(HistoryEntry(self.revision, event, created))
-        while len(self.history) > self.longest:
-            self.oldest = self.history.popleft().revision
+        while len(self.history) > self.max_history:
+            self.oldest_revision = self.history.popleft().revision
         self.wake()
 
 
 def to_item(kind: str, name: str, record: Record) -> interface.StoredObject:
-    """Builds a fresh object, so that no two readers share a value."""
+    """Builds a new object, so that readers never share a value."""
     return interface.StoredObject(
         kind,
         name,
--- a/banyantiller/tests/bundle/test_verification.py
+++ b/banyantiller/tests/bundle/test_verification.py
@@ -3,7 +3,7 @@
 import json
 
 from banyantiller.bundle import canonical, signing, verification
-from banyantiller.bundle.manifest import Accepted, Manifest, Part
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest, Part
 from banyantiller.config.defaults import TrustedKey
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.bundle import samples
@@ -20,23 +20,23 @@
 
 
 def accepted(
-    statement: Manifest | None = None,
+    to_sign: Manifest | None = None,
     signers: tuple[str, ...] = ("ben",),
     proposer: str = "ana",
-) -> Accepted:
-    statement = statement or manifest()
+) -> AcceptedBundle:
+    to_sign = to_sign or manifest()
     signatures = [
-        signing.sign(KEYS[proposer].private, "ana", signing.PROPOSE, statement)
+        signing.sign(KEYS[proposer].private, "ana", signing.PROPOSE, to_sign)
     ]
     signatures += [
-        signing.sign(KEYS[name].private, name, signing.SIGN, statement)
+        signing.sign(KEYS[name].private, name, signing.SIGN, to_sign)
         for name in signers
     ]
-    return Accepted(statement, tuple(signatures), NOW, "ana")
+    return AcceptedBundle(to_sign, tuple(signatures), NOW, "ana")
 
 
 def reasons(
-    offered: Accepted,
+    offered: AcceptedBundle,
     trusted: tuple[TrustedKey, ...] = TRUSTED,
     deployment: str = DEPLOYMENT,
     now: float = NOW,
@@ -45,7 +45,7 @@
 
 
 class VerificationTest(TestCase):
-    def test_a_good_bundle_has_no_reason_against_it(self):
+    def test_a_valid_bundle_has_no_reason_against_it(self):
         self.assertEqual("", reasons(accepted()))
         self.assertEqual("", reasons(accepted(signers=("ana", "cy"))))
 
@@ -58,28 +58,32 @@
 
     def test_one_key_under_two_names_is_self_signed(self):
         same = TRUSTED[0]._replace(name="ben")
-        statement = manifest()
+        to_sign = manifest()
         offered = accepted(signers=())
-        mine = signing.sign(KEYS["ana"].private, "ben", "sign", statement)
-        offered = offered._replace(signatures=(*offered.signatures, mine))
+        second_signature = signing.sign(
+            KEYS["ana"].private, "ben", "sign", to_sign
+        )
+        offered = offered._replace(
+            signatures=(*offered.signatures, second_signature)
+        )
         trusted = (TRUSTED[0], same)
         self.assertIn("a key of the proposer", reasons(offered, trusted))
 
-    def test_every_signed_field_is_bound(self):
+    def test_signatures_cover_every_field(self):
         offered = accepted()
-        good = offered.manifest
-        part = good.parts[0]
+        valid = offered.manifest
+        part = valid.parts[0]
         for change in (
             {"version": 2, "parent": "0" * 64},
             {"description": "Other."},
-            {"parts": good.parts[1:]},
-            {"parts": (part._replace(digest="0" * 64), *good.parts[1:])},
+            {"parts": valid.parts[1:]},
+            {"parts": (part._replace(digest="0" * 64), *valid.parts[1:])},
             {"proposer": "cy"},
         ):
-            altered = offered._replace(manifest=good._replace(**change))
+            altered = offered._replace(manifest=valid._replace(**change))
             self.assertNotEqual("", reasons(altered), change)
 
-    def test_a_signature_in_one_role_is_none_in_the_other(self):
+    def test_a_signature_is_valid_for_one_role_only(self):
         offered = accepted()
         proposed = signing.sign(
             KEYS["ben"].private, "ben", signing.PROPOSE, offered.manifest
@@ -87,30 +91,30 @@
         moved = proposed._replace(role=signing.SIGN)
         signatures = (offered.signatures[0], moved)
         offered = offered._replace(signatures=signatures)
-        self.assertIn("does not fit the bundle", reasons(offered))
+        self.assertIn("does not match the bundle", reasons(offered))
 
-    def test_garbage_signatures(self):
+    def test_malformed_signatures(self):
         offered = accepted()
         for value in ("", "zz", "00", "00" * 64):
             signature = offered.signatures[1]._replace(value=value)
             garbled = (offered.signatures[0], signature)
             found = reasons(offered._replace(signatures=garbled))
-            self.assertIn("does not fit the bundle", found)
+            self.assertIn("does not match the bundle", found)
 
     def test_wrong_deployment_version_order_and_size(self):
         self.assertIn(
             "not for 'other'", reasons(accepted(), deployment="other")
         )
-        good = manifest()
+        valid = manifest()
         for change, part in (
-            ({"version": 0}, "does not fit its parent"),
-            ({"parent": "0" * 64}, "does not fit its parent"),
-            ({"parts": good.parts[::-1]}, "not sorted"),
-            ({"parts": (good.parts[0],) * 2}, "not sorted"),
+            ({"version": 0}, "does not match its parent"),
+            ({"parent": "0" * 64}, "does not match its parent"),
+            ({"parts": valid.parts[::-1]}, "not sorted"),
+            ({"parts": (valid.parts[0],) * 2}, "not sorted"),
             ({"parts": (Part("a", "0" * 64, 1_000_001),)}, "1000001 bytes"),
             ({"parts": (Part("a", "0" * 64, -1),)}, "bytes"),
         ):
-            offered = accepted(good._replace(**change))
+            offered = accepted(valid._replace(**change))
             self.assertIn(part, reasons(offered), change)
 
     def test_unknown_keys_and_roles(self):
@@ -130,10 +134,10 @@
         late = accepted()._replace(accepted_at=NOW + DAY)
         now = NOW + 2 * DAY
         self.assertIn("has expired", reasons(late, trusted, now=now))
-        # The clock of whoever rolled it is ahead: it cannot be later than now.
+        # If the clock of the roller is ahead, the time of verification counts.
         self.assertEqual("", reasons(late, trusted, now=NOW))
 
-    def test_keys_are_rotated_by_two_keys_of_one_name(self):
+    def test_keys_are_rotated_with_two_keys_of_one_name(self):
         old = TRUSTED[1]._replace(not_after="2020-01-01")
         spare = TrustedKey("ben", "ee" * 32)
         self.assertIn(
@@ -168,31 +172,31 @@
         )
         self.assertEqual(len(data), part.size)
 
-    def test_other_bytes_are_refused(self):
-        good = canonical.encode_manifest(manifest()).decode()
-        for bad in (
+    def test_bytes_that_are_not_canonical_are_refused(self):
+        valid = canonical.encode_manifest(manifest()).decode()
+        for invalid in (
             "",
             "[]",
             "null",
-            good[:-1],
-            good + " ",
-            good.replace('"version":1', '"version":1.0'),
-            good.replace('"version":1', '"version":true'),
-            good.replace('"version":1', '"version":1,"x":2'),
-            good.replace('"version":1', '"version":1,"version":1'),
-            good.replace("First", "\\u0046irst"),
-            good.replace('"parent":"",', ""),
+            valid[:-1],
+            valid + " ",
+            valid.replace('"version":1', '"version":1.0'),
+            valid.replace('"version":1', '"version":true'),
+            valid.replace('"version":1', '"version":1,"x":2'),
+            valid.replace('"version":1', '"version":1,"version":1'),
+            valid.replace("First", "\\u0046irst"),
+            valid.replace('"parent":"",', ""),
             "[" * 100_000,
         ):
             self.assertRaises(
                 canonical.CanonicalError,
                 canonical.decode_manifest,
-                bad.encode(),
+                invalid.encode(),
             )
         self.assertRaises(
             canonical.CanonicalError,
             canonical.decode,
-            good.encode(),
+            valid.encode(),
             Manifest,
             10,
         )
--- a/banyantiller/tests/commands/test_evidence.py
+++ b/banyantiller/tests/commands/test_evidence.py
@@ -57,8 +57,8 @@
             if cut:
                 first.kernel.emit(samples.call(cut, cut=True))
             await asyncio.sleep(LIFE_S - 50)
-            await first.end()
-            await (second.die() if die else second.end())
+            await first.shut_down()
+            await (second.crash() if die else second.shut_down())
 
         self.run_paused(scenario())
 
@@ -103,7 +103,7 @@
         status, text = self.run_cli("held", "--since", "120s", "--until", "51s")
         self.assertEqual(10, status)
         self.assertRegex(text, r"not known:\n  b2 \S+ to \S+: No summary")
-        self.assertEqual(1, text.count("ended without a word"))
+        self.assertEqual(1, text.count("the daemon crashed or can't write"))
 
     def test_statement_that_a_daemon_is_gone(self) -> None:
         self.live(die=True)
--- a/banyantiller/tests/gateway/test_store_calls.py
+++ b/banyantiller/tests/gateway/test_store_calls.py
@@ -295,7 +295,7 @@
                 daemon.store_view.mirror.fresh_at = 1e9
             before = count_calls(subscribers)[0]
             reread = await reader.list("config")
-            return reread.second_hand, count_calls(subscribers)[0] - before
+            return reread.relayed, count_calls(subscribers)[0] - before
 
         self.assertEqual((False, 1), self.play(body))
 
@@ -308,7 +308,7 @@
             env.store.faults.down = False
             for daemon in relays:
                 daemon.store_view.mirror.fresh_at = -100.0
-            return old.second_hand, (await reader.list("config")).second_hand
+            return old.relayed, (await reader.list("config")).relayed
 
         self.assertEqual((True, False), self.play(body))
 
--- a/banyantiller/tests/measuring/test_budget.py
+++ b/banyantiller/tests/measuring/test_budget.py
@@ -1,4 +1,4 @@
-"""Counts probes of a whole fleet against its budget, under faults."""
+"""Tests that the probes of a fleet stay within its budget under faults."""
 
 import asyncio
 import itertools
@@ -14,7 +14,7 @@
 from banyantiller.tests import base
 
 SERVICE = "registry"
-ASK_S = 0.1
+PROBE_PERIOD_S = 0.1
 LATENCY_S = 0.003
 
 
@@ -24,7 +24,7 @@
 
 
 class Prober:
-    """A daemon that probes whenever it may."""
+    """A daemon that probes whenever it is allowed to."""
 
     def __init__(self, fleet: "Fleet", name: str, rate: float) -> None:
         self.fleet = fleet
@@ -53,7 +53,7 @@
             now = asyncio.get_running_loop().time()
             if charge(now):
                 self.fleet.probes.append(now)
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(PROBE_PERIOD_S)
 
     def ledger(self) -> permits.Ledger:
         return self.budget.ledgers[SERVICE]
@@ -88,23 +88,23 @@
             prober.stop()
 
 
-def most_in_window(times: list[float], window_s: float) -> int:
-    """Returns the most probes in any window that is open at its end."""
+def max_in_window(times: list[float], window_s: float) -> int:
+    """Returns the maximum number of probes in any half-open window."""
     ordered = sorted(times)
-    most = first = 0
+    maximum = first = 0
     for last, time in enumerate(ordered):
         while time - ordered[first] >= window_s - 1e-9:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        maximum = max(maximum, last - first + 1)
+    return maximum
 
 
 class BudgetTest(base.TestCase):
     def check_budget(self, fleet: Fleet) -> None:
         window_s = max(1.0, 1.0 / fleet.rate)
-        most = most_in_window(fleet.probes, window_s)
+        maximum = max_in_window(fleet.probes, window_s)
         limit = max(1, math.floor(fleet.rate))
-        self.assertTrue(most <= limit, f"{most} probes, {limit} allowed")
+        self.assertTrue(maximum <= limit, f"{maximum} probes, {limit} allowed")
 
     async def wait_for_uses(self, ledger: permits.Ledger) -> None:
         for _ in range(10_000):
@@ -113,21 +113,21 @@
             await asyncio.sleep(0.01)
         self.fail("No permit was taken.")
 
-    async def settle(self, fleet: Fleet, seconds: float) -> None:
+    async def finish_and_check(self, fleet: Fleet, seconds: float) -> None:
         await asyncio.sleep(seconds)
         fleet.stop()
         self.check_budget(fleet)
 
-    def test_whole_fleet_stays_within_the_budget_and_uses_most_of_it(
+    def test_fleet_stays_within_the_budget_and_uses_a_large_part_of_it(
         self,
     ) -> None:
         for rate, size in ((2.0, 14), (2.7, 14), (0.2, 14), (20.0, 3)):
 
             async def scenario(rate: float, size: int) -> None:
                 fleet = Fleet(size, rate)
-                await self.settle(fleet, 300)
+                await self.finish_and_check(fleet, 300)
                 self.assertTrue(len(fleet.probes) > 300 * rate * 0.4)
-                spent = [p.ledger().spent for p in fleet.probers]
+                spent = [p.ledger().spent_probes for p in fleet.probers]
                 least = 300 * rate * 0.4 / size / 6
                 self.assertTrue(min(spent) >= math.floor(least), spent)
 
@@ -139,7 +139,7 @@
             for _ in range(200):
                 await asyncio.sleep(1)
                 fleet.restart(0)
-            await self.settle(fleet, 0)
+            await self.finish_and_check(fleet, 0)
             self.assertTrue(len(fleet.probes) > 50)
 
         self.run_paused(scenario())
@@ -150,16 +150,16 @@
             for _ in range(200):
                 await asyncio.sleep(fleet.random.uniform(0, 2))
                 fleet.restart(fleet.random.randrange(14))
-            await self.settle(fleet, 0)
+            await self.finish_and_check(fleet, 0)
             self.assertTrue(len(fleet.probes) > 50)
 
         self.run_paused(scenario())
 
-    def test_daemons_that_share_nothing_but_the_object_api(self) -> None:
+    def test_daemons_without_peer_links_share_the_budget(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(2, 1.0)
-            await self.settle(fleet, 200)
-            spent = [p.ledger().spent for p in fleet.probers]
+            await self.finish_and_check(fleet, 200)
+            spent = [p.ledger().spent_probes for p in fleet.probers]
             self.assertTrue(min(spent) > 20, spent)
 
         self.run_paused(scenario())
@@ -179,12 +179,12 @@
             self.assertTrue(calls < 14 * 100, calls)
             for prober in fleet.probers:
                 prober.store.faults.down = False
-            await self.settle(fleet, 60)
+            await self.finish_and_check(fleet, 60)
             self.assertTrue(len(fleet.probes) > before)
 
         self.run_paused(scenario())
 
-    def test_daemon_whose_clocks_stood_still_spends_nothing_old(self) -> None:
+    def test_daemon_spends_no_expired_permit_after_a_pause(self) -> None:
         async def scenario() -> None:
             fleet = Fleet(1, 1.0)
             prober = fleet.probers[0]
@@ -194,7 +194,7 @@
             prober.skew_s += 3600
             await asyncio.sleep(1)
             self.assertEqual(before, len(fleet.probes))
-            await self.settle(fleet, 30)
+            await self.finish_and_check(fleet, 30)
             self.assertTrue(len(fleet.probes) > before)
 
         self.run_paused(scenario())
@@ -212,7 +212,7 @@
     def test_calls_of_a_growing_fleet(self) -> None:
         async def scenario(size: int) -> float:
             fleet = Fleet(size, 2.0)
-            await self.settle(fleet, 80)
+            await self.finish_and_check(fleet, 80)
             return sum(prober.calls() for prober in fleet.probers) / 80
 
         for size in (4, 56):
@@ -259,40 +259,44 @@
                     prober.store.faults.slow_s = LATENCY_S
                     prober.store.serve_stale(False)
                 await asyncio.sleep(pause_s)
-            await self.settle(fleet, 20)
+            await self.finish_and_check(fleet, 20)
 
         self.run_paused(scenario())
 
 
 class LedgerTest(base.TestCase):
-    def test_unreadable_object_is_begun_anew_and_waits(self) -> None:
+    def test_malformed_object_is_reset_and_its_permits_expire_first(
+        self,
+    ) -> None:
         ledger = permits.Ledger(2.0, random.Random(1))
         ledger.observe({"permits": "x"}, 10.0)
-        begin = ledger.plan(10.0, "n1")
-        self.assertIsInstance(begin, objects.Begin)
-        ledger.observe(begin.value, 10.0)
-        self.assertNotIsInstance(ledger.plan(11.0, "n2"), objects.Take)
-        ledger.observe(begin.value, 30.0)
-        self.assertIsInstance(ledger.plan(30.0, "n3"), objects.Take)
-
-    def test_lower_budget_drops_what_is_held(self) -> None:
+        reset = ledger.plan_write(10.0, "n1")
+        self.assertIsInstance(reset, objects.ResetWrite)
+        ledger.observe(reset.value, 10.0)
+        self.assertNotIsInstance(
+            ledger.plan_write(11.0, "n2"), objects.TakeWrite
+        )
+        ledger.observe(reset.value, 30.0)
+        self.assertIsInstance(ledger.plan_write(30.0, "n3"), objects.TakeWrite)
+
+    def test_lower_budget_drops_held_permits(self) -> None:
         ledger = permits.Ledger(3.0, random.Random(1))
-        ledger.observe(ledger.begin("n1").value, 0.0)
-        ledger.appetite = 24
-        ledger.took(ledger.plan(50.0, "n2"), 50.0, 0.0)
+        ledger.observe(ledger.plan_reset("n1").value, 0.0)
+        ledger.batch_probes = 24
+        ledger.record_take(ledger.plan_write(50.0, "n2"), 50.0, 0.0)
         self.assertEqual([0, 1, 2], sorted(ledger.held))
         ledger.configure(0.5)
         self.assertEqual([0], sorted(ledger.held))
         ledger.configure(0.0)
         self.assertFalse(ledger.charge(51.0, 1.0))
-        self.assertFalse(ledger.wishes(51.0))
+        self.assertFalse(ledger.wants_permits(51.0))
 
-    def test_permits_of_a_newer_bundle_are_kept(self) -> None:
+    def test_permits_beyond_the_local_budget_are_kept(self) -> None:
         ledger = permits.Ledger(1.0, random.Random(1))
-        wide = permits.Ledger(3.0, random.Random(1)).begin("n1").value
+        wide = permits.Ledger(3.0, random.Random(1)).plan_reset("n1").value
         ledger.observe(wide, 0.0)
-        take = ledger.plan(50.0, "n2")
-        ledger.took(take, 50.0, 0.0)
+        take = ledger.plan_write(50.0, "n2")
+        ledger.record_take(take, 50.0, 0.0)
         self.assertFalse(ledger.charge(50.0 + take.use_s + 0.01, 0.0))
         self.assertEqual(wide["permits"][1:], take.value["permits"][1:])
 
@@ -300,6 +304,8 @@
         self,
     ) -> None:
         ledger = permits.Ledger(1.0, random.Random(1))
-        ledger.observe(ledger.begin("n1").value, 0.0)
+        ledger.observe(ledger.plan_reset("n1").value, 0.0)
         ledger.configure(3.0)
-        self.assertNotIsInstance(ledger.plan(0.5, "n2"), objects.Take)
+        self.assertNotIsInstance(
+            ledger.plan_write(0.5, "n2"), objects.TakeWrite
+        )
--- a/banyantiller/tests/replica/test_state.py
+++ b/banyantiller/tests/replica/test_state.py
@@ -3,7 +3,7 @@
 import random
 
 from banyantiller.bundle import canonical, signing
-from banyantiller.bundle.manifest import Accepted, Manifest
+from banyantiller.bundle.manifest import AcceptedBundle, Manifest
 from banyantiller.replica import state
 from banyantiller.tests.base import TestCase
 from banyantiller.tests.bundle import samples
@@ -12,7 +12,7 @@
 
 def accepted(
     version: int, number: int | None = None, parent: str = "ab" * 32
-) -> tuple[Accepted, list[bytes]]:
+) -> tuple[AcceptedBundle, list[bytes]]:
     """Returns a signed bundle of a version, and its parts."""
     bundle = samples.bundle(
         support.bundle_text(version if number is None else number)
@@ -30,7 +30,7 @@
         signing.sign(samples.KEYS[name].private, name, role, manifest)
         for name, role in (("ana", signing.PROPOSE), ("ben", signing.SIGN))
     )
-    signed = Accepted(manifest, signatures, samples.NOW, "ana")
+    signed = AcceptedBundle(manifest, signatures, samples.NOW, "ana")
     return signed, [data for _, data in parts.values()]
 
 
@@ -39,10 +39,10 @@
         super().setUp()
         self.replica = state.Replica(samples.TRUSTED, samples.DEPLOYMENT)
 
-    def offer(self, signed: Accepted):
+    def offer(self, signed: AcceptedBundle):
         return self.replica.offer(signed, samples.NOW)
 
-    def put_in_force(self, version: int) -> Accepted:
+    def put_in_force(self, version: int) -> AcceptedBundle:
         signed, parts = accepted(version)
         self.offer(signed)
         for data in parts:
--- a/banyantiller/vmlist/tracker.py
+++ b/banyantiller/vmlist/tracker.py
@@ -1,9 +1,9 @@
-"""Turns successive VM lists into changes.
+"""Derives changes from successive VM lists.
 
-The list lags and may be read from differently old copies. A list with an
-older time than one seen before is ignored, so that it can't undo what a newer
-one said. A VM counts as gone only after it is missing from several newer
-lists in a row.
+The list lags, and successive reads may return copies of different age. A list
+older than one that was read before is ignored, so that it cannot undo a newer
+one. A VM counts as removed only after it is missing from several consecutive
+newer lists.
 """
 
 import enum
@@ -11,15 +11,15 @@
 
 from banyantiller.vmlist import interface
 
-LISTS_TO_GONE = 2
+LISTS_UNTIL_REMOVED = 2
 
 
 class Change(enum.StrEnum):
-    """What happened to a VM."""
+    """Kind of change of a VM."""
 
     NEW = "new"
     LEAVING = "leaving"
-    GONE = "gone"
+    REMOVED = "gone"
     BACK = "back"
 
 
@@ -27,7 +27,7 @@
     """One change of one VM.
 
     Attributes:
-        change: What happened.
+        change: Kind of the change.
         vm: The VM as last listed.
     """
 
@@ -36,27 +36,28 @@
 
 
 class VmTracker:
-    """What the newest lists said.
+    """State of the VMs according to the newest lists.
 
     Attributes:
-        as_of: Platform time of the newest list, or None.
-        vms: VMs by name, those that have been missing for a short time too.
-        missing: Number of newer lists in a row that lack a VM, by name.
+        as_of: Time of the newest list on the platform's clock, or None.
+        vms: VMs by name, including those that are missing but not yet removed.
+        missing: Number of consecutive newer lists that lack a VM, by name.
+        removed: Names of removed VMs.
     """
 
-    def __init__(self, lists_to_gone: int = LISTS_TO_GONE) -> None:
-        self.lists_to_gone = lists_to_gone
+    def __init__(self, lists_until_removed: int = LISTS_UNTIL_REMOVED) -> None:
+        self.lists_until_removed = lists_until_removed
         self.as_of: float | None = None
         self.vms: dict[str, interface.Vm] = {}
         self.missing: dict[str, int] = {}
-        self.gone: set[str] = set()
+        self.removed: set[str] = set()
 
-    def observe(self, listed: interface.VmsListed) -> tuple[VmChange, ...]:
-        """Takes a list and returns what it changes, sorted by VM name.
+    def observe(self, listed: interface.VmListing) -> tuple[VmChange, ...]:
+        """Records a list and returns its changes, sorted by VM name.
 
-        A VM that was gone or leaving and is listed as live again is "back".
-        An empty list changes nothing: the reader itself runs on a VM, so the
-        platform can't have meant it.
+        The change of a removed or leaving VM that is listed as live again is
+        `BACK`. An empty list is ignored as wrong, since the reader itself runs
+        on a VM.
         """
         if self.as_of is not None and listed.as_of <= self.as_of:
             return ()
@@ -64,9 +65,11 @@
         if not listed.vms:
             return ()
         seen = {vm.name: vm for vm in listed.vms}
-        changes = [self._take(vm) for vm in seen.values()]
+        changes = [self._record_listed(vm) for vm in seen.values()]
         changes += [
-            self._miss(name) for name in list(self.vms) if name not in seen
+            self._record_missing(name)
+            for name in list(self.vms)
+            if name not in seen
         ]
         found = [change for change in changes if change is not None]
         return tuple(sorted(found, key=lambda change: change.vm.name))
@@ -79,17 +82,17 @@
             if vm.state is interface.VmState.LEAVING
         )
 
-    def _take(self, vm: interface.Vm) -> VmChange | None:
+    def _record_listed(self, vm: interface.Vm) -> VmChange | None:
         before = self.vms.get(vm.name)
         self.vms[vm.name] = vm
         self.missing.pop(vm.name, None)
-        was_gone = vm.name in self.gone
-        self.gone.discard(vm.name)
+        was_removed = vm.name in self.removed
+        self.removed.discard(vm.name)
         if vm.state is interface.VmState.LEAVING:
             if before is None or before.state is not vm.state:
                 return VmChange(Change.LEAVING, vm)
             return None
-        if was_gone:
+        if was_removed:
             return VmChange(Change.BACK, vm)
         if before is None:
             return VmChange(Change.NEW, vm)
@@ -97,11 +100,11 @@
             return VmChange(Change.BACK, vm)
         return None
 
-    def _miss(self, name: str) -> VmChange | None:
+    def _record_missing(self, name: str) -> VmChange | None:
         count = self.missing.get(name, 0) + 1
-        if count < self.lists_to_gone:
+        if count < self.lists_until_removed:
             self.missing[name] = count
             return None
         self.missing.pop(name, None)
-        self.gone.add(name)
-        return VmChange(Change.GONE, self.vms.pop(name))
+        self.removed.add(name)
+        return VmChange(Change.REMOVED, self.vms.pop(name))
