--- a/banyantiller/tests/gateway/test_unknown_routes.py
+++ b/banyantiller/tests/gateway/test_unknown_routes.py
@@ -92,7 +92,7 @@
     objective of another request later. The caller gets 404 if only the newer
     document has the route, and 500 if it lacks the service of the old route:
 
-        gateway: a call failed. KeyError: 'other'
+        gateway: internal error. KeyError: 'other'
     """
 
     def statuses(self, earlier, later, services=("orders", "other")):
